--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -28,12 +28,12 @@
 )
 
 // Repeat says how often a request may run.
-type Repeat int
+type RepeatPolicy int
 
 // How often a request may run.
 const (
 	// AtMostOnce: never a second run.
-	AtMostOnce Repeat = iota
+	AtMostOnce RepeatPolicy = iota
 	// Repeatable: a second run before any of the answer was passed on.
 	Repeatable
 	// Resumable: as Repeatable, and after a part was passed on a run may go on
@@ -68,7 +68,7 @@
 
 // Delivery is the state of one request. It is used by one goroutine.
 type Delivery struct {
-	repeat Repeat
+	repeat RepeatPolicy
 	// most is how many targets may run the request.
 	most int
 	// ran counts the targets that may have run it.
@@ -84,7 +84,7 @@
 const mostRejected = 3
 
 // New begins a delivery that may run on so many targets, at least one.
-func New(repeat Repeat, most int) *Delivery {
+func New(repeat RepeatPolicy, most int) *Delivery {
 	return &Delivery{repeat: repeat, most: max(1, most)}
 }
 
@@ -153,9 +153,9 @@
 	return d.repeat == Resumable && d.ran < d.most && d.sent < d.most+mostRejected
 }
 
-// MayLeave says whether an attempt under way may be ended, because its target
+// MayAbandon says whether an attempt under way may be ended, because its target
 // is silent, for one at another target.
-func (d *Delivery) MayLeave() bool {
+func (d *Delivery) MayAbandon() bool {
 	return d.repeat != AtMostOnce && d.ran+1 < d.most
 }
 
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -16,7 +16,7 @@
 
 func TestAfter(t *testing.T) {
 	cases := map[string]struct {
-		repeat  delivery.Repeat
+		repeat  delivery.RepeatPolicy
 		most    int
 		begun   bool
 		spare   func() bool
@@ -65,7 +65,7 @@
 func TestPromises(t *testing.T) {
 	outcomes := []delivery.Outcome{delivery.Unsent, delivery.Rejected, delivery.Lost, delivery.Failed, delivery.Silent, delivery.Cut}
 	rapid.Check(t, func(t *rapid.T) {
-		repeat := rapid.SampledFrom([]delivery.Repeat{delivery.AtMostOnce, delivery.Repeatable, delivery.Resumable}).Draw(t, "repeat")
+		repeat := rapid.SampledFrom([]delivery.RepeatPolicy{delivery.AtMostOnce, delivery.Repeatable, delivery.Resumable}).Draw(t, "repeat")
 		most := rapid.IntRange(1, 4).Draw(t, "most")
 		made := delivery.New(repeat, most)
 		ran, begun := 0, false
@@ -121,7 +121,7 @@
 
 func TestMayLeaveOnlyWhereASecondRunIsAllowed(t *testing.T) {
 	is := is.New(t)
-	is.True(!delivery.New(delivery.AtMostOnce, 3).MayLeave())
-	is.True(!delivery.New(delivery.Repeatable, 1).MayLeave())
-	is.True(delivery.New(delivery.Repeatable, 2).MayLeave())
+	is.True(!delivery.New(delivery.AtMostOnce, 3).MayAbandon())
+	is.True(!delivery.New(delivery.Repeatable, 1).MayAbandon())
+	is.True(delivery.New(delivery.Repeatable, 2).MayAbandon())
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -152,13 +152,13 @@
 func (a *attempt) outgoing() *Outgoing {
 	c := a.call
 	out := &Outgoing{
-		Request:   c.request,
-		Target:    a.pick.Target,
-		Left:      clock.Until(c.deadline),
-		Rank:      c.table.Rank(c.workspace, c.route),
-		FetchFrom: a.pick.FetchFrom,
-		After:     c.after,
-		Reuse:     c.route.Repeatable(),
+		Request:     c.request,
+		Target:      a.pick.Target,
+		TimeLeft:    clock.Until(c.deadline),
+		Rank:        c.table.Rank(c.workspace, c.route),
+		FetchFrom:   a.pick.FetchFrom,
+		LastEventID: c.after,
+		ReuseIdle:   c.route.Repeatable(),
 	}
 	if c.workspace != nil {
 		out.Workspace = c.workspace.Name
@@ -358,7 +358,7 @@
 
 // isLate says whether this process itself is late.
 func (a *attempt) isLate() bool {
-	late := a.call.gateway.Options.Late
+	late := a.call.gateway.Options.ProcessLate
 	return late != nil && late()
 }
 
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -80,7 +80,7 @@
 
 // prepare works out what all attempts share.
 func (c *call) prepare() {
-	c.after = c.request.After
+	c.after = c.request.LastEventID
 	c.print = c.fingerprint()
 	c.deadline = c.request.Arrived.Add(c.holdTime())
 	if service, ok := c.table.Service(c.route.Split[0].Service); ok && service.Engine {
@@ -123,7 +123,7 @@
 	return hold
 }
 
-func repeatOf(route *routing.Route) delivery.Repeat {
+func repeatOf(route *routing.Route) delivery.RepeatPolicy {
 	switch {
 	case route.Kind == routing.Stream && route.Resumable:
 		return delivery.Resumable
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -42,14 +42,14 @@
 )
 
 // Knocker finds out whether something listens at a target's address.
-type Knocker interface {
+type PortProber interface {
 	// Knock returns true if a new connection was refused. One that came up is kept for
 	// requests.
-	Knock(ctx context.Context, target balance.Target) (refused bool)
+	ProbePort(ctx context.Context, target balance.Target) (refused bool)
 }
 
 // Spreader passes on what is known of a request to other gateways.
-type Spreader interface {
+type PeerNotifier interface {
 	Spread(change quarantine.Change)
 	// TrialPlace is the place of this process among those that may try a request, 0 for
 	// the first.
@@ -74,10 +74,10 @@
 type Crashes struct {
 	Table    *quarantine.Table
 	Balancer *balance.Balancer
-	Knocker  Knocker
+	Prober   PortProber
 	// Spreader is nil where no other gateways are.
-	Spreader Spreader
-	Watcher  CrashWatcher
+	Peers   PeerNotifier
+	Watcher CrashWatcher
 
 	mu sync.Mutex
 	// lives are those of targets at which requests were lost a moment ago, by name.
@@ -118,8 +118,8 @@
 }
 
 // NewCrashes returns a watch that Start begins.
-func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, knocker Knocker, watcher CrashWatcher) *Crashes {
-	return &Crashes{Table: table, Balancer: balancer, Knocker: knocker, Watcher: watcher, lives: make(map[string]*losses), wake: make(chan struct{}, 1)}
+func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, knocker PortProber, watcher CrashWatcher) *Crashes {
+	return &Crashes{Table: table, Balancer: balancer, Prober: knocker, Watcher: watcher, lives: make(map[string]*losses), wake: make(chan struct{}, 1)}
 }
 
 // Start begins to look at what is lost.
@@ -261,8 +261,8 @@
 	if change.Begins() || change.Ends() {
 		c.Watcher.QuarantineChanged(change, "")
 	}
-	if c.Spreader != nil {
-		c.Spreader.Spread(change)
+	if c.Peers != nil {
+		c.Peers.Spread(change)
 	}
 }
 
@@ -326,11 +326,11 @@
 	c.wait.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, knockTimeout)
 		defer cancel()
-		refused := c.Knocker.Knock(ctx, known.target)
+		refused := c.Prober.ProbePort(ctx, known.target)
 		defer c.lookSoon()
 		now := clock.Now()
-		if refused && c.Balancer.NoteSilentPort(life, now) && c.Spreader != nil {
-			c.Spreader.Refused(life)
+		if refused && c.Balancer.NoteSilentPort(life, now) && c.Peers != nil {
+			c.Peers.Refused(life)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -32,7 +32,7 @@
 	held   []string
 }
 
-func (k *knocks) Knock(context.Context, balance.Target) bool {
+func (k *knocks) ProbePort(context.Context, balance.Target) bool {
 	k.count.Add(1)
 	return k.refuses.Load()
 }
@@ -66,7 +66,7 @@
 	t.Helper()
 	k := new(knocks)
 	crashes := gateway.NewCrashes(quarantine.New(), w.gateway.Balancer, k, k)
-	crashes.Spreader = k
+	crashes.Peers = k
 	w.gateway.Crashes = crashes
 	is.New(t).NoErr(crashes.Start(t.Context()))
 	t.Cleanup(func() { _ = crashes.Close() })
@@ -220,7 +220,7 @@
 				target := only(w, 1000)
 				time.AfterFunc(50*time.Millisecond, func() {
 					target.Born++
-					w.gateway.Outlived(w.gateway.Balancer.Put(target, time.Now()).Outlived)
+					w.gateway.EndSuperseded(w.gateway.Balancer.Put(target, time.Now()).Outlived)
 				})
 				w.serve(t.Context(), tc.path)
 				is.Equal(w.caller.records[0].Took, 50*time.Millisecond)
@@ -325,7 +325,7 @@
 		request := &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: "/stream/x", Path: "/stream/x", Key: "key", Model: "m", Parts: []gateway.Part{part, {ID: "own", Tokens: 10}}, Arrived: time.Now()}
 		time.AfterFunc(100*time.Millisecond, func() { hold(w, subjectOf("/stream/x")) })
 		w.gateway.Serve(t.Context(), request, w.caller)
-		is.True(w.caller.records[0].Waited >= 100*time.Millisecond)
+		is.True(w.caller.records[0].PrefillWait >= 100*time.Millisecond)
 		is.Equal(len(w.sender.sent), 0)
 		is.Equal(w.caller.refusal.Kind, fault.Quarantined)
 	})
--- a/internal/gateway/dark.go
+++ b/internal/gateway/dark.go
@@ -153,7 +153,7 @@
 	}
 	target := a.life
 	a.dark.contact = a.call.gateway.contacts.join(target)
-	if !a.call.delivery.MayLeave() {
+	if !a.call.delivery.MayAbandon() {
 		a.mu.Lock()
 		a.beginToLook()
 		a.mu.Unlock()
--- a/internal/gateway/dark_test.go
+++ b/internal/gateway/dark_test.go
@@ -98,7 +98,7 @@
 				if strings.Contains(name, "without a retry") {
 					w.spendRetries()
 				}
-				w.gateway.Options.Late = func() bool { return strings.Contains(name, "is late") }
+				w.gateway.Options.ProcessLate = func() bool { return strings.Contains(name, "is late") }
 				sent := len(w.sender.sent)
 				if tc.at < 0 {
 					w.gateway.Balancer.ObserveSuspects("one", []uint32{uint32(hashOf("a") >> 32)}, time.Now())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,16 +25,16 @@
 	// unknown route or key; past it the request is put off instead.
 	DenyFreshness time.Duration
 	// Accompanied says whether other gateways are heard; nil is never.
-	Accompanied func() bool
+	PeersReachable func() bool
 	// Late says whether this process lacks processor time now, so that its own
 	// time limits pass before it has read what a target sent; nil is never.
-	Late func() bool
+	ProcessLate func() bool
 	// Pass is within which time of its making callers want each event of a stream; zero
 	// passes on each at once.
-	Pass time.Duration
-	// OthersKnow says whether another live gateway has a configuration; nil is
+	StreamDelay time.Duration
+	// PeersConfigured says whether another live gateway has a configuration; nil is
 	// always.
-	OthersKnow func() bool
+	PeersConfigured func() bool
 }
 
 // Directory keeps track, over all gateways, of where parts of prompts are
@@ -187,7 +187,7 @@
 // yet: at once if another one can serve. Where all begin anew, who came back at
 // once would be refused again.
 func (g *Gateway) retryUnready() time.Duration {
-	if g.Options.OthersKnow == nil || g.Options.OthersKnow() {
+	if g.Options.PeersConfigured == nil || g.Options.PeersConfigured() {
 		return retryElsewhere
 	}
 	return retryStore
@@ -197,7 +197,7 @@
 // one can serve only if this one is cut off from the others: their proofs
 // would have come with their beats.
 func (g *Gateway) retryAway() time.Duration {
-	if g.Options.Accompanied != nil && g.Options.Accompanied() {
+	if g.Options.PeersReachable != nil && g.Options.PeersReachable() {
 		return retryStore
 	}
 	return retryElsewhere
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -265,8 +265,8 @@
 		is := is.New(t)
 		w := newWorld(stream(one+two[:5], io.ErrUnexpectedEOF), stream(two, io.EOF))
 		w.serve(t.Context(), "/resumable/x")
-		is.Equal(w.sender.sent[0].After, "")
-		is.Equal(w.sender.sent[1].After, "1")
+		is.Equal(w.sender.sent[0].LastEventID, "")
+		is.Equal(w.sender.sent[1].LastEventID, "1")
 		is.True(w.sender.sent[0].Target.ID != w.sender.sent[1].Target.ID)
 	})
 }
@@ -307,7 +307,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(unreachable)
-			w.gateway.Options.Late = func() bool { return late }
+			w.gateway.Options.ProcessLate = func() bool { return late }
 			w.serve(t.Context(), "/once/x")
 			is.Equal(w.caller.refusal.Kind, fault.NoTarget)
 			for _, attempt := range w.caller.records[0].Attempts {
@@ -363,7 +363,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(whole(200, "yes"))
-			begun := &gateway.Gateway{Sender: w.sender, Balancer: w.gateway.Balancer, Budgets: w.gateway.Budgets, Proof: w.gateway.Proof, Events: w.caller, Options: gateway.Options{OthersKnow: tc.know}}
+			begun := &gateway.Gateway{Sender: w.sender, Balancer: w.gateway.Balancer, Budgets: w.gateway.Budgets, Proof: w.gateway.Proof, Events: w.caller, Options: gateway.Options{PeersConfigured: tc.know}}
 			w.gateway = begun
 			w.serve(t.Context(), "/once/x")
 			is.Equal(w.caller.refusal.Kind, fault.NotReady)
@@ -415,7 +415,7 @@
 				is.Equal(sentAfter, []time.Duration{0, tc.starts})
 				var waited []time.Duration
 				for _, record := range w.caller.records {
-					waited = append(waited, record.Waited)
+					waited = append(waited, record.PrefillWait)
 				}
 				slices.Sort(waited)
 				is.Equal(waited, []time.Duration{0, tc.starts})
@@ -469,7 +469,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(whole(200, "yes"))
-				w.gateway.Options.Accompanied = func() bool { return accompanied }
+				w.gateway.Options.PeersReachable = func() bool { return accompanied }
 				time.Sleep(5 * time.Second)
 				w.serve(t.Context(), "/once/x")
 				is.Equal(w.caller.refusal.RetryAfter >= 500*time.Millisecond, accompanied)
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -77,10 +77,10 @@
 
 // place is that of this process among those that may try a request.
 func (c *Crashes) place(print quarantine.Fingerprint) int {
-	if c.Spreader == nil {
+	if c.Peers == nil {
 		return 0
 	}
-	return c.Spreader.TrialPlace(print)
+	return c.Peers.TrialPlace(print)
 }
 
 // mayTry says whether this process may send a request that is held back once.
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -52,7 +52,7 @@
 
 // Outlived ends the attempts that are under way at a life of a target, of which another one
 // has begun.
-func (g *Gateway) Outlived(life string) {
+func (g *Gateway) EndSuperseded(life string) {
 	for _, a := range g.underWay.at(life) {
 		a.outlive()
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -18,7 +18,7 @@
 	Address string
 	Service string
 	// Life names the life of the target that it holds for.
-	Life string
+	Incarnation string
 	// Request is the id of the request that was answered.
 	Request string
 	Notice  balance.Notice
@@ -37,13 +37,13 @@
 		return
 	}
 	a.call.gateway.Events.Notice(&NoticeRecord{
-		Target:  a.pick.Target.ID,
-		Address: a.pick.Target.Address,
-		Service: a.call.service,
-		Life:    a.life,
-		Request: a.call.request.ID,
-		Notice:  notice,
-		News:    news,
+		Target:      a.pick.Target.ID,
+		Address:     a.pick.Target.Address,
+		Service:     a.call.service,
+		Incarnation: a.life,
+		Request:     a.call.request.ID,
+		Notice:      notice,
+		News:        news,
 	})
 }
 
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -57,7 +57,7 @@
 // endingOf is the ending of a request whose caller's spool was ended; empty if the caller
 // ended it.
 func endingOf(err error) string {
-	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrStuck) {
+	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrWriteTimeout) {
 		return EndingCallerSlow
 	}
 	return ""
--- a/internal/gateway/output_test.go
+++ b/internal/gateway/output_test.go
@@ -96,7 +96,7 @@
 		is := is.New(t)
 		body := steady(60, 20*time.Millisecond)
 		w := newWorld(answering(body, -1))
-		w.gateway.Spools = spool.New(spool.Options{Each: spool.DefaultEach, Stuck: spool.DefaultStuck}, spool.NewBudget(1<<20))
+		w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, spool.NewBudget(1<<20))
 		caller := newPausedCaller()
 		done := make(chan struct{})
 		go func() {
@@ -133,7 +133,7 @@
 				is := is.New(t)
 				w := newWorld(play)
 				budget := spool.NewBudget(4 << 20)
-				w.gateway.Spools = spool.New(spool.Options{Each: spool.DefaultEach, Stuck: spool.DefaultStuck}, budget)
+				w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, budget)
 				caller := newPausedCaller()
 				path := "/stream/x"
 				if name != "stream" {
@@ -178,9 +178,9 @@
 				}
 				second := steady(30, 20*time.Millisecond)
 				w := newWorld(answering(first, -1), answering(second, -1))
-				w.gateway.Spools = spool.New(spool.Options{Each: spool.DefaultEach, Stuck: spool.DefaultStuck}, spool.NewBudget(1<<20))
-				w.gateway.Options.Pass = tc.pass
-				w.gateway.Options.Late = func() bool { return tc.late }
+				w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, spool.NewBudget(1<<20))
+				w.gateway.Options.StreamDelay = tc.pass
+				w.gateway.Options.ProcessLate = func() bool { return tc.late }
 				for range 2 {
 					caller := newPausedCaller()
 					close(caller.reads)
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -43,32 +43,32 @@
 	Prompt []Part
 	// Print names what it asks, and for whom: a request that comes again has the same one.
 	// Zero if it was denied.
-	Print quarantine.Fingerprint
+	Fingerprint quarantine.Fingerprint
 	// Config is the version of the configuration that was used.
-	Config int64
+	ConfigVersion int64
 	// ProofAge is the age of the proof that it was the newest, at the end;
 	// negative if there was none.
 	ProofAge time.Duration
 	Attempts []AttemptRecord
 	// Queued is how long it waited for its turn at the service.
-	Queued time.Duration
+	QueueTime time.Duration
 	// Waited is how long it waited, before its first attempt, for a part of its
 	// prompt to be read for another request.
-	Waited time.Duration
+	PrefillWait time.Duration
 	// Found is how its question for a holder of its prompt ended, empty if it
 	// asked none, and Asked how long that took.
-	Found balance.Finding
-	Asked time.Duration
+	HolderLookup     balance.Finding
+	HolderLookupTime time.Duration
 	// Status is the caller's; zero if it got none.
 	Status int
 	// Ending is one of the constants above or the kind of refusal.
 	Ending string
 	// Wanted is the time within which the route's callers want the answer or its
 	// first event; zero if the route does not say.
-	Wanted time.Duration
+	TargetLatency time.Duration
 	// First is the time to the answer's head.
-	First time.Duration
-	Took  time.Duration
+	TimeToHead time.Duration
+	Took       time.Duration
 }
 
 // AttemptRecord tells of one attempt.
@@ -105,30 +105,30 @@
 func (c *call) record() *RequestRecord {
 	now := clock.Now()
 	record := &RequestRecord{
-		ID:       c.request.ID,
-		Service:  c.service,
-		Session:  c.request.session(),
-		Prompt:   c.request.Parts,
-		Print:    c.print,
-		Attempts: c.attempts,
-		Queued:   c.queued,
-		Waited:   c.waited,
-		Found:    c.found,
-		Asked:    c.asked,
-		Status:   c.status,
-		Ending:   c.ending,
-		First:    c.firstAfter,
-		Took:     now.Sub(c.request.Arrived),
-		ProofAge: -1,
+		ID:               c.request.ID,
+		Service:          c.service,
+		Session:          c.request.session(),
+		Prompt:           c.request.Parts,
+		Fingerprint:      c.print,
+		Attempts:         c.attempts,
+		QueueTime:        c.queued,
+		PrefillWait:      c.waited,
+		HolderLookup:     c.found,
+		HolderLookupTime: c.asked,
+		Status:           c.status,
+		Ending:           c.ending,
+		TimeToHead:       c.firstAfter,
+		Took:             now.Sub(c.request.Arrived),
+		ProofAge:         -1,
 	}
 	if age, known := c.gateway.Proof.Age(now); known {
 		record.ProofAge = age
 	}
 	if c.table != nil {
-		record.Config = c.table.Version()
+		record.ConfigVersion = c.table.Version()
 	}
 	if c.route != nil {
-		record.Route, record.Kind, record.Wanted = c.route.Name, string(c.route.Kind), c.route.TargetLatency
+		record.Route, record.Kind, record.TargetLatency = c.route.Name, string(c.route.Kind), c.route.TargetLatency
 	}
 	if c.workspace != nil {
 		record.Workspace = c.workspace.Name
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -36,7 +36,7 @@
 	// Parts are the prompt's parts in order, the last one the request's own.
 	Parts []Part
 	// After is the id of the last event that the caller has; empty for none.
-	After string
+	LastEventID string
 }
 
 // Part is one part of a prompt.
@@ -65,7 +65,7 @@
 	Request *Request
 	Target  balance.Target
 	// Left is how long the target may take; zero for no bound.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Workspace is the name of the key's workspace; empty on public routes.
 	Workspace string
 	// Rank is the urgency, 0 first, at most 9.
@@ -73,10 +73,10 @@
 	// FetchFrom is the address of a target that may hold the prompt's prefix.
 	FetchFrom string
 	// After is the id of the last event that the caller has; empty for none.
-	After string
+	LastEventID string
 	// Reuse allows a kept connection that has rested for a while; a request
 	// that may not be repeated isn't risked on one.
-	Reuse bool
+	ReuseIdle bool
 }
 
 // Answer is a target's answer, whose head has been read.
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -193,7 +193,7 @@
 				is := is.New(t)
 				var w *world
 				w = newWorld(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-					if out.After != "" {
+					if out.LastEventID != "" {
 						return stream(two, io.EOF)(ctx, out)
 					}
 					for _, id := range []string{"a", "b", "c"} {
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -275,9 +275,9 @@
 		"a stream without events":     {answer: stream("", io.EOF), path: "/stream/x", answers: 1},
 		"a stream cut":                {answer: stream(one+two[:5], io.ErrUnexpectedEOF), path: "/stream/x", answers: 1, failed: 1},
 		"a stream cut, and resumed":   {answer: cutOnce(), path: "/resumable/x", answers: 2, failed: 1},
-		"a failure while late itself": {answer: broken, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.Late = func() bool { return true } }, answers: 1, failed: 1},
-		"silence while late itself":   {answer: silent, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.Late = func() bool { return true } }},
-		"an answer while late itself": {answer: yes, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.Late = func() bool { return true } }, answers: 1},
+		"a failure while late itself": {answer: broken, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1, failed: 1},
+		"silence while late itself":   {answer: silent, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }},
+		"an answer while late itself": {answer: yes, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1},
 		"the caller leaves":           {answer: silent, path: "/once/x", patience: 30 * time.Millisecond},
 	}
 	for name, tc := range cases {
@@ -332,7 +332,7 @@
 				w := newRolloutWorld(t, map[string]script{newVersion: goesOn})
 				defer w.close()
 				w.sender.play(oldVersion, func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-					if out.After != "" {
+					if out.LastEventID != "" {
 						return goesOn(ctx, out)
 					}
 					return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &endingBody{text: strings.NewReader(one), end: ends}}, nil
@@ -354,7 +354,7 @@
 				}
 				is.Equal(versions, tc.versions)
 				if len(versions) > 1 {
-					is.Equal(w.sender.sent[1].After, "1")
+					is.Equal(w.sender.sent[1].LastEventID, "1")
 				}
 			})
 		})
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -29,7 +29,7 @@
 // watch ends the attempt after a silence, if the delivery allows another
 // target and the budget pays for it. Each call begins the time anew.
 func (a *attempt) watch(ctx context.Context, silence time.Duration) {
-	if silence <= 0 || !a.call.delivery.MayLeave() {
+	if silence <= 0 || !a.call.delivery.MayAbandon() {
 		return
 	}
 	a.mu.Lock()
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -67,8 +67,8 @@
 
 // window is how long the events of a new stream are kept to go in one write.
 func (g *Gateway) window(now time.Time) time.Duration {
-	if g.Options.Pass == 0 || !g.stalls.many(now) {
+	if g.Options.StreamDelay == 0 || !g.stalls.many(now) {
 		return 0
 	}
-	return time.Duration(keptShare * float64(g.Options.Pass))
+	return time.Duration(keptShare * float64(g.Options.StreamDelay))
 }
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -75,8 +75,8 @@
 		w.gateway.Sender = &firstThen{w.sender, 400 * time.Millisecond, nil}
 		w.serve(t.Context(), "/get/x")
 		is.Equal(len(w.sender.sent), 2)
-		is.Equal(w.sender.sent[0].Left, time.Second)
-		is.True(w.sender.sent[1].Left <= 600*time.Millisecond)
+		is.Equal(w.sender.sent[0].TimeLeft, time.Second)
+		is.True(w.sender.sent[1].TimeLeft <= 600*time.Millisecond)
 		w.gateway.Sender.(*firstThen).back()
 	})
 }
--- a/internal/inbound/inbound.go
+++ b/internal/inbound/inbound.go
@@ -38,9 +38,9 @@
 // Limits bound connections; zero is without bound. They may change at any time.
 type Limits struct {
 	// Rest is how long a connection may rest.
-	Rest func() time.Duration
+	IdleTimeout func() time.Duration
 	// Head is how long the head of a request may take from its first byte.
-	Head func() time.Duration
+	HeaderTimeout func() time.Duration
 }
 
 // Listen watches the connections of a listener, which it owns.
@@ -107,7 +107,7 @@
 	if draining {
 		return 0, true
 	}
-	limit := l.limits.Rest()
+	limit := l.limits.IdleTimeout()
 	return limit, limit > 0
 }
 
@@ -191,7 +191,7 @@
 	if n > 0 && c.resting {
 		c.resting = false
 		c.stopTimer()
-		if limit := c.listener.limits.Head(); limit > 0 {
+		if limit := c.listener.limits.HeaderTimeout(); limit > 0 {
 			c.timer = time.AfterFunc(limit, c.endHead)
 		}
 	}
--- a/internal/inbound/inbound_test.go
+++ b/internal/inbound/inbound_test.go
@@ -77,8 +77,8 @@
 	s := &site{pipes: newPipes(), served: make(chan struct{})}
 	s.limit.Store(int64(usualLimit))
 	s.listener = inbound.Listen(s.pipes, inbound.Limits{
-		Rest: func() time.Duration { return time.Duration(s.limit.Load()) },
-		Head: func() time.Duration { return time.Duration(s.head.Load()) },
+		IdleTimeout:   func() time.Duration { return time.Duration(s.limit.Load()) },
+		HeaderTimeout: func() time.Duration { return time.Duration(s.head.Load()) },
 	})
 	s.server = &http.Server{
 		ConnState: s.listener.ConnState,
@@ -300,7 +300,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		inner := newPipes()
-		listener := inbound.Listen(inner, inbound.Limits{Rest: func() time.Duration { return time.Second }, Head: unbounded})
+		listener := inbound.Listen(inner, inbound.Limits{IdleTimeout: func() time.Duration { return time.Second }, HeaderTimeout: unbounded})
 		ours, _ := net.Pipe()
 		raw := &late{Conn: ours, release: make(chan struct{})}
 		go func() { inner.conns <- raw }()
@@ -320,7 +320,7 @@
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	listener := inbound.Listen(raw, inbound.Limits{Rest: unbounded, Head: unbounded})
+	listener := inbound.Listen(raw, inbound.Limits{IdleTimeout: unbounded, HeaderTimeout: unbounded})
 	theirs, err := net.Dial("tcp", raw.Addr().String())
 	is.NoErr(err)
 	defer func() { _ = theirs.Close() }()
--- a/internal/observe/metrics.go
+++ b/internal/observe/metrics.go
@@ -142,11 +142,11 @@
 func (m *Metrics) request(record *gateway.RequestRecord) {
 	m.endings.WithLabelValues(record.Ending).Inc()
 	m.took.WithLabelValues(m.workspaces.of(record.Workspace), record.Kind).Observe(record.Took.Seconds())
-	if record.First > 0 {
-		m.first.WithLabelValues(record.Kind).Observe(record.First.Seconds())
+	if record.TimeToHead > 0 {
+		m.first.WithLabelValues(record.Kind).Observe(record.TimeToHead.Seconds())
 	}
-	if record.Found != "" {
-		m.findings.WithLabelValues(string(record.Found)).Inc()
+	if record.HolderLookup != "" {
+		m.findings.WithLabelValues(string(record.HolderLookup)).Inc()
 	}
 	for _, attempt := range record.Attempts {
 		m.attempts.WithLabelValues(record.Service, attempt.Outcome).Inc()
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -117,8 +117,8 @@
 	o.log.Info(EventRequest,
 		"id", record.ID, "ending", record.Ending, "status", record.Status,
 		"route", record.Route, "kind", record.Kind, "workspace", record.Workspace, "service", record.Service,
-		"session", record.Session, "prompt", describePrompt(record.Prompt), "print", record.Print, "config", record.Config, "proof_ms", wholeMillis(record.ProofAge), "queued_ms", wholeMillis(record.Queued), "waited_ms", wholeMillis(record.Waited), "found", record.Found, "asked_ms", wholeMillis(record.Asked),
-		"wanted_ms", wholeMillis(record.Wanted), "first_ms", wholeMillis(record.First), "took_ms", wholeMillis(record.Took), "attempts", describe(record.Attempts))
+		"session", record.Session, "prompt", describePrompt(record.Prompt), "print", record.Fingerprint, "config", record.ConfigVersion, "proof_ms", wholeMillis(record.ProofAge), "queued_ms", wholeMillis(record.QueueTime), "waited_ms", wholeMillis(record.PrefillWait), "found", record.HolderLookup, "asked_ms", wholeMillis(record.HolderLookupTime),
+		"wanted_ms", wholeMillis(record.TargetLatency), "first_ms", wholeMillis(record.TimeToHead), "took_ms", wholeMillis(record.Took), "attempts", describe(record.Attempts))
 }
 
 func wholeMillis(d time.Duration) int64 {
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -23,7 +23,7 @@
 func record(ending string) *gateway.RequestRecord {
 	return &gateway.RequestRecord{
 		ID: "9c41d07be2a35f68", Route: "r-2yhvz3p", Kind: "stream", Workspace: "hule930", Service: "huvo11a", Session: "91bd3f06",
-		Config: 12, ProofAge: 900 * time.Millisecond, Status: 200, Ending: ending, First: 40 * time.Millisecond, Took: time.Second,
+		ConfigVersion: 12, ProofAge: 900 * time.Millisecond, Status: 200, Ending: ending, TimeToHead: 40 * time.Millisecond, Took: time.Second,
 		Attempts: []gateway.AttemptRecord{{Target: "i-7f3a91c2", Address: "10.1.64.42:8141", Load: 3, Mean: 2.5, Candidates: 9, Took: time.Second, Events: 55, Outcome: "answered"}},
 	}
 }
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -86,15 +86,15 @@
 func (o *Observer) Notice(record *gateway.NoticeRecord) {
 	if record.News.Leaving {
 		o.metrics.notices.WithLabelValues(record.Service, noticeLeaving).Inc()
-		o.log.Info(EventLeaving, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request)
+		o.log.Info(EventLeaving, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request)
 	}
 	if record.News.Resting {
 		o.metrics.notices.WithLabelValues(record.Service, noticeRest).Inc()
-		o.log.Info(EventRests, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.Rest))
+		o.log.Info(EventRests, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.Rest))
 	}
 	if record.News.Unreadable {
 		o.metrics.notices.WithLabelValues(record.Service, noticeUnreadable).Inc()
-		o.log.Warn(EventUnreadable, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
+		o.log.Warn(EventUnreadable, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
 	}
 }
 
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -102,10 +102,10 @@
 		Limiters: admission.NewLimiters(admission.DefaultLimiterOptions()),
 		Proof:    new(freshness.Proof),
 		Events:   p.observer,
-		Options:  gateway.Options{KeyFreshness: keyFreshness(s), DenyFreshness: denyFreshness, Accompanied: p.accompanied, OthersKnow: p.othersKnow, Late: p.lag.Late, Pass: time.Duration(s.Pass)},
+		Options:  gateway.Options{KeyFreshness: keyFreshness(s), DenyFreshness: denyFreshness, PeersReachable: p.accompanied, PeersConfigured: p.othersKnow, ProcessLate: p.lag.Late, StreamDelay: time.Duration(s.Pass)},
 	}
 	p.held = spool.NewBudget(heldBytes(s))
-	p.gateway.Spools = spool.New(spool.Options{Each: spool.DefaultEach, Stuck: spool.DefaultStuck, Ended: p.observer.CallerEnded}, p.held)
+	p.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout, CallerEnded: p.observer.CallerEnded}, p.held)
 	p.crashes = gateway.NewCrashes(quarantine.New(), p.gateway.Balancer, sender, p.observer)
 	p.gateway.Crashes = p.crashes
 	p.store = p.observer.NewStoreDependency()
--- a/internal/process/gateway_http.go
+++ b/internal/process/gateway_http.go
@@ -44,7 +44,7 @@
 		return listenFailed("callers", err)
 	}
 	p.addresses.Callers = listener.Addr().String()
-	p.callers = inbound.Listen(listener, inbound.Limits{Rest: p.idleLimit, Head: p.headLimit})
+	p.callers = inbound.Listen(listener, inbound.Limits{IdleTimeout: p.idleLimit, HeaderTimeout: p.headLimit})
 	p.server = &http.Server{
 		Handler:           p.front,
 		ReadHeaderTimeout: headerTimeout,
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -46,7 +46,7 @@
 		Lag:        p.lag.Lag,
 		Stale:      staleAfter(p.settings),
 	}, conn, pool)
-	p.gateway.Directory, p.crashes.Spreader = p.peers, p.peers
+	p.gateway.Directory, p.crashes.Peers = p.peers, p.peers
 	if p.mayLeaveReading() {
 		turn := peer.Turn(p.settings.ID)
 		p.feed.CountGateways(time.Duration(turn*float64(countPatience)), func() bool { return !p.peers.Many() })
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if change.Outlived != "" {
-		s.process.gateway.Outlived(change.Outlived)
+		s.process.gateway.EndSuperseded(change.Outlived)
 	}
 	// A process that begins says how many there are (targetsListed): thousands of
 	// lines cost a small host as much time as the targets themselves.
--- a/internal/process/reference_test.go
+++ b/internal/process/reference_test.go
@@ -115,7 +115,7 @@
 	})
 	// A series shows only once it has been used.
 	observer := observe.New(log.New(io.Discard), metrics)
-	observer.Request(&gateway.RequestRecord{First: 1, Found: balance.Answered, Attempts: []gateway.AttemptRecord{{Source: balance.SourceHeld, Version: "v2"}}})
+	observer.Request(&gateway.RequestRecord{TimeToHead: 1, HolderLookup: balance.Answered, Attempts: []gateway.AttemptRecord{{Source: balance.SourceHeld, Version: "v2"}}})
 	observer.Notice(&gateway.NoticeRecord{News: balance.News{Leaving: true}})
 	observer.StoreCalled("watch", nil)
 	observer.ReplicaFetched("p", 1, 2, nil)
--- a/internal/spool/budget.go
+++ b/internal/spool/budget.go
@@ -14,7 +14,7 @@
 }
 
 // Take takes bytes; false, and nothing is taken, if there are not as many.
-func (b *Budget) Take(size int) bool {
+func (b *Budget) Acquire(size int) bool {
 	if held := b.held.Add(int64(size)); b.most == 0 || held <= b.most {
 		return true
 	}
@@ -23,7 +23,7 @@
 }
 
 // Give gives bytes back.
-func (b *Budget) Give(size int) {
+func (b *Budget) Release(size int) {
 	b.held.Add(-int64(size))
 }
 
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -16,8 +16,8 @@
 	// ErrSlowest: all callers together hold too much, and this one has read nothing for the
 	// longest time.
 	ErrSlowest = errors.New("the caller reads too slowly while memory for answers is short")
-	// ErrStuck: it has read nothing for too long.
-	ErrStuck = errors.New("the caller has stopped to read")
+	// ErrWriteTimeout: it has read nothing for too long.
+	ErrWriteTimeout = errors.New("the caller has stopped to read")
 )
 
 var errDropped = errors.New("the caller is gone")
@@ -26,18 +26,18 @@
 type Options struct {
 	// Each is how many bytes are held for one caller before its target's answer is read no
 	// further.
-	Each int
+	MaxPerCaller int
 	// Stuck is how long one write to a caller may take.
-	Stuck time.Duration
+	WriteTimeout time.Duration
 	// Ended is called for each caller that is ended, with the bytes that it had not read.
-	Ended func(unread int, reason error)
+	CallerEnded func(unread int, reason error)
 }
 
 const (
-	// DefaultEach holds a streamed answer of usual length whole.
-	DefaultEach = 256 << 10
-	// DefaultStuck is far longer than any network stalls that is still there.
-	DefaultStuck = 30 * time.Second
+	// DefaultMaxPerCaller holds a streamed answer of usual length whole.
+	DefaultMaxPerCaller = 256 << 10
+	// DefaultWriteTimeout is far longer than any network stalls that is still there.
+	DefaultWriteTimeout = 30 * time.Second
 	// mostWrite bounds one write to a caller, in bytes: one that reads slowly makes progress
 	// within Stuck.
 	mostWrite = 16 << 10
@@ -112,7 +112,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.err != nil {
-		p.spools.budget.Give(len(data))
+		p.spools.budget.Release(len(data))
 		return p.err
 	}
 	p.pending = append(p.pending, data...)
@@ -125,7 +125,7 @@
 func (p *Spool) await(more int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.err == nil && p.held() > 0 && p.held()+more > p.spools.options.Each {
+	for p.err == nil && p.held() > 0 && p.held()+more > p.spools.options.MaxPerCaller {
 		p.changed.Wait()
 	}
 	return p.err
@@ -172,7 +172,7 @@
 		if part == nil {
 			return
 		}
-		stuck := time.AfterFunc(p.spools.options.Stuck, func() { p.end(ErrStuck) })
+		stuck := time.AfterFunc(p.spools.options.WriteTimeout, func() { p.end(ErrWriteTimeout) })
 		err := p.caller.Write(part)
 		stuck.Stop()
 		p.written(len(part), err)
@@ -220,7 +220,7 @@
 
 // written notes the end of a write.
 func (p *Spool) written(size int, err error) {
-	p.spools.budget.Give(size)
+	p.spools.budget.Release(size)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.writing = 0
@@ -236,7 +236,7 @@
 // fail drops what is pending; p.mu is held.
 func (p *Spool) fail(err error) {
 	p.err = err
-	p.spools.budget.Give(len(p.pending))
+	p.spools.budget.Release(len(p.pending))
 	p.pending = nil
 	p.changed.Broadcast()
 }
@@ -253,7 +253,7 @@
 	if !ended {
 		return
 	}
-	if report := p.spools.options.Ended; report != nil {
+	if report := p.spools.options.CallerEnded; report != nil {
 		report(unread, reason)
 	}
 	p.caller.Interrupt()
@@ -262,7 +262,7 @@
 // take takes bytes of the budget for a spool, and ends the slowest callers until there are
 // enough; false if that one was ended itself.
 func (s *Spools) take(asking *Spool, size int) bool {
-	for !s.budget.Take(size) {
+	for !s.budget.Acquire(size) {
 		slowest := s.slowest()
 		if slowest == nil {
 			slowest = asking
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -94,7 +94,7 @@
 func newSpools(each int, most int64) (*Spools, *Budget, *ends) {
 	ended := new(ends)
 	budget := NewBudget(most)
-	return New(Options{Each: each, Stuck: DefaultStuck, Ended: ended.note}, budget), budget, ended
+	return New(Options{MaxPerCaller: each, WriteTimeout: DefaultWriteTimeout, CallerEnded: ended.note}, budget), budget, ended
 }
 
 // TestACallerThatStopsToReadStallsNobody: its target's answer is read to its end, the others
@@ -102,7 +102,7 @@
 func TestACallerThatStopsToReadStallsNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, budget, ended := newSpools(DefaultEach, plenty)
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, plenty)
 		stopped, sound := newReader(0), newReader(plenty)
 		slow, quick := spools.Open(stopped, 0), spools.Open(sound, 0)
 		want := ""
@@ -131,7 +131,7 @@
 func TestACallerThatReadsAByteASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, _, _ := newSpools(DefaultEach, plenty)
+		spools, _, _ := newSpools(DefaultMaxPerCaller, plenty)
 		caller := newReader(0)
 		p := spools.Open(caller, 0)
 		for range 25 {
@@ -153,15 +153,15 @@
 func TestAStuckCallerIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, budget, ended := newSpools(DefaultEach, plenty)
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, plenty)
 		p := spools.Open(newReader(3), 0)
 		is.NoErr(p.Write([]byte("more than three")))
 		began := time.Now()
-		is.Equal(p.Close(), ErrStuck)
-		is.Equal(time.Since(began), DefaultStuck)
-		is.Equal(p.Write([]byte("late")), ErrStuck)
+		is.Equal(p.Close(), ErrWriteTimeout)
+		is.Equal(time.Since(began), DefaultWriteTimeout)
+		is.Equal(p.Write([]byte("late")), ErrWriteTimeout)
 		is.Equal(budget.Held(), int64(0))
-		is.Equal(ended.all(), []error{ErrStuck})
+		is.Equal(ended.all(), []error{ErrWriteTimeout})
 	})
 }
 
@@ -201,7 +201,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const most, part = 100_000, 1000
-		spools, budget, ended := newSpools(DefaultEach, most)
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, most)
 		sound := newReader(plenty)
 		good := spools.Open(sound, 0)
 		stopped := make([]*Spool, 1000)
@@ -243,7 +243,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				spools, _, _ := newSpools(DefaultEach, plenty)
+				spools, _, _ := newSpools(DefaultMaxPerCaller, plenty)
 				caller := newReader(plenty)
 				p := spools.Open(caller, tc.window)
 				var longest atomic.Int64
