--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -21,11 +21,11 @@
 	call *call
 	pick balance.Pick
 	// life is that of the picked target.
-	life    string
-	started time.Time
-	outcome delivery.Outcome
-	result  balance.Result
-	err     error
+	incarnation string
+	started     time.Time
+	outcome     delivery.Outcome
+	result      balance.Result
+	err         error
 	// refusal is set when the call itself forbade the sending.
 	refusal *fault.Error
 	// failedItself says that the target answered with a failure of its own: no delay of
@@ -40,90 +40,90 @@
 	// trial says that it is the one copy of a request that is sent though it is held back.
 	trial bool
 	// tried says that the end of a try has been noted.
-	tried bool
+	probeEnded bool
 	// confirmed says that the target has read the prompt.
 	confirmed bool
 	// events is how many events were passed on, and span the time that the target took
 	// from the first to the last.
-	events int
-	span   time.Duration
+	events    int
+	eventSpan time.Duration
 	// head is the time to the head of the answer, or to a stream's first event; zero if
 	// none came.
-	head time.Duration
+	timeToHead time.Duration
 
-	dark darkWatch
+	liveness livenessWatch
 
 	// mu guards the fields that the silence timer shares.
-	mu     sync.Mutex
-	cancel context.CancelFunc
-	timer  *time.Timer
-	over   bool
+	mu        sync.Mutex
+	cancel    context.CancelFunc
+	timer     *time.Timer
+	committed bool
 	// spent says that the attempt was ended for its silence and that the
 	// retry for it has been taken from the budget.
-	spent bool
+	abandoned bool
 	// outlived says that it was ended since another life of its target has begun.
-	outlived bool
+	superseded bool
 }
 
 func newAttempt(c *call, pick balance.Pick) *attempt {
-	return &attempt{call: c, pick: pick, life: pick.Target.Life(), started: clock.Now(), result: balance.Neutral}
+	return &attempt{call: c, pick: pick, incarnation: pick.Target.Life(), started: clock.Now(), result: balance.Neutral}
 }
 
 const (
-	// silentShare of a route's target latency is how long a target of a
+	// maxSilenceShare of a route's target latency is how long a target of a
 	// repeatable request may be silent before another one is asked.
-	silentShare = 0.6
-	// silentStreamShare is the same for the first event of a stream.
-	silentStreamShare = 1.0
-	// silentGaps times a route's target gap is the same between events.
-	silentGaps = 2.5
-	// leastSilence bounds the times from below.
-	leastSilence = 30 * time.Millisecond
-	// bufferMost is the largest answer that is read whole before any of it is
+	maxSilenceShare = 0.6
+	// maxStreamSilenceShare is the same for the first event of a stream.
+	maxStreamSilenceShare = 1.0
+	// maxSilenceGaps times a route's target gap is the same between events.
+	maxSilenceGaps = 2.5
+	// minSilence bounds the times from below.
+	minSilence = 30 * time.Millisecond
+	// maxBuffered is the largest answer that is read whole before any of it is
 	// passed on, in bytes.
-	bufferMost = 1 << 20
+	maxBuffered = 1 << 20
 )
 
 // make sends the request and passes the answer on. It returns true when the
 // caller has the whole answer; otherwise outcome says how it ended.
-func (a *attempt) make(ctx context.Context) bool {
+func (a *attempt) run(ctx context.Context) bool {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	a.cancel = cancel
-	defer a.call.gateway.underWay.join(a)()
-	defer a.stopWatch()
-	defer a.watchDark()()
-	a.watch(ctx, a.silenceToHead())
+	defer a.call.gateway.inFlight.join(a)()
+	defer a.stopSilenceTimer()
+	defer a.watchLiveness()()
+	a.startSilenceTimer(ctx, a.maxSilenceToHead())
 	answer, failure := a.call.gateway.Sender.Send(attemptCtx, a.outgoing(), a.admit)
 	if failure != nil {
-		a.heed(failure.Notice)
-		a.failed(failure)
+		a.handleNotice(failure.Notice)
+		a.classifyFailure(failure)
 		return false
 	}
 	defer func() { _ = answer.Body.Close() }()
-	a.heed(answer.Notice)
-	a.endTry(true)
-	a.noteHead(answer)
-	return a.pass(ctx, answer)
+	a.handleNotice(answer.Notice)
+	a.endProbe(true)
+	a.recordHead(answer)
+	return a.passAnswer(ctx, answer)
 }
 
-// noteHead tells the balancer what the head of an answer shows.
-func (a *attempt) noteHead(answer *Answer) {
-	a.head = clock.Since(a.started)
+// recordHead tells the balancer what the head of an answer shows.
+func (a *attempt) recordHead(answer *Answer) {
+	a.timeToHead = clock.Since(a.started)
 	if crashes := a.call.gateway.Crashes; crashes != nil {
-		crashes.heard(a.life, a.started)
+		crashes.recordHead(a.incarnation, a.started)
 	}
-	if a.dark.contact != nil {
-		a.noteContact(clock.Now())
+	if a.liveness.contact != nil {
+		a.recordContact(clock.Now())
 	}
 	now := clock.Now()
 	if answer.Load != nil {
-		a.call.gateway.Balancer.NoteLoad(a.life, *answer.Load, now)
+		a.call.gateway.Balancer.NoteLoad(a.incarnation, *answer.Load, now)
 	}
-	a.call.gateway.Balancer.Sample(a.life, a.head, now)
+	a.call.gateway.Balancer.Sample(a.incarnation, a.timeToHead, now)
 	if answer.Status < http.StatusBadRequest && len(a.call.parts) > 0 {
 		a.confirmed = true
-		placed := a.call.gateway.Balancer.Confirm(a.life, a.call.prompt())
+		placed := a.call.gateway.Balancer.Confirm(a.incarnation, a.call.promptQuery())
 		if a.call.gateway.Directory != nil {
 			a.call.gateway.Directory.Placed(placed)
 		}
@@ -134,15 +134,15 @@
 // since the request was admitted.
 func (a *attempt) admit() error {
 	now := clock.Check()
-	if stale := a.call.checkFresh(now); stale != nil {
+	if stale := a.call.checkKeyFreshness(now); stale != nil {
 		a.refusal = stale
 		return stale
 	}
-	if refusal := a.barred(now); refusal != nil {
+	if refusal := a.checkQuarantine(now); refusal != nil {
 		a.refusal = refusal
 		return refusal
 	}
-	if a.call.gateway.Balancer.Closed(a.life, now) {
+	if a.call.gateway.Balancer.Closed(a.incarnation, now) {
 		a.withdrawn = true
 		return errWithdrawn
 	}
@@ -157,7 +157,7 @@
 		TimeLeft:    clock.Until(c.deadline),
 		Rank:        c.table.Rank(c.workspace, c.route),
 		FetchFrom:   a.pick.FetchFrom,
-		LastEventID: c.after,
+		LastEventID: c.lastEventID,
 		ReuseIdle:   c.route.Repeatable(),
 	}
 	if c.workspace != nil {
@@ -167,7 +167,7 @@
 }
 
 // failed turns an attempt without an answer into its outcome.
-func (a *attempt) failed(failure *SendError) {
+func (a *attempt) classifyFailure(failure *SendError) {
 	a.err = failure
 	switch {
 	case a.refusal != nil, a.withdrawn:
@@ -178,18 +178,18 @@
 		a.outcome, a.result = delivery.Unsent, balance.Unreachable
 	case !failure.Sent:
 		a.outcome = delivery.Unsent
-	case a.isOutlived():
-		a.outcome, a.result, a.loss, a.err = delivery.Lost, balance.Lost, brokeOff, errOutlived
-	case a.endedDark():
-		a.outcome, a.result, a.loss, a.err = delivery.Lost, balance.Bad, wentSilent, errDark
-	case a.isSpent():
-		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, wentSilent
+	case a.isSuperseded():
+		a.outcome, a.result, a.loss, a.err = delivery.Lost, balance.Lost, lossDisconnected, errSuperseded
+	case a.endedUnresponsive():
+		a.outcome, a.result, a.loss, a.err = delivery.Lost, balance.Bad, lossSilent, errUnresponsive
+	case a.isAbandoned():
+		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, lossSilent
 	case errors.Is(failure, context.DeadlineExceeded):
-		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, wentSilent
+		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, lossSilent
 	case errors.Is(failure, context.Canceled):
 		a.outcome = delivery.Lost
 	default:
-		a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, brokeOff
+		a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
 	}
 	if a.call.delivery.Begun() && failure.Sent {
 		a.outcome = delivery.Cut
@@ -197,7 +197,7 @@
 }
 
 // pass hands the answer on as the route's kind wants it.
-func (a *attempt) pass(ctx context.Context, answer *Answer) bool {
+func (a *attempt) passAnswer(ctx context.Context, answer *Answer) bool {
 	switch {
 	case answer.Misdirected:
 		// Its life has ended, as if nothing listened at its address any more.
@@ -217,15 +217,15 @@
 	case a.call.route.Kind == routing.Stream:
 		return a.passStream(ctx, answer)
 	}
-	return a.passWhole(answer)
+	return a.passBuffered(answer)
 }
 
 // passFailure keeps a target's own failure, in case nothing better comes. A
 // failure that another target would repeat is passed on at once.
 func (a *attempt) passFailure(answer *Answer) bool {
-	whole, err := readWhole(answer)
+	whole, err := bufferAnswer(answer)
 	if err != nil {
-		a.lost(err)
+		a.failReading(err)
 		return false
 	}
 	a.err = errors.Newf("the target answered %d", answer.Status)
@@ -233,30 +233,30 @@
 		a.outcome, a.result = delivery.Cut, balance.Bad
 		return false
 	}
-	a.call.failure = whole
+	a.call.failedAnswer = whole
 	a.outcome = delivery.Failed
 	if answer.Status < http.StatusInternalServerError {
 		a.result = balance.Good
-		a.call.relay()
+		a.call.relayFailure()
 		return true
 	}
 	a.result, a.failedItself = balance.Bad, true
 	return false
 }
 
-// passWhole reads the answer whole, so that one that breaks off can be asked
+// passBuffered reads the answer whole, so that one that breaks off can be asked
 // for again, and passes it on. Large answers are passed on as they come.
-func (a *attempt) passWhole(answer *Answer) bool {
-	if answer.Size > bufferMost {
+func (a *attempt) passBuffered(answer *Answer) bool {
+	if answer.Size > maxBuffered {
 		return a.passLarge(answer)
 	}
-	whole, err := readWhole(answer)
+	whole, err := bufferAnswer(answer)
 	if err != nil {
-		a.lost(err)
+		a.failReading(err)
 		return false
 	}
 	a.result = balance.Good
-	a.answered(answer)
+	a.recordAnswer(answer)
 	if err := whole.send(a.call); err != nil {
 		a.err = err
 	}
@@ -264,68 +264,68 @@
 }
 
 func (a *attempt) passLarge(answer *Answer) bool {
-	a.stopWatch()
-	a.answered(answer)
+	a.stopSilenceTimer()
+	a.recordAnswer(answer)
 	a.call.delivery.Begin()
 	if err := a.call.responder.Begin(answer.Status, answer.Header, answer.Size); err != nil {
-		a.callerGone(err)
+		a.failWriting(err)
 		return false
 	}
 	to := &outputWriter{call: a.call}
 	_, err := io.Copy(to, answer.Body)
 	if to.err != nil {
-		a.callerGone(to.err)
+		a.failWriting(to.err)
 		return false
 	}
 	if err != nil {
-		a.outcome, a.result, a.loss, a.err = delivery.Cut, balance.Lost, brokeOff, err
+		a.outcome, a.result, a.loss, a.err = delivery.Cut, balance.Lost, lossDisconnected, err
 		return false
 	}
 	a.result = balance.Good
 	return true
 }
 
-// callerGone ends an attempt whose answer could not be passed on.
-func (a *attempt) callerGone(err error) {
-	a.call.gone = true
+// failWriting ends an attempt whose answer could not be passed on.
+func (a *attempt) failWriting(err error) {
+	a.call.writeFailed = true
 	a.outcome, a.err = delivery.Cut, err
 }
 
 // answered notes the head of the answer that the caller gets.
-func (a *attempt) answered(answer *Answer) {
+func (a *attempt) recordAnswer(answer *Answer) {
 	a.call.status = answer.Status
-	a.call.firstAfter = clock.Since(a.call.request.Arrived)
+	a.call.timeToHead = clock.Since(a.call.request.Arrived)
 }
 
 // lost ends an attempt whose answer broke off before any of it was passed on.
-func (a *attempt) lost(err error) {
+func (a *attempt) failReading(err error) {
 	a.err = err
-	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, brokeOff
-	if a.isSpent() || errors.Is(err, context.DeadlineExceeded) {
-		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, wentSilent
+	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
+	if a.isAbandoned() || errors.Is(err, context.DeadlineExceeded) {
+		a.outcome, a.result, a.loss = delivery.Silent, balance.Bad, lossSilent
 	}
 }
 
 // release tells the balancer how the attempt ended, and keeps its record.
-func (a *attempt) release(ctx context.Context) {
-	a.judge(ctx, clock.Now())
+func (a *attempt) finish(ctx context.Context) {
+	a.reportToCrashes(ctx, clock.Now())
 	a.endTrial(clock.Now())
-	if a.call.callerLeft(ctx) || a.isOwnDelay() {
+	if a.call.callerLeft(ctx) || a.isProcessDelay() {
 		a.result = balance.Neutral
 	}
 	now := clock.Now()
 	if !a.confirmed && len(a.call.parts) > 0 {
-		a.call.gateway.Balancer.Withdraw(a.life, a.call.parts)
+		a.call.gateway.Balancer.Withdraw(a.incarnation, a.call.parts)
 	}
 	if a.result == balance.Good {
-		a.call.gateway.contacts.note(a.life, now)
+		a.call.gateway.contacts.record(a.incarnation, now)
 		a.call.gateway.Balancer.NoteHold(a.call.service, now.Sub(a.started), a.call.route.TargetLatency)
 	}
-	a.endTry(false)
-	a.observe(now)
-	ejected := a.call.gateway.Balancer.Release(a.life, a.result, now)
+	a.endProbe(false)
+	a.reportToRollout(now)
+	ejected := a.call.gateway.Balancer.Release(a.incarnation, a.result, now)
 	if a.result == balance.Refused && a.call.gateway.Directory != nil {
-		a.call.gateway.Directory.Refused(a.life)
+		a.call.gateway.Directory.Refused(a.incarnation)
 	}
 	record := AttemptRecord{
 		Target:     a.pick.Target.ID,
@@ -350,14 +350,14 @@
 	a.call.attempts = append(a.call.attempts, record)
 }
 
-// isOwnDelay says whether the attempt failed while this process itself was late:
+// isProcessDelay says whether the attempt failed while this process itself was late:
 // its time limits then say nothing of the target.
-func (a *attempt) isOwnDelay() bool {
-	return a.result != balance.Good && a.isLate()
+func (a *attempt) isProcessDelay() bool {
+	return a.result != balance.Good && a.isProcessLate()
 }
 
-// isLate says whether this process itself is late.
-func (a *attempt) isLate() bool {
+// isProcessLate says whether this process itself is late.
+func (a *attempt) isProcessLate() bool {
 	late := a.call.gateway.Options.ProcessLate
 	return late != nil && late()
 }
--- /dev/null
+++ b/internal/gateway/buffered.go
@@ -0,0 +1,40 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+)
+
+// bufferedAnswer is an answer that was read to its end.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+var errAnswerTooLarge = errors.Newf("an answer without length over %d bytes", maxBuffered)
+
+// bufferAnswer reads an answer to its end.
+func bufferAnswer(answer *Answer) (*bufferedAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered+1))
+	if err != nil {
+		return nil, err
+	}
+	if len(body) > maxBuffered {
+		return nil, errAnswerTooLarge
+	}
+	return &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}, nil
+}
+
+// send passes the answer on.
+func (w *bufferedAnswer) send(c *call) error {
+	if err := c.responder.Begin(w.status, w.header, int64(len(w.body))); err != nil {
+		return err
+	}
+	if len(w.body) == 0 {
+		return nil
+	}
+	return c.writeBuffered(w.body)
+}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -28,7 +28,7 @@
 	workspace *routing.Workspace
 	service   string
 	// print names what the request asks, and for whom.
-	print quarantine.Fingerprint
+	fingerprint quarantine.Fingerprint
 	// parts are hashes of the prompt's shared parts, in order.
 	parts []uint64
 	// tokens are the lengths of the parts.
@@ -38,61 +38,61 @@
 	delivery *delivery.Delivery
 	// assignment says which versions the next attempt may go to, and assigned that no
 	// attempt has followed it yet; versions are those that are looked at now.
-	assignment rollout.Assignment
-	assigned   bool
-	assignedAt time.Time
-	versions   balance.Versions
+	assignment       rollout.Assignment
+	assignmentUnused bool
+	assignedAt       time.Time
+	versions         balance.Versions
 	// tried are the lives of targets that got the request.
-	tried    []string
-	attempts []AttemptRecord
+	triedIncarnations []string
+	attempts          []AttemptRecord
 	// refused counts its connections that were refused.
-	refused int
+	refusedConnections int
 	// after is the last event that the caller has.
-	after string
+	lastEventID string
 	// failure is the target's answer to relay if nothing better comes.
-	failure *wholeAnswer
-	status  int
-	ending  string
+	failedAnswer *bufferedAnswer
+	status       int
+	ending       string
 	// turn is its admission to the service; nil for none.
 	turn *admission.Turn
 	// queued is how long it waited for its turn.
-	queued time.Duration
+	queueTime time.Duration
 	// waited is how long it waited for a part of its prompt to be read.
-	waited time.Duration
+	prefillWait time.Duration
 	// found is how the question for a holder of its prompt ended; empty if none
 	// was asked. asked is how long that took.
-	found balance.Finding
-	asked time.Duration
+	holderLookup     balance.Finding
+	holderLookupTime time.Duration
 	// output holds what the caller has not read yet; nil before any is passed on as it comes.
 	output *spool.Spool
 	// gone says that the caller could not be written to any more.
-	gone bool
-	// firstAfter is the time to the answer's head; zero if there was none.
-	firstAfter time.Duration
+	writeFailed bool
+	// timeToHead is the time to the answer's head; zero if there was none.
+	timeToHead time.Duration
 }
 
-// fillShare of the route's target latency is how long a request waits at most
+// maxPrefillWaitShare of the route's target latency is how long a request waits at most
 // for the reading of a part of its prompt for another one.
-const fillShare = 0.5
+const maxPrefillWaitShare = 0.5
 
-// leastTry is the least time left that makes another attempt worth while.
-const leastTry = 10 * time.Millisecond
+// minAttemptTime is the least time left that makes another attempt worth while.
+const minAttemptTime = 10 * time.Millisecond
 
 // prepare works out what all attempts share.
 func (c *call) prepare() {
-	c.after = c.request.LastEventID
-	c.print = c.fingerprint()
-	c.deadline = c.request.Arrived.Add(c.holdTime())
+	c.lastEventID = c.request.LastEventID
+	c.fingerprint = c.requestFingerprint()
+	c.deadline = c.request.Arrived.Add(c.timeLimit())
 	if service, ok := c.table.Service(c.route.Split[0].Service); ok && service.Engine {
 		c.parts, c.tokens = c.request.sharedParts()
 	}
-	c.service = c.route.ServiceAt(c.splitPoint())
-	c.delivery = delivery.New(repeatOf(c.route), c.route.MaxAttempts)
+	c.service = c.route.ServiceAt(c.splitKey())
+	c.delivery = delivery.New(repeatPolicy(c.route), c.route.MaxAttempts)
 	c.gateway.Budgets.Request(c.service, clock.Now())
 }
 
 // fingerprint names what the request asks, and for whom.
-func (c *call) fingerprint() quarantine.Fingerprint {
+func (c *call) requestFingerprint() quarantine.Fingerprint {
 	subject := quarantine.Subject{Method: c.request.Method, Host: c.request.Host, URI: c.request.URI, Body: c.request.Body}
 	if c.workspace != nil {
 		subject.Workspace = c.workspace.Name
@@ -100,30 +100,30 @@
 	return subject.Fingerprint()
 }
 
-// splitPoint is the same for all requests of a session, so that a session
+// splitKey is the same for all requests of a session, so that a session
 // keeps its service while the split stays.
-func (c *call) splitPoint() uint64 {
+func (c *call) splitKey() uint64 {
 	if len(c.parts) > 0 {
 		return c.parts[len(c.parts)-1]
 	}
 	return policy.HashName(c.request.ID)
 }
 
-// noBound stands for a request that nobody bounds.
-const noBound = time.Hour
+// unboundedTime stands for a request that nobody bounds.
+const unboundedTime = time.Hour
 
-func (c *call) holdTime() time.Duration {
-	hold := noBound
+func (c *call) timeLimit() time.Duration {
+	limit := unboundedTime
 	if c.request.Patience > 0 {
-		hold = c.request.Patience
+		limit = c.request.Patience
 	}
 	if c.route.Timeout > 0 {
-		hold = min(hold, c.route.Timeout)
+		limit = min(limit, c.route.Timeout)
 	}
-	return hold
+	return limit
 }
 
-func repeatOf(route *routing.Route) delivery.RepeatPolicy {
+func repeatPolicy(route *routing.Route) delivery.RepeatPolicy {
 	switch {
 	case route.Kind == routing.Stream && route.Resumable:
 		return delivery.Resumable
@@ -137,18 +137,18 @@
 func (c *call) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
-	refusal := c.awaitTurn(ctx)
+	refusal := c.awaitAdmission(ctx)
 	defer c.endTurn()
 	if refusal != nil && !c.callerLeft(ctx) {
 		c.refuse(refusal)
 		return
 	}
-	c.assign(clock.Now())
-	defer c.giveBack()
-	c.findHolder(ctx)
-	c.awaitFill(ctx)
+	c.assignVersions(clock.Now())
+	defer c.returnAssignment()
+	c.findCacheHolder(ctx)
+	c.awaitPrefill(ctx)
 	if c.callerLeft(ctx) {
-		c.leave()
+		c.endCallerLeft()
 		return
 	}
 	c.tryTargets(ctx)
@@ -159,17 +159,17 @@
 func (c *call) tryTargets(ctx context.Context) {
 	for {
 		now := clock.Check()
-		if c.held(now) && !c.mayTrial(now) {
-			c.endHeld(now)
+		if c.isHeldBack(now) && !c.mayRunTrial(now) {
+			c.endHeldBack(now)
 			return
 		}
-		c.assignAnew(now)
-		pick, ok := c.choose(now)
+		c.refreshAssignment(now)
+		pick, ok := c.chooseTarget(now)
 		c.endTurn()
 		if c.gateway.Directory != nil {
 			c.gateway.Directory.Filling(pick.Fills)
 		}
-		if !ok && c.awaitRecord(ctx, now) {
+		if !ok && c.awaitRollout(ctx, now) {
 			continue
 		}
 		if !ok {
@@ -177,57 +177,57 @@
 			return
 		}
 		attempt := newAttempt(c, pick)
-		c.tried = append(c.tried, attempt.life)
-		done := attempt.make(ctx)
-		attempt.release(ctx)
-		c.gateway.admitWaiting(c.service)
+		c.triedIncarnations = append(c.triedIncarnations, attempt.incarnation)
+		done := attempt.run(ctx)
+		attempt.finish(ctx)
+		c.gateway.admitWaitingFor(c.service)
 		if done {
 			c.ending = EndingAnswered
 			return
 		}
-		if c.gone || c.callerLeft(ctx) {
-			c.leave()
+		if c.writeFailed || c.callerLeft(ctx) {
+			c.endCallerLeft()
 			return
 		}
 		if attempt.refusal != nil && !c.delivery.MayHaveRun() {
 			c.refuse(attempt.refusal)
 			return
 		}
-		verdict := c.delivery.After(attempt.outcome, func() bool { return attempt.spent || c.follows(ctx, attempt) })
-		if !c.follow(verdict, attempt) {
+		verdict := c.delivery.After(attempt.outcome, func() bool { return attempt.abandoned || c.mayRetryAfter(ctx, attempt) })
+		if !c.applyVerdict(verdict, attempt) {
 			return
 		}
 	}
 }
 
-// findHolder asks the other gateways where the prompt is cached if no target
+// findCacheHolder asks the other gateways where the prompt is cached if no target
 // that could take the request is known to hold it.
-func (c *call) findHolder(ctx context.Context) {
+func (c *call) findCacheHolder(ctx context.Context) {
 	if c.gateway.Directory == nil {
 		return
 	}
 	began := clock.Now()
-	unplaced := c.gateway.Balancer.Unplaced(c.query(), began)
+	unplaced := c.gateway.Balancer.Unplaced(c.attemptQuery(), began)
 	if len(unplaced) == 0 {
 		return
 	}
-	c.found = c.gateway.Directory.Find(ctx, unplaced)
-	c.asked = clock.Since(began)
+	c.holderLookup = c.gateway.Directory.Find(ctx, unplaced)
+	c.holderLookupTime = clock.Since(began)
 }
 
-// awaitFill waits while a long part of the prompt is being read for another
+// awaitPrefill waits while a long part of the prompt is being read for another
 // request, so that it is not read twice side by side.
-func (c *call) awaitFill(ctx context.Context) {
-	if len(c.parts) == 0 || !c.gateway.Balancer.Has(c.query(), clock.Now()) {
+func (c *call) awaitPrefill(ctx context.Context) {
+	if len(c.parts) == 0 || !c.gateway.Balancer.Has(c.attemptQuery(), clock.Now()) {
 		return
 	}
 	began := clock.Now()
-	defer func() { c.waited = clock.Since(began) }()
-	limit := time.NewTimer(time.Duration(fillShare * float64(c.route.TargetLatency)))
+	defer func() { c.prefillWait = clock.Since(began) }()
+	limit := time.NewTimer(time.Duration(maxPrefillWaitShare * float64(c.route.TargetLatency)))
 	defer limit.Stop()
 	for {
-		done, filling := c.gateway.Balancer.Filling(c.query(), clock.Now())
-		if !filling {
+		done, inProgress := c.gateway.Balancer.Filling(c.attemptQuery(), clock.Now())
+		if !inProgress {
 			return
 		}
 		select {
@@ -240,14 +240,14 @@
 	}
 }
 
-func (c *call) query() balance.Query {
-	query := c.prompt()
-	query.Exclude, query.Versions = c.tried, c.versions
+func (c *call) attemptQuery() balance.Query {
+	query := c.promptQuery()
+	query.Exclude, query.Versions = c.triedIncarnations, c.versions
 	return query
 }
 
 // prompt is the part of a query that stays the same for all attempts.
-func (c *call) prompt() balance.Query {
+func (c *call) promptQuery() balance.Query {
 	return balance.Query{Service: c.service, Parts: c.parts, Tokens: c.tokens}
 }
 
@@ -258,63 +258,63 @@
 }
 
 // leave ends a request whose caller is gone.
-func (c *call) leave() {
+func (c *call) endCallerLeft() {
 	c.ending = EndingCallerLeft
 	c.responder.Abort()
 }
 
-// mostRefused is how many connections in a row may be refused before a further
+// maxRefusedConnections is how many connections in a row may be refused before a further
 // attempt costs a retry: so many targets ended within a moment, and nothing has
 // arrived at any of them.
-const mostRefused = 3
+const maxRefusedConnections = 3
 
 // follows says whether another attempt may follow one. Where nothing has arrived
 // since the target is not there any more, or wants nothing new, the attempt was none, and
 // the budget, which bounds what arrives at targets, is not asked.
-func (c *call) follows(ctx context.Context, last *attempt) bool {
+func (c *call) mayRetryAfter(ctx context.Context, last *attempt) bool {
 	if last.withdrawn {
-		return c.mayTry(ctx)
+		return c.canRetry(ctx)
 	}
-	if last.result != balance.Refused || c.refused >= mostRefused {
-		return c.spare(ctx)
+	if last.result != balance.Refused || c.refusedConnections >= maxRefusedConnections {
+		return c.takeRetry(ctx)
 	}
-	c.refused++
-	return c.mayTry(ctx)
+	c.refusedConnections++
+	return c.canRetry(ctx)
 }
 
-// mayTry says whether there is time for another attempt, and a target of the versions
+// mayRunTrial says whether there is time for another attempt, and a target of the versions
 // that it is assigned to. A request under which targets have ended gets one of its own
 // attempts at most: the next one is for its caller to make.
-func (c *call) mayTry(ctx context.Context) bool {
-	if crashes := c.gateway.Crashes; crashes != nil && crashes.Table.Suspicious(c.print) {
+func (c *call) canRetry(ctx context.Context) bool {
+	if crashes := c.gateway.Crashes; crashes != nil && crashes.Table.Suspicious(c.fingerprint) {
 		return false
 	}
-	if ctx.Err() != nil || clock.Until(c.deadline) < leastTry {
+	if ctx.Err() != nil || clock.Until(c.deadline) < minAttemptTime {
 		return false
 	}
 	now := clock.Now()
-	c.assign(now)
-	return c.gateway.Balancer.Has(c.query(), now)
+	c.assignVersions(now)
+	return c.gateway.Balancer.Has(c.attemptQuery(), now)
 }
 
 // spare takes one retry from the budget if there is time and a target for it.
-func (c *call) spare(ctx context.Context) bool {
-	if !c.mayTry(ctx) {
+func (c *call) takeRetry(ctx context.Context) bool {
+	if !c.canRetry(ctx) {
 		return false
 	}
-	if !c.delivery.Begun() && !c.gateway.hasRoom(c.service) {
+	if !c.delivery.Begun() && !c.gateway.hasCapacity(c.service) {
 		return false
 	}
 	return c.gateway.Budgets.Spend(c.service, clock.Now())
 }
 
 // follow carries a verdict out; true means that another attempt follows.
-func (c *call) follow(verdict delivery.Verdict, last *attempt) bool {
+func (c *call) applyVerdict(verdict delivery.Verdict, last *attempt) bool {
 	switch verdict.Step {
 	case delivery.Again, delivery.Resume:
 		return true
 	case delivery.Relay:
-		c.relay()
+		c.relayFailure()
 	case delivery.Abort:
 		c.ending = EndingCut
 		c.responder.Abort()
@@ -325,26 +325,26 @@
 }
 
 // relay passes a target's own failure on.
-func (c *call) relay() {
-	if c.failure == nil {
+func (c *call) relayFailure() {
+	if c.failedAnswer == nil {
 		c.refuse(fault.New(fault.TargetFailed, fault.Unknown, "the target failed"))
 		return
 	}
 	c.ending = EndingRelayed
-	c.status = c.failure.status
-	if err := c.failure.send(c); err != nil {
+	c.status = c.failedAnswer.status
+	if err := c.failedAnswer.send(c); err != nil {
 		c.ending = EndingCallerLeft
 	}
 }
 
 func (c *call) giveUp(verdict delivery.Verdict, last *attempt) {
-	if c.failure != nil {
-		c.relay()
+	if c.failedAnswer != nil {
+		c.relayFailure()
 		return
 	}
 	refusal := fault.New(verdict.Kind, verdict.State, "%s", last.reason())
 	if refusal.State == fault.NotRun && refusal.RetryAfter == 0 {
-		refusal.RetryAfter = c.comeBack()
+		refusal.RetryAfter = c.retryAfter()
 	}
 	c.refuse(refusal)
 }
@@ -355,12 +355,12 @@
 	case c.delivery.Begun():
 		c.ending = EndingCut
 		c.responder.Abort()
-	case c.failure != nil:
-		c.relay()
+	case c.failedAnswer != nil:
+		c.relayFailure()
 	case c.delivery.MayHaveRun():
 		c.refuse(fault.New(fault.TargetFailed, fault.Unknown, "no further target is open"))
 	default:
-		c.refuse(fault.New(fault.NoTarget, fault.NotRun, "no target of the service is open").After(c.comeBackToTarget()))
+		c.refuse(fault.New(fault.NoTarget, fault.NotRun, "no target of the service is open").After(c.retryAfterNoTarget()))
 	}
 }
 
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -20,25 +20,25 @@
 // an end. One that was at several is held back. Source: docs/design/quarantine.md.
 
 const (
-	// knockFirst is how long after a loss its target's address is tried: a process that dies
-	// closes what it has within a moment. knockAgain is how long after that once more. Until
+	// firstProbeDelay is how long after a loss its target's address is tried: a process that dies
+	// closes what it has within a moment. probeInterval is how long after that once more. Until
 	// the end is known the request may come again, and end the next target.
-	knockFirst = 5 * time.Millisecond
-	knockAgain = 100 * time.Millisecond
-	// mostKnocks is how often it is tried after the last loss there. Left to the callers'
+	firstProbeDelay = 5 * time.Millisecond
+	probeInterval   = 100 * time.Millisecond
+	// maxProbes is how often it is tried after the last loss there. Left to the callers'
 	// connections, the first one was refused 1.7 s after an end.
-	mostKnocks = 2
-	// knockTimeout bounds one try.
-	knockTimeout = 300 * time.Millisecond
-	// lookEvery is the time between two looks at whether targets have ended, while that is
+	maxProbes = 2
+	// probeTimeout bounds one try.
+	probeTimeout = 300 * time.Millisecond
+	// checkInterval is the time between two looks at whether targets have ended, while that is
 	// open for some.
-	lookEvery = 50 * time.Millisecond
-	// lossLife is for how long after a loss the end of its target counts: entries lapse
+	checkInterval = 50 * time.Millisecond
+	// lossTTL is for how long after a loss the end of its target counts: entries lapse
 	// three heartbeats after the last, which is 3.6 s, and are known a moment later.
-	lossLife = 6 * time.Second
-	// mostLosses bounds the losses at one life of a target; that many requests are rarely
+	lossTTL = 6 * time.Second
+	// maxLosses bounds the losses at one life of a target; that many requests are rarely
 	// under way at one from one gateway.
-	mostLosses = 256
+	maxLosses = 256
 )
 
 // Knocker finds out whether something listens at a target's address.
@@ -53,9 +53,9 @@
 	Spread(change quarantine.Change)
 	// TrialPlace is the place of this process among those that may try a request, 0 for
 	// the first.
-	TrialPlace(print quarantine.Fingerprint) int
+	TrialPlace(fingerprint quarantine.Fingerprint) int
 	// Refused takes the life of a target at whose address nothing listens.
-	Refused(life string)
+	Refused(incarnation string)
 }
 
 // CrashWatcher is notified of ends of targets under requests.
@@ -81,37 +81,37 @@
 
 	mu sync.Mutex
 	// lives are those of targets at which requests were lost a moment ago, by name.
-	lives map[string]*losses
+	losses map[string]*incarnationLosses
 	// open is how many of them there are, for who only wants to know whether any is.
-	open   atomic.Int32
-	wake   chan struct{}
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	incarnations atomic.Int32
+	wake         chan struct{}
+	cancel       context.CancelFunc
+	wait         sync.WaitGroup
 }
 
 // losses are the requests that were lost at one life of a target.
-type losses struct {
-	target balance.Target
-	all    []loss
-	// knocks counts the tries of its address since the last loss, and knockAt is when the
+type incarnationLosses struct {
+	target   balance.Target
+	requests []lostRequest
+	// knocks counts the tries of its address since the last loss, and nextProbe is when the
 	// next one is due; knocking says that one is under way.
-	knocks   int
-	knockAt  time.Time
-	knocking bool
+	probes    int
+	nextProbe time.Time
+	probing   bool
 }
 
 // loss is a request that was lost.
-type loss struct {
-	print     quarantine.Fingerprint
-	began, at time.Time
+type lostRequest struct {
+	fingerprint quarantine.Fingerprint
+	began, at   time.Time
 	// broke says that its connection ended.
-	broke bool
+	disconnected bool
 }
 
 // under says whether the request was under way when its target ended. Where the
 // target's entry went first and its connections later, it served on, as one does that leaves.
-func (l loss) under(end balance.End) bool {
-	if end.Unlisted && l.broke && !l.at.Before(end.At) {
+func (l lostRequest) inFlightAt(end balance.End) bool {
+	if end.Unlisted && l.disconnected && !l.at.Before(end.At) {
 		return false
 	}
 	return l.began.Before(end.At)
@@ -119,7 +119,7 @@
 
 // NewCrashes returns a watch that Start begins.
 func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, knocker PortProber, watcher CrashWatcher) *Crashes {
-	return &Crashes{Table: table, Balancer: balancer, Prober: knocker, Watcher: watcher, lives: make(map[string]*losses), wake: make(chan struct{}, 1)}
+	return &Crashes{Table: table, Balancer: balancer, Prober: knocker, Watcher: watcher, losses: make(map[string]*incarnationLosses), wake: make(chan struct{}, 1)}
 }
 
 // Start begins to look at what is lost.
@@ -147,8 +147,8 @@
 		case <-ctx.Done():
 			return
 		}
-		for c.look(ctx, clock.Now()) {
-			timer := time.NewTimer(c.nextLook(clock.Now()))
+		for c.check(ctx, clock.Now()) {
+			timer := time.NewTimer(c.untilNextCheck(clock.Now()))
 			select {
 			case <-timer.C:
 			case <-c.wake:
@@ -162,21 +162,21 @@
 	}
 }
 
-// nextLook is the time until the next look is due.
-func (c *Crashes) nextLook(now time.Time) time.Duration {
+// untilNextCheck is the time until the next look is due.
+func (c *Crashes) untilNextCheck(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := lookEvery
-	for _, known := range c.lives {
-		if known.knocks < mostKnocks && !known.knocking {
-			next = min(next, known.knockAt.Sub(now))
+	next := checkInterval
+	for _, known := range c.losses {
+		if known.probes < maxProbes && !known.probing {
+			next = min(next, known.nextProbe.Sub(now))
 		}
 	}
 	return max(next, 0)
 }
 
-// lookSoon has a look begin now.
-func (c *Crashes) lookSoon() {
+// checkSoon has a look begin now.
+func (c *Crashes) checkSoon() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -185,58 +185,58 @@
 
 // lost notes an attempt that was lost at its target. If its connection ended, whether
 // anything listens there is worth a try.
-func (c *Crashes) lost(a *attempt, now time.Time) {
-	life, broke := a.life, a.loss == brokeOff
-	if !c.Balancer.Serving(life) {
+func (c *Crashes) recordLoss(a *attempt, now time.Time) {
+	incarnation, disconnected := a.incarnation, a.loss == lossDisconnected
+	if !c.Balancer.Serving(incarnation) {
 		return // its end, if it comes, is a planned one
 	}
 	c.mu.Lock()
-	known, ok := c.lives[life]
+	known, ok := c.losses[incarnation]
 	if !ok {
-		known = &losses{target: a.pick.Target, knocks: mostKnocks}
-		c.lives[life] = known
-		c.open.Add(1)
+		known = &incarnationLosses{target: a.pick.Target, probes: maxProbes}
+		c.losses[incarnation] = known
+		c.incarnations.Add(1)
 	}
-	if len(known.all) < mostLosses {
-		known.all = append(known.all, loss{print: a.call.print, began: a.started, at: now, broke: broke})
+	if len(known.requests) < maxLosses {
+		known.requests = append(known.requests, lostRequest{fingerprint: a.call.fingerprint, began: a.started, at: now, disconnected: disconnected})
 	}
-	if broke && known.knocks > 0 {
-		known.knocks, known.knockAt = 0, now.Add(knockFirst)
+	if disconnected && known.probes > 0 {
+		known.probes, known.nextProbe = 0, now.Add(firstProbeDelay)
 	}
 	c.mu.Unlock()
-	c.lookSoon()
+	c.checkSoon()
 }
 
 // heard notes an answer of a target to a request that was sent at a moment: who was lost
 // before that was not lost with the target.
-func (c *Crashes) heard(life string, sent time.Time) {
-	if c.open.Load() == 0 {
+func (c *Crashes) recordHead(incarnation string, sent time.Time) {
+	if c.incarnations.Load() == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, ok := c.lives[life]
+	known, ok := c.losses[incarnation]
 	if !ok {
 		return
 	}
-	kept := known.all[:0]
-	for _, lost := range known.all {
+	kept := known.requests[:0]
+	for _, lost := range known.requests {
 		if !lost.at.Before(sent) {
 			kept = append(kept, lost)
 		}
 	}
-	known.all = kept
+	known.requests = kept
 }
 
 // answered notes that a target has answered a request whole.
-func (c *Crashes) answered(print quarantine.Fingerprint, now time.Time) {
-	c.changed(c.Table.Answered(print, now))
+func (c *Crashes) recordAnswered(fingerprint quarantine.Fingerprint, now time.Time) {
+	c.publish(c.Table.Answered(fingerprint, now))
 }
 
 // Lift has a request sent again that was held back; false if it was not.
-func (c *Crashes) Lift(print quarantine.Fingerprint, now time.Time) bool {
-	change := c.Table.Lift(print, now)
-	c.changed(change)
+func (c *Crashes) Lift(fingerprint quarantine.Fingerprint, now time.Time) bool {
+	change := c.Table.Lift(fingerprint, now)
+	c.publish(change)
 	return change.News
 }
 
@@ -245,7 +245,7 @@
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
 	if change.Objects() {
-		c.changed(change)
+		c.publish(change)
 		return
 	}
 	if change.Begins() || change.Ends() {
@@ -254,7 +254,7 @@
 }
 
 // changed passes on what is new.
-func (c *Crashes) changed(change quarantine.Change) {
+func (c *Crashes) publish(change quarantine.Change) {
 	if !change.News {
 		return
 	}
@@ -267,78 +267,78 @@
 }
 
 // look takes what has come out since the last look; it returns false once nothing is open.
-func (c *Crashes) look(ctx context.Context, now time.Time) bool {
+func (c *Crashes) check(ctx context.Context, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for life, known := range c.lives {
-		if end := c.Balancer.EndOf(life); end.Known() {
-			c.settle(life, known, end, now)
-			known.all = nil
+	for incarnation, known := range c.losses {
+		if end := c.Balancer.EndOf(incarnation); end.Known() {
+			c.recordCrashes(incarnation, known, end, now)
+			known.requests = nil
 		}
-		known.forget(now)
-		if len(known.all) == 0 && !known.knocking {
-			delete(c.lives, life)
-			c.open.Add(-1)
+		known.dropExpired(now)
+		if len(known.requests) == 0 && !known.probing {
+			delete(c.losses, incarnation)
+			c.incarnations.Add(-1)
 			continue
 		}
-		if known.knocks < mostKnocks && !known.knocking && !now.Before(known.knockAt) {
-			c.knock(ctx, life, known)
+		if known.probes < maxProbes && !known.probing && !now.Before(known.nextProbe) {
+			c.probe(ctx, incarnation, known)
 		}
 	}
-	return len(c.lives) > 0
+	return len(c.losses) > 0
 }
 
 // forget drops losses whose target has not ended in time.
-func (l *losses) forget(now time.Time) {
-	kept := l.all[:0]
-	for _, lost := range l.all {
-		if now.Sub(lost.at) < lossLife {
+func (l *incarnationLosses) dropExpired(now time.Time) {
+	kept := l.requests[:0]
+	for _, lost := range l.requests {
+		if now.Sub(lost.at) < lossTTL {
 			kept = append(kept, lost)
 		}
 	}
-	l.all = kept
+	l.requests = kept
 }
 
 // settle holds the end of a target against all requests that were under way there; c.mu is
 // held.
-func (c *Crashes) settle(life string, known *losses, end balance.End, now time.Time) {
-	name := lifeName(life)
-	for _, lost := range known.all {
-		if !lost.under(end) {
+func (c *Crashes) recordCrashes(incarnation string, known *incarnationLosses, end balance.End, now time.Time) {
+	name := quarantineLife(incarnation)
+	for _, lost := range known.requests {
+		if !lost.inFlightAt(end) {
 			continue
 		}
-		change := c.Table.Crashed(lost.print, name, now)
+		change := c.Table.Crashed(lost.fingerprint, name, now)
 		if change.News {
 			c.Watcher.CrashNoted(known.target.ID, change)
 		}
-		c.changed(change)
+		c.publish(change)
 	}
 }
 
-// lifeName names a life of a target in records.
-func lifeName(life string) quarantine.Life {
-	return quarantine.Life(policy.HashName(life) >> 32)
+// quarantineLife names a life of a target in records.
+func quarantineLife(incarnation string) quarantine.Life {
+	return quarantine.Life(policy.HashName(incarnation) >> 32)
 }
 
 // knock tries a target's address; c.mu is held.
-func (c *Crashes) knock(ctx context.Context, life string, known *losses) {
-	known.knocking = true
+func (c *Crashes) probe(ctx context.Context, incarnation string, known *incarnationLosses) {
+	known.probing = true
 	c.wait.Go(func() {
-		ctx, cancel := context.WithTimeout(ctx, knockTimeout)
+		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
 		refused := c.Prober.ProbePort(ctx, known.target)
-		defer c.lookSoon()
+		defer c.checkSoon()
 		now := clock.Now()
-		if refused && c.Balancer.NoteSilentPort(life, now) && c.Peers != nil {
-			c.Peers.Refused(life)
+		if refused && c.Balancer.NoteSilentPort(incarnation, now) && c.Peers != nil {
+			c.Peers.Refused(incarnation)
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		known.knocking = false
-		known.knocks++
-		known.knockAt = now.Add(knockAgain)
+		known.probing = false
+		known.probes++
+		known.nextProbe = now.Add(probeInterval)
 		if refused {
-			known.knocks = mostKnocks
+			known.probes = maxProbes
 		}
 	})
 }
@@ -347,24 +347,24 @@
 type lossKind int
 
 const (
-	// notLost: it was answered, was not sent, or ended for a reason of this process or the
+	// lossNone: it was answered, was not sent, or ended for a reason of this process or the
 	// caller.
-	notLost lossKind = iota
-	// wentSilent: nothing came any more.
-	wentSilent
-	// brokeOff: its connection ended.
-	brokeOff
+	lossNone lossKind = iota
+	// lossSilent: nothing came any more.
+	lossSilent
+	// lossDisconnected: its connection ended.
+	lossDisconnected
 )
 
 // judge says what the attempt shows of its target's life.
-func (a *attempt) judge(ctx context.Context, now time.Time) {
+func (a *attempt) reportToCrashes(ctx context.Context, now time.Time) {
 	crashes := a.call.gateway.Crashes
 	switch {
 	case crashes == nil:
 	case a.result == balance.Good || a.failedItself:
-		crashes.answered(a.call.print, now)
-	case a.loss == notLost || a.call.callerLeft(ctx):
+		crashes.recordAnswered(a.call.fingerprint, now)
+	case a.loss == lossNone || a.call.callerLeft(ctx):
 	default:
-		crashes.lost(a, now)
+		crashes.recordLoss(a, now)
 	}
 }
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// eventBuffer is the read buffer for a stream, in bytes.
-	eventBuffer = 4096
-	// mostEvent bounds one event, in bytes.
-	mostEvent = 4 << 20
+	// readBufferSize is the read buffer for a stream, in bytes.
+	readBufferSize = 4096
+	// maxEvent bounds one event, in bytes.
+	maxEvent = 4 << 20
 )
 
 // events cuts a stream into whole events, byte for byte. An event ends with an
 // empty line; its id is the value of its last id field.
-type events struct {
+type eventReader struct {
 	reader *bufio.Reader
-	event  []byte
+	buf    []byte
 }
 
-func newEvents(body io.Reader) *events {
-	return &events{reader: bufio.NewReaderSize(body, eventBuffer)}
+func newEventReader(body io.Reader) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(body, readBufferSize)}
 }
 
 var idField = []byte("id:")
@@ -31,35 +31,35 @@
 // next returns one whole event, valid until the next call, and its id. At a
 // clean end it returns io.EOF; an end inside an event is
 // io.ErrUnexpectedEOF.
-func (e *events) next() (event []byte, id string, err error) {
-	e.event = e.event[:0]
+func (e *eventReader) next() (event []byte, id string, err error) {
+	e.buf = e.buf[:0]
 	for {
 		line, err := e.reader.ReadSlice('\n')
-		e.event = append(e.event, line...)
+		e.buf = append(e.buf, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-		case errors.Is(err, io.EOF) && len(e.event) > 0:
+		case errors.Is(err, io.EOF) && len(e.buf) > 0:
 			return nil, "", io.ErrUnexpectedEOF
 		case err != nil:
 			return nil, "", err
 		}
-		if len(e.event) > mostEvent {
+		if len(e.buf) > maxEvent {
 			return nil, "", bufio.ErrTooLong
 		}
-		if err == nil && endsEvent(e.event) {
-			return e.event, eventID(e.event), nil
+		if err == nil && endsEvent(e.buf) {
+			return e.buf, eventID(e.buf), nil
 		}
 	}
 }
 
 // ready is how many whole events can be read without waiting, as far as they have been
 // received together.
-func (e *events) ready() int {
-	held, err := e.reader.Peek(e.reader.Buffered())
+func (e *eventReader) bufferedEvents() int {
+	buffered, err := e.reader.Peek(e.reader.Buffered())
 	if err != nil {
 		return 0
 	}
-	return bytes.Count(held, []byte("\n\n")) + bytes.Count(held, []byte("\n\r\n"))
+	return bytes.Count(buffered, []byte("\n\n")) + bytes.Count(buffered, []byte("\n\r\n"))
 }
 
 // endsEvent says whether the last line is empty.
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -23,12 +23,12 @@
 		"nothing":             {"", nil, io.EOF},
 		"end inside an event": {"id: 1\n\nid: 2\nda", []string{"1"}, io.ErrUnexpectedEOF},
 		"no empty line":       {"id: 1\n\nid: 2\n", []string{"1"}, io.ErrUnexpectedEOF},
-		"a long line":         {"id: 1\ndata: " + strings.Repeat("x", 3*eventBuffer) + "\n\n", []string{"1"}, io.EOF},
+		"a long line":         {"id: 1\ndata: " + strings.Repeat("x", 3*readBufferSize) + "\n\n", []string{"1"}, io.EOF},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			source := newEvents(iotest.OneByteReader(strings.NewReader(tc.text)))
+			source := newEventReader(iotest.OneByteReader(strings.NewReader(tc.text)))
 			var ids []string
 			var whole bytes.Buffer
 			for {
@@ -52,7 +52,7 @@
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\nrest"))
 	f.Add([]byte("\n\r\n\r\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		source := newEvents(bytes.NewReader(data))
+		source := newEventReader(bytes.NewReader(data))
 		var whole []byte
 		for {
 			event, _, err := source.next()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,7 +70,7 @@
 	// Spools hold what callers have not read yet; nil has each of them keep its target
 	// waiting.
 	Spools   *spool.Spools
-	underWay underWay
+	inFlight inFlightAttempts
 	// stalls are losses of packets that streams have shown.
 	stalls stalls
 	// contacts and firstEventTimes are for streams whose target may be dark.
@@ -110,14 +110,14 @@
 
 // Times to come back after, in refusals.
 const (
-	// retryElsewhere: another router can probably serve the request now.
-	retryElsewhere = 20 * time.Millisecond
-	// retryStore: no live gateway can vouch for keys, or none has a
+	// retryAfterOtherRouter: another router can probably serve the request now.
+	retryAfterOtherRouter = 20 * time.Millisecond
+	// retryAfterStoreOutage: no live gateway can vouch for keys, or none has a
 	// configuration. Outages of the store last seconds; callers who have less
 	// time come back sooner by themselves.
-	retryStore = time.Second
-	// retrySoon: the service has no room, or no target, for a moment.
-	retrySoon = 150 * time.Millisecond
+	retryAfterStoreOutage = time.Second
+	// retryAfterShortage: the service has no room, or no target, for a moment.
+	retryAfterShortage = 150 * time.Millisecond
 )
 
 // Serve has a request answered. It returns when the caller has its final
@@ -136,7 +136,7 @@
 func (c *call) admit() *fault.Error {
 	table := c.gateway.table.Load()
 	if table == nil {
-		return fault.New(fault.NotReady, fault.NotRun, "no configuration is known yet").After(c.gateway.retryUnready())
+		return fault.New(fault.NotReady, fault.NotRun, "no configuration is known yet").After(c.gateway.retryAfterUnready())
 	}
 	c.table = table
 	route, ok := table.Match(c.request.Host, c.request.Path)
@@ -144,8 +144,8 @@
 		return c.deny(fault.New(fault.UnknownRoute, fault.NotRun, "no route for this host and path"))
 	}
 	c.route = route
-	if most := table.Limits().BodyBytes; most > 0 && int64(len(c.request.Body)) > most {
-		return fault.New(fault.TooLarge, fault.NotRun, "the body is over %d bytes", most)
+	if maxBytes := table.Limits().BodyBytes; maxBytes > 0 && int64(len(c.request.Body)) > maxBytes {
+		return fault.New(fault.TooLarge, fault.NotRun, "the body is over %d bytes", maxBytes)
 	}
 	if !route.Public {
 		workspace, ok := table.Workspace(c.request.Key)
@@ -153,13 +153,13 @@
 			return c.deny(fault.New(fault.BadKey, fault.NotRun, "unknown API key"))
 		}
 		c.workspace = workspace
-		if stale := c.checkFresh(clock.Check()); stale != nil {
+		if stale := c.checkKeyFreshness(clock.Check()); stale != nil {
 			return stale
 		}
 	}
 	c.prepare()
-	if now := clock.Now(); c.held(now) && !c.mayTrial(now) {
-		return c.errHeld(fault.NotRun, now)
+	if now := clock.Now(); c.isHeldBack(now) && !c.mayRunTrial(now) {
+		return c.heldBackError(fault.NotRun, now)
 	}
 	return nil
 }
@@ -170,35 +170,35 @@
 	if c.gateway.Proof.Within(c.gateway.Options.DenyFreshness, clock.Check()) {
 		return denial
 	}
-	return fault.New(fault.StoreAway, fault.NotRun, "the configuration may be out of date: %s", denial.Message).After(c.gateway.retryAway())
+	return fault.New(fault.StoreAway, fault.NotRun, "the configuration may be out of date: %s", denial.Message).After(c.gateway.retryAfterStale())
 }
 
-// checkFresh refuses a request with a key when the key may have been taken
+// checkKeyFreshness refuses a request with a key when the key may have been taken
 // away since the configuration was last proven to be the newest.
-func (c *call) checkFresh(now time.Time) *fault.Error {
-	most := c.gateway.Options.KeyFreshness
-	if c.workspace == nil || most == 0 || c.gateway.Proof.Within(most, now) {
+func (c *call) checkKeyFreshness(now time.Time) *fault.Error {
+	maxAge := c.gateway.Options.KeyFreshness
+	if c.workspace == nil || maxAge == 0 || c.gateway.Proof.Within(maxAge, now) {
 		return nil
 	}
-	return fault.New(fault.StoreAway, fault.NotRun, "cut off from the configuration for too long to vouch for the key").After(c.gateway.retryAway())
+	return fault.New(fault.StoreAway, fault.NotRun, "cut off from the configuration for too long to vouch for the key").After(c.gateway.retryAfterStale())
 }
 
-// retryUnready is when to come back to a gateway that knows no configuration
+// retryAfterUnready is when to come back to a gateway that knows no configuration
 // yet: at once if another one can serve. Where all begin anew, who came back at
 // once would be refused again.
-func (g *Gateway) retryUnready() time.Duration {
+func (g *Gateway) retryAfterUnready() time.Duration {
 	if g.Options.PeersConfigured == nil || g.Options.PeersConfigured() {
-		return retryElsewhere
+		return retryAfterOtherRouter
 	}
-	return retryStore
+	return retryAfterStoreOutage
 }
 
-// retryAway is when to come back to a gateway whose proof is too old. Another
+// retryAfterStale is when to come back to a gateway whose proof is too old. Another
 // one can serve only if this one is cut off from the others: their proofs
 // would have come with their beats.
-func (g *Gateway) retryAway() time.Duration {
+func (g *Gateway) retryAfterStale() time.Duration {
 	if g.Options.PeersReachable != nil && g.Options.PeersReachable() {
-		return retryStore
+		return retryAfterStoreOutage
 	}
-	return retryElsewhere
+	return retryAfterOtherRouter
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -27,12 +27,12 @@
 
 // heed takes what the target says of itself. It holds from now on for whatever this gateway
 // has to send, be the answer whole or not, waited for or not.
-func (a *attempt) heed(notice balance.Notice) {
+func (a *attempt) handleNotice(notice balance.Notice) {
 	a.notice = notice
 	if notice == (balance.Notice{}) {
 		return
 	}
-	news := a.call.gateway.Balancer.Heed(a.life, notice, clock.Check())
+	news := a.call.gateway.Balancer.Heed(a.incarnation, notice, clock.Check())
 	if news == (balance.News{}) {
 		return
 	}
@@ -40,40 +40,40 @@
 		Target:      a.pick.Target.ID,
 		Address:     a.pick.Target.Address,
 		Service:     a.call.service,
-		Incarnation: a.life,
+		Incarnation: a.incarnation,
 		Request:     a.call.request.ID,
 		Notice:      notice,
 		News:        news,
 	})
 }
 
-// endTry says how the first request after a rest has ended: others may follow the head of its
+// endProbe says how the first request after a rest has ended: others may follow the head of its
 // answer, however long that goes on.
-func (a *attempt) endTry(answered bool) {
-	if !a.pick.Try || a.tried {
+func (a *attempt) endProbe(answered bool) {
+	if !a.pick.Try || a.probeEnded {
 		return
 	}
-	a.tried = true
-	a.call.gateway.Balancer.EndTry(a.life, answered, clock.Now())
+	a.probeEnded = true
+	a.call.gateway.Balancer.EndTry(a.incarnation, answered, clock.Now())
 }
 
-// comeBack is when the caller of a request that did not run is to come back: when a target that
+// retryAfter is when the caller of a request that did not run is to come back: when a target that
 // rests is back, if nobody else is open, else when the service has room.
-func (c *call) comeBack() time.Duration {
+func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
-	if back, ok := c.gateway.Balancer.BackIn(c.query(), now); ok {
+	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), now); ok {
 		return back
 	}
 	if c.gateway.Limiters == nil {
-		return retrySoon
+		return retryAfterShortage
 	}
 	return c.gateway.Limiters.Of(c.service).ComeBack(c.deadline.Sub(now), now)
 }
 
-// comeBackToTarget is the same where no target was open at all.
-func (c *call) comeBackToTarget() time.Duration {
-	if back, ok := c.gateway.Balancer.BackIn(c.query(), clock.Now()); ok {
+// retryAfterNoTarget is the same where no target was open at all.
+func (c *call) retryAfterNoTarget() time.Duration {
+	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), clock.Now()); ok {
 		return back
 	}
-	return retrySoon
+	return retryAfterShortage
 }
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -9,9 +9,9 @@
 	"github.com/capersaddle/capersaddle/internal/spool"
 )
 
-// spooledFrom is the size from which a whole answer is handed to the caller's spool, in bytes:
+// minSpooled is the size from which a whole answer is handed to the caller's spool, in bytes:
 // a smaller one fits into the buffers of a connection, however slowly its caller reads.
-const spooledFrom = 16 << 10
+const minSpooled = 16 << 10
 
 // write passes a part of an answer on. It doesn't wait for the caller to read, unless much is
 // held for it already.
@@ -20,14 +20,14 @@
 		return c.responder.Write(data)
 	}
 	if c.output == nil {
-		c.output = c.gateway.Spools.Open(c.responder, c.gateway.window(clock.Now()))
+		c.output = c.gateway.Spools.Open(c.responder, c.gateway.writeWindow(clock.Now()))
 	}
 	return c.output.Write(data)
 }
 
-// writeWhole passes the body of a whole answer on.
-func (c *call) writeWhole(body []byte) error {
-	if len(body) < spooledFrom {
+// writeBuffered passes the body of a whole answer on.
+func (c *call) writeBuffered(body []byte) error {
+	if len(body) < minSpooled {
 		return c.responder.Write(body)
 	}
 	return c.write(body)
@@ -39,7 +39,7 @@
 	if c.output == nil {
 		return
 	}
-	if c.gone || c.callerLeft(ctx) {
+	if c.writeFailed || c.callerLeft(ctx) {
 		c.output.Drop()
 	}
 	err := c.output.Close()
@@ -47,16 +47,16 @@
 		return
 	}
 	c.responder.Abort()
-	if reason := endingOf(err); reason != "" {
-		c.ending = reason
+	if ending := spoolEnding(err); ending != "" {
+		c.ending = ending
 	} else if c.ending == EndingAnswered {
 		c.ending = EndingCallerLeft
 	}
 }
 
-// endingOf is the ending of a request whose caller's spool was ended; empty if the caller
+// spoolEnding is the ending of a request whose caller's spool was ended; empty if the caller
 // ended it.
-func endingOf(err error) string {
+func spoolEnding(err error) string {
 	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrWriteTimeout) {
 		return EndingCallerSlow
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -15,75 +15,75 @@
 // passStream passes whole events on as they come. A resumed stream goes on
 // under the head that the caller already has.
 func (a *attempt) passStream(ctx context.Context, answer *Answer) bool {
-	source := newEvents(answer.Body)
-	halted := false
-	a.head = 0
-	defer func() { a.call.gateway.Balancer.NoteStream(a.life, halted, clock.Now()) }()
+	source := newEventReader(answer.Body)
+	paused := false
+	a.timeToHead = 0
+	defer func() { a.call.gateway.Balancer.NoteStream(a.incarnation, paused, clock.Now()) }()
 	for {
-		a.watch(ctx, a.silenceBetween())
+		a.startSilenceTimer(ctx, a.maxSilenceBetweenEvents())
 		asked := clock.Now()
 		event, id, err := source.next()
 		if errors.Is(err, io.EOF) {
 			return a.endStream(answer)
 		}
 		if err != nil {
-			a.cut(err)
+			a.failStream(err)
 			return false
 		}
-		a.noteEvent(asked)
-		a.noteStall(clock.Since(asked), source)
+		a.recordEvent(asked)
+		a.recordStall(clock.Since(asked), source)
 		// A pause before the end of a stream that broke off is its target's.
-		halted = halted || a.events > 0 && a.isHalt(clock.Since(asked))
-		if err := a.passListening(answer, event); err != nil {
-			a.callerGone(err)
+		paused = paused || a.events > 0 && a.isLongPause(clock.Since(asked))
+		if err := a.passEventUnwatched(answer, event); err != nil {
+			a.failWriting(err)
 			return false
 		}
 		a.events++
 		if id != "" {
-			a.call.after = id
+			a.call.lastEventID = id
 		}
 	}
 }
 
-// noteEvent notes the arrival of an event that was waited for from a moment on. The time
+// recordEvent notes the arrival of an event that was waited for from a moment on. The time
 // that it takes to pass events on is the caller's, not the target's.
-func (a *attempt) noteEvent(asked time.Time) {
-	a.noteContact(clock.Now())
-	a.dark.begun.Store(true)
+func (a *attempt) recordEvent(asked time.Time) {
+	a.recordContact(clock.Now())
+	a.liveness.eventSeen.Store(true)
 	if a.events == 0 {
-		a.head = clock.Since(a.started)
-		a.call.gateway.firstEventTimes.note(a.call.route.Name, a.head)
+		a.timeToHead = clock.Since(a.started)
+		a.call.gateway.firstEventTimes.record(a.call.route.Name, a.timeToHead)
 		return
 	}
-	a.span += clock.Since(asked)
+	a.eventSpan += clock.Since(asked)
 }
 
-// noteStall notes whether an event came late together with others. A delay of this process
+// recordStall notes whether an event came late together with others. A delay of this process
 // itself looks alike, and is none.
-func (a *attempt) noteStall(waited time.Duration, source *events) {
-	if a.events == 0 || a.isLate() {
+func (a *attempt) recordStall(waited time.Duration, source *eventReader) {
+	if a.events == 0 || a.isProcessLate() {
 		return
 	}
-	a.call.gateway.stalls.note(waited, source.ready(), clock.Now())
+	a.call.gateway.stalls.record(waited, source.bufferedEvents(), clock.Now())
 }
 
-// haltShare of the longest pause that callers want is how long a pause counts
+// longPauseShare of the longest pause that callers want is how long a pause counts
 // as a halt.
-const haltShare = 0.5
+const longPauseShare = 0.5
 
-// isHalt says whether a pause between two events is one that a target which
+// isLongPause says whether a pause between two events is one that a target which
 // works does not make by itself.
-func (a *attempt) isHalt(pause time.Duration) bool {
-	wanted := a.call.route.TargetGap
-	return wanted > 0 && pause > time.Duration(haltShare*float64(wanted))
+func (a *attempt) isLongPause(pause time.Duration) bool {
+	maxGap := a.call.route.TargetGap
+	return maxGap > 0 && pause > time.Duration(longPauseShare*float64(maxGap))
 }
 
-// passListening passes an event on. As long as that takes, the target is not heard.
-func (a *attempt) passListening(answer *Answer, event []byte) error {
-	a.dark.passing.Store(true)
-	defer a.dark.passing.Store(false)
+// passEventUnwatched passes an event on. As long as that takes, the target is not heard.
+func (a *attempt) passEventUnwatched(answer *Answer, event []byte) error {
+	a.liveness.passing.Store(true)
+	defer a.liveness.passing.Store(false)
 	err := a.passEvent(answer, event)
-	a.noteContact(clock.Now())
+	a.recordContact(clock.Now())
 	return err
 }
 
@@ -99,7 +99,7 @@
 	if a.call.delivery.Begun() {
 		return nil
 	}
-	a.answered(answer)
+	a.recordAnswer(answer)
 	a.call.delivery.Begin()
 	return a.call.responder.Begin(answer.Status, answer.Header, -1)
 }
@@ -107,7 +107,7 @@
 // endStream ends a stream whose target ended it whole.
 func (a *attempt) endStream(answer *Answer) bool {
 	if err := a.beginStream(answer); err != nil {
-		a.callerGone(err)
+		a.failWriting(err)
 		return false
 	}
 	a.result = balance.Good
@@ -115,20 +115,20 @@
 }
 
 // cut notes a stream that broke off.
-func (a *attempt) cut(err error) {
+func (a *attempt) failStream(err error) {
 	a.err = errors.Wrapf(err, "after %d events", a.events)
-	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, brokeOff
+	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
 	if a.call.delivery.Begun() {
 		a.outcome = delivery.Cut
 	}
-	if a.isSpent() || errors.Is(err, context.DeadlineExceeded) {
-		a.result, a.loss = balance.Bad, wentSilent
+	if a.isAbandoned() || errors.Is(err, context.DeadlineExceeded) {
+		a.result, a.loss = balance.Bad, lossSilent
 	}
-	if a.endedDark() {
-		a.loss = wentSilent
-		a.result, a.err = balance.Bad, errors.Wrapf(errDark, "after %d events", a.events)
+	if a.endedUnresponsive() {
+		a.loss = lossSilent
+		a.result, a.err = balance.Bad, errors.Wrapf(errUnresponsive, "after %d events", a.events)
 	}
-	if a.isSpent() && !a.call.delivery.Begun() {
+	if a.isAbandoned() && !a.call.delivery.Begun() {
 		a.outcome = delivery.Silent
 	}
 }
--- /dev/null
+++ b/internal/gateway/unresponsive.go
@@ -0,0 +1,232 @@
+package gateway
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/capersaddle/capersaddle/internal/clock"
+	"github.com/capersaddle/capersaddle/internal/routing"
+)
+
+// A stream that can't go on elsewhere, at a target that is gone without a trace, would
+// keep its caller until its deadline. It is ended once several gateways know that the
+// target is dark and nothing has come from it here for longer than is usual: neither
+// alone is enough. Source: docs/design/dark-targets.md.
+
+const (
+	// unresponsiveInterval is the time between two looks at a stream's target: what gateways suspect
+	// is known for 1.5 s, and callers wait for seconds.
+	unresponsiveInterval = 200 * time.Millisecond
+	// minUnresponsiveSilence is the least silence that counts, for routes that name no times: engines
+	// pause for less while they read another prompt.
+	minUnresponsiveSilence = 500 * time.Millisecond
+	// meanWeight is the share of a new sample in the moving mean of a route's times to
+	// the first event, and in that of how far they are from it; maxDeviations of these
+	// above the mean is unusual.
+	meanWeight    = 0.05
+	maxDeviations = 4
+)
+
+var errUnresponsive = errors.New("the target is dark: several gateways lost requests there, and nothing comes from it")
+
+// contact is when something last came from a target, in any attempt since the first of
+// those that are under way there.
+type contact struct {
+	began time.Time
+	// heard is the time from began to then, in nanoseconds.
+	sinceBegan atomic.Int64
+	attempts   int
+}
+
+func (c *contact) record(now time.Time) { c.sinceBegan.Store(int64(now.Sub(c.began))) }
+
+// last is when something came, at the earliest at the given time.
+func (c *contact) last(from time.Time) time.Time {
+	if at := c.began.Add(time.Duration(c.sinceBegan.Load())); at.After(from) {
+		return at
+	}
+	return from
+}
+
+// contacts are those of the targets with streams under way, by id.
+type contacts struct {
+	mu      sync.Mutex
+	targets map[string]*contact
+}
+
+func (c *contacts) join(target string) *contact {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.targets == nil {
+		c.targets = make(map[string]*contact)
+	}
+	known, ok := c.targets[target]
+	if !ok {
+		known = &contact{began: clock.Now()}
+		c.targets[target] = known
+	}
+	known.attempts++
+	return known
+}
+
+// note notes an answer of a target.
+func (c *contacts) record(target string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if known, ok := c.targets[target]; ok {
+		known.record(now)
+	}
+}
+
+func (c *contacts) leave(target string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	known := c.targets[target]
+	if known.attempts--; known.attempts == 0 {
+		delete(c.targets, target)
+	}
+}
+
+// firstEventTimes are how long routes' streams take to their first events, by name. Routes
+// that the configuration drops stay: a few numbers each.
+type firstEventTimes struct {
+	mu     sync.Mutex
+	routes map[string]firstEventTime
+}
+
+// firstEventTime is the moving mean, and the mean distance from it, in seconds.
+type firstEventTime struct {
+	mean, spread float64
+}
+
+func (u *firstEventTimes) record(route string, took time.Duration) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.routes == nil {
+		u.routes = make(map[string]firstEventTime)
+	}
+	known, ok := u.routes[route]
+	if !ok {
+		u.routes[route] = firstEventTime{mean: took.Seconds(), spread: took.Seconds() / 2}
+		return
+	}
+	deviation := took.Seconds() - known.mean
+	known.mean += meanWeight * deviation
+	known.spread += meanWeight * (max(deviation, -deviation) - known.spread)
+	u.routes[route] = known
+}
+
+// most is the longest time that is usual; zero if nothing is known.
+func (u *firstEventTimes) maxUsual(route string) time.Duration {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	known := u.routes[route]
+	return time.Duration((known.mean + maxDeviations*known.spread) * float64(time.Second))
+}
+
+// livenessWatch is what a stream's attempt knows of a target that may be dark.
+type livenessWatch struct {
+	contact *contact
+	// passing says that an event is being passed on: nothing is read meanwhile.
+	passing atomic.Bool
+	// begun says that an event has come.
+	eventSeen atomic.Bool
+	// suspectedAt is when the target had last been heard of when several gateways were
+	// last known to doubt it; zero if they never were.
+	suspectedAt time.Time
+	// timer is nil where nobody looks, or no longer; nextCheck is when it is to fire.
+	timer     *time.Timer
+	nextCheck time.Time
+	// ended says that the attempt was ended since its target is dark, and closed that it
+	// is over.
+	ended, closed bool
+}
+
+// watchLiveness begins to look at a stream's target; the result ends it. Others are
+// left for another target, or wait.
+func (a *attempt) watchLiveness() (stop func()) {
+	if a.call.route.Kind != routing.Stream {
+		return func() {}
+	}
+	incarnation := a.incarnation
+	a.liveness.contact = a.call.gateway.contacts.join(incarnation)
+	if !a.call.delivery.MayAbandon() {
+		a.mu.Lock()
+		a.startLivenessTimer()
+		a.mu.Unlock()
+	}
+	return func() {
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		if a.liveness.timer != nil {
+			a.liveness.timer.Stop()
+			a.liveness.timer = nil
+		}
+		a.liveness.closed = true
+		a.call.gateway.contacts.leave(incarnation)
+	}
+}
+
+// startLivenessTimer begins to look at a stream's target, if nobody does yet; a.mu is held.
+func (a *attempt) startLivenessTimer() {
+	if a.liveness.timer == nil && a.liveness.contact != nil && !a.liveness.closed {
+		a.liveness.nextCheck = clock.Now().Add(unresponsiveInterval)
+		a.liveness.timer = time.AfterFunc(unresponsiveInterval, a.checkLiveness)
+	}
+}
+
+// checkLiveness ends the attempt if its target is dark. A look that comes late sees nothing: this
+// process stood still, and may not have read yet what has come.
+func (a *attempt) checkLiveness() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.liveness.timer == nil {
+		return
+	}
+	now := clock.Now()
+	late := now.Sub(a.liveness.nextCheck) > unresponsiveInterval || a.isProcessLate()
+	if !late && a.isUnresponsive(now) {
+		a.liveness.ended = true
+		a.cancel()
+		return
+	}
+	a.liveness.nextCheck = now.Add(unresponsiveInterval)
+	a.liveness.timer.Reset(unresponsiveInterval)
+}
+
+// isUnresponsive says whether the target is known to be gone: doubted since it was last heard of,
+// and silent for longer than it usually is. a.mu is held.
+func (a *attempt) isUnresponsive(now time.Time) bool {
+	last := a.liveness.contact.last(a.started)
+	if a.liveness.passing.Load() || now.Sub(last) < unresponsiveInterval {
+		return false
+	}
+	if a.call.gateway.Balancer.Doubted(a.incarnation, last, now) {
+		a.liveness.suspectedAt = last
+	}
+	return a.liveness.suspectedAt.Equal(last) && now.Sub(last) >= a.maxUsualSilence()
+}
+
+// maxUsualSilence is the longest one that the target's working explains.
+func (a *attempt) maxUsualSilence() time.Duration {
+	if a.liveness.eventSeen.Load() {
+		return max(minUnresponsiveSilence, a.maxSilenceBetweenEvents())
+	}
+	return max(minUnresponsiveSilence, a.maxSilenceToHead(), a.call.gateway.firstEventTimes.maxUsual(a.call.route.Name))
+}
+
+// recordContact notes that something came from a stream's target, or that its events are
+// read again.
+func (a *attempt) recordContact(now time.Time) {
+	a.liveness.contact.record(now)
+}
+
+// endedUnresponsive says whether the attempt was ended since its target is dark.
+func (a *attempt) endedUnresponsive() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.liveness.ended
+}
