--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,52 +16,52 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// attempt is one try of a call at one target.
+// attempt is one attempt of a call at one target.
 type attempt struct {
 	call *call
 	pick balance.Pick
-	// life is that of the picked target.
+	// incarnation is the incarnation of the picked target.
 	incarnation string
 	started     time.Time
 	outcome     delivery.Outcome
 	result      balance.Result
 	err         error
-	// refusal is set when the call itself forbade the sending.
+	// refusal is set if the call itself prevented the sending.
 	refusal *fault.Error
-	// failedItself says that the target answered with a failure of its own: no delay of
-	// this process explains that.
+	// failedItself means that the target answered with a failure of its own, which no delay of this
+	// process explains.
 	failedItself bool
-	// loss is how it was lost, if it was.
+	// loss is how the attempt was lost, if it was.
 	loss lossKind
-	// notice is what the target said of itself.
+	// notice holds the target's reports about itself.
 	notice balance.Notice
-	// withdrawn says that nothing was sent since the target wants nothing new any more.
+	// withdrawn means that nothing was sent because the target no longer accepts new requests.
 	withdrawn bool
-	// trial says that it is the one copy of a request that is sent though it is held back.
+	// trial means that the attempt is the single trial of a request that is held back.
 	trial bool
-	// tried says that the end of a try has been noted.
+	// probeEnded means that the result of a half-open probe has been reported.
 	probeEnded bool
-	// confirmed says that the target has read the prompt.
+	// confirmed means that the target has prefilled the prompt.
 	confirmed bool
-	// events is how many events were passed on, and span the time that the target took
-	// from the first to the last.
+	// events is how many events were passed on, and eventSpan the time that the target took from
+	// the first to the last.
 	events    int
 	eventSpan time.Duration
-	// head is the time to the head of the answer, or to a stream's first event; zero if
-	// none came.
+	// timeToHead is the time to the headers of the answer, or to the first event of a stream; zero
+	// if none arrived.
 	timeToHead time.Duration
 
 	liveness livenessWatch
 
-	// mu guards the fields that the silence timer shares.
+	// mu guards the fields that are shared with the silence timer.
 	mu        sync.Mutex
 	cancel    context.CancelFunc
 	timer     *time.Timer
 	committed bool
-	// spent says that the attempt was ended for its silence and that the
-	// retry for it has been taken from the budget.
+	// abandoned means that the attempt was ended for its silence and that its retry has been taken
+	// from the budget.
 	abandoned bool
-	// outlived says that it was ended since another life of its target has begun.
+	// superseded means that the attempt was ended because its target started a new incarnation.
 	superseded bool
 }
 
@@ -70,22 +70,22 @@
 }
 
 const (
-	// maxSilenceShare of a route's target latency is how long a target of a
-	// repeatable request may be silent before another one is asked.
+	// maxSilenceShare is the share of a route's target latency that a target of a repeatable
+	// request may be silent before another target is tried.
 	maxSilenceShare = 0.6
-	// maxStreamSilenceShare is the same for the first event of a stream.
+	// maxStreamSilenceShare is the same share for the first event of a stream.
 	maxStreamSilenceShare = 1.0
-	// maxSilenceGaps times a route's target gap is the same between events.
+	// maxSilenceGaps is the limit between events, as a multiple of the route's target gap.
 	maxSilenceGaps = 2.5
-	// minSilence bounds the times from below.
+	// minSilence is the lower bound of these limits.
 	minSilence = 30 * time.Millisecond
-	// maxBuffered is the largest answer that is read whole before any of it is
+	// maxBuffered is the size of the largest answer that is read completely before any of it is
 	// passed on, in bytes.
 	maxBuffered = 1 << 20
 )
 
-// make sends the request and passes the answer on. It returns true when the
-// caller has the whole answer; otherwise outcome says how it ended.
+// run sends the request and passes the answer on. It returns true if the caller has the complete
+// answer; otherwise outcome holds how the attempt ended.
 func (a *attempt) run(ctx context.Context) bool {
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -107,7 +107,7 @@
 	return a.passAnswer(ctx, answer)
 }
 
-// recordHead tells the balancer what the head of an answer shows.
+// recordHead reports to the balancer what the headers of an answer show.
 func (a *attempt) recordHead(answer *Answer) {
 	a.timeToHead = clock.Since(a.started)
 	if crashes := a.call.gateway.Crashes; crashes != nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// admit checks, right before the first byte is sent, what may have changed
-// since the request was admitted.
+// admit checks, right before the first byte is sent, what may have changed since the request was
+// admitted.
 func (a *attempt) admit() error {
 	now := clock.Check()
 	if stale := a.call.checkKeyFreshness(now); stale != nil {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// failed turns an attempt without an answer into its outcome.
+// classifyFailure sets the outcome of an attempt without an answer.
 func (a *attempt) classifyFailure(failure *SendError) {
 	a.err = failure
 	switch {
@@ -196,21 +196,21 @@
 	}
 }
 
-// pass hands the answer on as the route's kind wants it.
+// passAnswer passes the answer on in the way that the kind of the route requires.
 func (a *attempt) passAnswer(ctx context.Context, answer *Answer) bool {
 	switch {
 	case answer.Misdirected:
-		// Its life has ended, as if nothing listened at its address any more.
+		// The incarnation has ended, as if its address refused connections.
 		a.outcome, a.result = delivery.Rejected, balance.Refused
-		a.err = errors.New("another target answers at its address")
+		a.err = errors.New("another target answers at this address")
 		return false
 	case answer.NotRun:
 		a.outcome = delivery.Rejected
-		a.err = errors.Newf("the target did not run it: status %d", answer.Status)
+		a.err = errors.Newf("the target did not run the request: status %d", answer.Status)
 		return false
 	case answer.Status < http.StatusBadRequest && !answer.Signed:
 		a.outcome, a.result = delivery.Lost, balance.Bad
-		a.err = errors.New("an answer without the target's signature")
+		a.err = errors.New("the answer lacks the signature of the target")
 		return false
 	case answer.Status >= http.StatusBadRequest:
 		return a.passFailure(answer)
@@ -220,8 +220,8 @@
 	return a.passBuffered(answer)
 }
 
-// passFailure keeps a target's own failure, in case nothing better comes. A
-// failure that another target would repeat is passed on at once.
+// passFailure keeps a target's own failure in case no better answer arrives. A failure that another
+// target would repeat is passed on at once.
 func (a *attempt) passFailure(answer *Answer) bool {
 	whole, err := bufferAnswer(answer)
 	if err != nil {
@@ -244,8 +244,8 @@
 	return false
 }
 
-// passBuffered reads the answer whole, so that one that breaks off can be asked
-// for again, and passes it on. Large answers are passed on as they come.
+// passBuffered reads the complete answer before passing it on, so that the request can be retried
+// if the answer breaks off. Large answers are passed on as they arrive.
 func (a *attempt) passBuffered(answer *Answer) bool {
 	if answer.Size > maxBuffered {
 		return a.passLarge(answer)
@@ -291,13 +291,13 @@
 	a.outcome, a.err = delivery.Cut, err
 }
 
-// answered notes the head of the answer that the caller gets.
+// recordAnswer records the status and the time of the answer that the caller gets.
 func (a *attempt) recordAnswer(answer *Answer) {
 	a.call.status = answer.Status
 	a.call.timeToHead = clock.Since(a.call.request.Arrived)
 }
 
-// lost ends an attempt whose answer broke off before any of it was passed on.
+// failReading ends an attempt whose answer broke off before any of it was passed on.
 func (a *attempt) failReading(err error) {
 	a.err = err
 	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
@@ -306,7 +306,7 @@
 	}
 }
 
-// release tells the balancer how the attempt ended, and keeps its record.
+// finish reports to the balancer how the attempt ended, and records the attempt.
 func (a *attempt) finish(ctx context.Context) {
 	a.reportToCrashes(ctx, clock.Now())
 	a.endTrial(clock.Now())
@@ -350,19 +350,19 @@
 	a.call.attempts = append(a.call.attempts, record)
 }
 
-// isProcessDelay says whether the attempt failed while this process itself was late:
-// its time limits then say nothing of the target.
+// isProcessDelay reports whether the attempt failed while this process itself was late: its time
+// limits are then no evidence against the target.
 func (a *attempt) isProcessDelay() bool {
 	return a.result != balance.Good && a.isProcessLate()
 }
 
-// isProcessLate says whether this process itself is late.
+// isProcessLate reports whether this process itself is late.
 func (a *attempt) isProcessLate() bool {
 	late := a.call.gateway.Options.ProcessLate
 	return late != nil && late()
 }
 
-// reason says why the attempt brought no answer.
+// reason returns why the attempt produced no answer.
 func (a *attempt) reason() string {
 	if a.err == nil {
 		return "no answer"
--- a/internal/gateway/buffered.go
+++ b/internal/gateway/buffered.go
@@ -14,7 +14,7 @@
 	body   []byte
 }
 
-var errAnswerTooLarge = errors.Newf("an answer without length over %d bytes", maxBuffered)
+var errAnswerTooLarge = errors.Newf("the answer has no content length and exceeds %d bytes", maxBuffered)
 
 // bufferAnswer reads an answer to its end.
 func bufferAnswer(answer *Answer) (*bufferedAnswer, error) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -18,7 +18,7 @@
 	"github.com/capersaddle/capersaddle/internal/spool"
 )
 
-// call is one request while it is served. One goroutine works on it.
+// call is the state of one request while it is served. It is used by one goroutine.
 type call struct {
 	gateway   *Gateway
 	request   *Request
@@ -27,58 +27,59 @@
 	route     *routing.Route
 	workspace *routing.Workspace
 	service   string
-	// print names what the request asks, and for whom.
+	// fingerprint identifies the content of the request and its workspace.
 	fingerprint quarantine.Fingerprint
-	// parts are hashes of the prompt's shared parts, in order.
+	// parts holds the hashes of the shared parts of the prompt, in order.
 	parts []uint64
-	// tokens are the lengths of the parts.
+	// tokens holds the lengths of the parts.
 	tokens []int
-	// deadline is when the caller or the route's time-out ends the request.
+	// deadline is when the caller's or the route's time limit ends the request.
 	deadline time.Time
 	delivery *delivery.Delivery
-	// assignment says which versions the next attempt may go to, and assigned that no
-	// attempt has followed it yet; versions are those that are looked at now.
+	// assignment holds the versions that the next attempt may use, and assignmentUnused is true
+	// until an attempt uses it. versions are those in use for the present query.
 	assignment       rollout.Assignment
 	assignmentUnused bool
 	assignedAt       time.Time
 	versions         balance.Versions
-	// tried are the lives of targets that got the request.
+	// triedIncarnations are the incarnations of targets that were sent the request.
 	triedIncarnations []string
 	attempts          []AttemptRecord
-	// refused counts its connections that were refused.
+	// refusedConnections counts the refused connections of this request.
 	refusedConnections int
-	// after is the last event that the caller has.
+	// lastEventID is the last event that the caller has.
 	lastEventID string
-	// failure is the target's answer to relay if nothing better comes.
+	// failedAnswer is the target's answer to relay if no better one arrives.
 	failedAnswer *bufferedAnswer
 	status       int
 	ending       string
-	// turn is its admission to the service; nil for none.
+	// turn is the admission to the service; nil for none.
 	turn *admission.Turn
-	// queued is how long it waited for its turn.
+	// queueTime is how long the request waited in the queue.
 	queueTime time.Duration
-	// waited is how long it waited for a part of its prompt to be read.
+	// prefillWait is how long the request waited for a prefill of a part of its prompt.
 	prefillWait time.Duration
-	// found is how the question for a holder of its prompt ended; empty if none
-	// was asked. asked is how long that took.
+	// holderLookup is how the lookup of a cache holder for the prompt ended; empty if there was
+	// none. holderLookupTime is how long the lookup took.
 	holderLookup     balance.Finding
 	holderLookupTime time.Duration
-	// output holds what the caller has not read yet; nil before any is passed on as it comes.
+	// output buffers what the caller has not read yet; nil until a part of an answer is passed on
+	// as it arrives.
 	output *spool.Spool
-	// gone says that the caller could not be written to any more.
+	// writeFailed is set once writing to the caller has failed.
 	writeFailed bool
-	// timeToHead is the time to the answer's head; zero if there was none.
+	// timeToHead is the time to the headers of the answer; zero if there were none.
 	timeToHead time.Duration
 }
 
-// maxPrefillWaitShare of the route's target latency is how long a request waits at most
-// for the reading of a part of its prompt for another one.
+// maxPrefillWaitShare is the share of the route's target latency that a request waits at most for
+// the prefill of a part of its prompt by another request.
 const maxPrefillWaitShare = 0.5
 
-// minAttemptTime is the least time left that makes another attempt worth while.
+// minAttemptTime is the minimum time left that makes another attempt worthwhile.
 const minAttemptTime = 10 * time.Millisecond
 
-// prepare works out what all attempts share.
+// prepare computes what all attempts share.
 func (c *call) prepare() {
 	c.lastEventID = c.request.LastEventID
 	c.fingerprint = c.requestFingerprint()
@@ -91,7 +92,7 @@
 	c.gateway.Budgets.Request(c.service, clock.Now())
 }
 
-// fingerprint names what the request asks, and for whom.
+// requestFingerprint identifies the content of the request and its workspace.
 func (c *call) requestFingerprint() quarantine.Fingerprint {
 	subject := quarantine.Subject{Method: c.request.Method, Host: c.request.Host, URI: c.request.URI, Body: c.request.Body}
 	if c.workspace != nil {
@@ -100,8 +101,8 @@
 	return subject.Fingerprint()
 }
 
-// splitKey is the same for all requests of a session, so that a session
-// keeps its service while the split stays.
+// splitKey returns the same value for all requests of a session, so that a session keeps its
+// service while the traffic split stays the same.
 func (c *call) splitKey() uint64 {
 	if len(c.parts) > 0 {
 		return c.parts[len(c.parts)-1]
@@ -109,7 +110,7 @@
 	return policy.HashName(c.request.ID)
 }
 
-// unboundedTime stands for a request that nobody bounds.
+// unboundedTime is the time limit of a request for which neither caller nor route sets one.
 const unboundedTime = time.Hour
 
 func (c *call) timeLimit() time.Duration {
@@ -133,7 +134,7 @@
 	return delivery.AtMostOnce
 }
 
-// run has the request wait for its turn and makes attempts at it.
+// run waits for admission and makes attempts.
 func (c *call) run(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer cancel()
@@ -155,7 +156,7 @@
 	c.endOutput(ctx)
 }
 
-// tryTargets makes attempts until the delivery says how the request ends.
+// tryTargets makes attempts until the delivery decides how the request ends.
 func (c *call) tryTargets(ctx context.Context) {
 	for {
 		now := clock.Check()
@@ -200,8 +201,8 @@
 	}
 }
 
-// findCacheHolder asks the other gateways where the prompt is cached if no target
-// that could take the request is known to hold it.
+// findCacheHolder asks the other gateways where the prompt is cached if no eligible target is known
+// to hold it.
 func (c *call) findCacheHolder(ctx context.Context) {
 	if c.gateway.Directory == nil {
 		return
@@ -215,8 +216,8 @@
 	c.holderLookupTime = clock.Since(began)
 }
 
-// awaitPrefill waits while a long part of the prompt is being read for another
-// request, so that it is not read twice side by side.
+// awaitPrefill waits while a long part of the prompt is being prefilled for another request, so
+// that it isn't prefilled twice in parallel.
 func (c *call) awaitPrefill(ctx context.Context) {
 	if len(c.parts) == 0 || !c.gateway.Balancer.Has(c.attemptQuery(), clock.Now()) {
 		return
@@ -246,31 +247,31 @@
 	return query
 }
 
-// prompt is the part of a query that stays the same for all attempts.
+// promptQuery returns the part of a query that is the same for all attempts.
 func (c *call) promptQuery() balance.Query {
 	return balance.Query{Service: c.service, Parts: c.parts, Tokens: c.tokens}
 }
 
-// callerLeft says whether the request ended because its caller closed the
-// connection, not for the deadline.
+// callerLeft reports whether the request ended because its caller closed the connection, rather
+// than by the deadline.
 func (c *call) callerLeft(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled)
 }
 
-// leave ends a request whose caller is gone.
+// endCallerLeft ends a request whose caller has disconnected.
 func (c *call) endCallerLeft() {
 	c.ending = EndingCallerLeft
 	c.responder.Abort()
 }
 
-// maxRefusedConnections is how many connections in a row may be refused before a further
-// attempt costs a retry: so many targets ended within a moment, and nothing has
-// arrived at any of them.
+// maxRefusedConnections is how many refused connections a request may have before a further attempt
+// costs a retry. This many targets ended at nearly the same time, and none of them received
+// anything.
 const maxRefusedConnections = 3
 
-// follows says whether another attempt may follow one. Where nothing has arrived
-// since the target is not there any more, or wants nothing new, the attempt was none, and
-// the budget, which bounds what arrives at targets, is not asked.
+// mayRetryAfter reports whether another attempt may follow the last one. If nothing was received
+// because the target is gone or accepts no new requests, the attempt doesn't count, and no retry is
+// taken from the budget, which limits what targets receive.
 func (c *call) mayRetryAfter(ctx context.Context, last *attempt) bool {
 	if last.withdrawn {
 		return c.canRetry(ctx)
@@ -282,9 +283,9 @@
 	return c.canRetry(ctx)
 }
 
-// mayRunTrial says whether there is time for another attempt, and a target of the versions
-// that it is assigned to. A request under which targets have ended gets one of its own
-// attempts at most: the next one is for its caller to make.
+// canRetry reports whether there is time for another attempt, and a target of the versions assigned
+// to it. A request that was in flight at targets that ended gets one attempt only; a further one is
+// left to its caller.
 func (c *call) canRetry(ctx context.Context) bool {
 	if crashes := c.gateway.Crashes; crashes != nil && crashes.Table.Suspicious(c.fingerprint) {
 		return false
@@ -297,7 +298,7 @@
 	return c.gateway.Balancer.Has(c.attemptQuery(), now)
 }
 
-// spare takes one retry from the budget if there is time and a target for it.
+// takeRetry takes one retry from the budget if there is time and a target for it.
 func (c *call) takeRetry(ctx context.Context) bool {
 	if !c.canRetry(ctx) {
 		return false
@@ -308,7 +309,7 @@
 	return c.gateway.Budgets.Spend(c.service, clock.Now())
 }
 
-// follow carries a verdict out; true means that another attempt follows.
+// applyVerdict carries out a verdict and reports whether another attempt follows.
 func (c *call) applyVerdict(verdict delivery.Verdict, last *attempt) bool {
 	switch verdict.Step {
 	case delivery.Again, delivery.Resume:
@@ -324,7 +325,7 @@
 	return false
 }
 
-// relay passes a target's own failure on.
+// relayFailure passes the target's own failure on.
 func (c *call) relayFailure() {
 	if c.failedAnswer == nil {
 		c.refuse(fault.New(fault.TargetFailed, fault.Unknown, "the target failed"))
@@ -349,7 +350,7 @@
 	c.refuse(refusal)
 }
 
-// finishWithoutTarget ends a request for which no further target is open.
+// finishWithoutTarget ends a request for which no further target is available.
 func (c *call) finishWithoutTarget() {
 	switch {
 	case c.delivery.Begun():
@@ -358,13 +359,13 @@
 	case c.failedAnswer != nil:
 		c.relayFailure()
 	case c.delivery.MayHaveRun():
-		c.refuse(fault.New(fault.TargetFailed, fault.Unknown, "no further target is open"))
+		c.refuse(fault.New(fault.TargetFailed, fault.Unknown, "no further target is available"))
 	default:
-		c.refuse(fault.New(fault.NoTarget, fault.NotRun, "no target of the service is open").After(c.retryAfterNoTarget()))
+		c.refuse(fault.New(fault.NoTarget, fault.NotRun, "no target of the service is available").After(c.retryAfterNoTarget()))
 	}
 }
 
-// refuse gives the caller a final answer of the router's own.
+// refuse sends the caller a final answer of the router's own.
 func (c *call) refuse(refusal *fault.Error) {
 	c.status = fault.AnswerOf(refusal.Kind).Status
 	c.ending = string(refusal.Kind)
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,104 +12,106 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// A request may end every target that begins to run it. It comes again, at any gateway, and
-// to leave out the targets that ended only sends it to the next ones. So a gateway that
-// loses a request with a connection finds out whether the target ended: a lost connection
-// alone is no end of a target, and a planned stop, a caller that left and a failure that was
-// answered are none either. If it ended, all requests that were under way there were at
-// an end. One that was at several is held back. Source: docs/design/quarantine.md.
+// A request may crash every target that runs it. Its caller retries it at any gateway, and
+// excluding the targets that have ended only sends it to the next ones. So a gateway that loses a
+// request together with its connection finds out whether the target ended. A lost connection alone
+// is no proof of that; neither is a planned stop, a caller that disconnected or a failure that was
+// answered. If the target ended, that end counts against all requests that were in flight there. A
+// request that was in flight at several such ends is held back. Source: docs/design/quarantine.md.
 
 const (
-	// firstProbeDelay is how long after a loss its target's address is tried: a process that dies
-	// closes what it has within a moment. probeInterval is how long after that once more. Until
-	// the end is known the request may come again, and end the next target.
+	// firstProbeDelay is how long after a loss the target's address is probed: a process that dies
+	// closes its sockets within a moment. probeInterval is the time until the second probe. Until
+	// the end is known, the request may return and crash the next target.
 	firstProbeDelay = 5 * time.Millisecond
 	probeInterval   = 100 * time.Millisecond
-	// maxProbes is how often it is tried after the last loss there. Left to the callers'
-	// connections, the first one was refused 1.7 s after an end.
+	// maxProbes is the number of probes after the last loss at a target. Without probes, the first
+	// refused connection of a caller came 1.7 s after a crash.
 	maxProbes = 2
-	// probeTimeout bounds one try.
+	// probeTimeout limits one probe.
 	probeTimeout = 300 * time.Millisecond
-	// checkInterval is the time between two looks at whether targets have ended, while that is
-	// open for some.
+	// checkInterval is the time between two checks whether targets have ended, while that is
+	// undecided for some.
 	checkInterval = 50 * time.Millisecond
-	// lossTTL is for how long after a loss the end of its target counts: entries lapse
-	// three heartbeats after the last, which is 3.6 s, and are known a moment later.
+	// lossTTL is how long after a loss the end of its target counts: membership entries expire
+	// three heartbeats after the last, which is 3.6 s, and that is known a moment later.
 	lossTTL = 6 * time.Second
-	// maxLosses bounds the losses at one life of a target; that many requests are rarely
-	// under way at one from one gateway.
+	// maxLosses limits the recorded losses at one incarnation of a target; so many requests are
+	// rarely in flight at one target from one gateway.
 	maxLosses = 256
 )
 
-// Knocker finds out whether something listens at a target's address.
+// PortProber finds out whether a process listens at a target's address.
 type PortProber interface {
-	// Knock returns true if a new connection was refused. One that came up is kept for
-	// requests.
+	// ProbePort returns true if a new connection was refused. A connection that was established is
+	// kept for requests.
 	ProbePort(ctx context.Context, target balance.Target) (refused bool)
 }
 
-// Spreader passes on what is known of a request to other gateways.
+// PeerNotifier sends what is known of a request to other gateways.
 type PeerNotifier interface {
 	Spread(change quarantine.Change)
-	// TrialPlace is the place of this process among those that may try a request, 0 for
-	// the first.
+	// TrialPlace returns the position of this process among those that may run the trial of a
+	// request; 0 is the first.
 	TrialPlace(fingerprint quarantine.Fingerprint) int
-	// Refused takes the life of a target at whose address nothing listens.
+	// Refused reports the incarnation of a target whose address refuses connections.
 	Refused(incarnation string)
 }
 
-// CrashWatcher is notified of ends of targets under requests.
+// CrashWatcher is notified when targets end while running requests.
 type CrashWatcher interface {
-	// CrashNoted: a target ended without a plan while a request was under way there.
+	// CrashNoted reports that a target ended unplanned while a request was in flight there.
 	CrashNoted(target string, change quarantine.Change)
-	// QuarantineChanged: a request is held back from now on, or no more; the peer is the one
-	// that said so, empty for none.
+	// QuarantineChanged reports that a request is held back from now on, or no longer; peer is the
+	// gateway that reported it, empty for none.
 	QuarantineChanged(change quarantine.Change, peer string)
-	// TrialBegan: one copy of a request that is held back is sent to a target.
+	// TrialBegan reports that one copy of a request that is held back is sent to a target.
 	TrialBegan(target string, change quarantine.Change)
 }
 
-// Crashes finds out which requests were under way when targets ended. It is safe for
-// concurrent use.
+// Crashes finds out which requests were in flight when targets ended. It is safe for concurrent
+// use.
 type Crashes struct {
 	Table    *quarantine.Table
 	Balancer *balance.Balancer
 	Prober   PortProber
-	// Spreader is nil where no other gateways are.
+	// Peers is nil if there are no other gateways.
 	Peers   PeerNotifier
 	Watcher CrashWatcher
 
 	mu sync.Mutex
-	// lives are those of targets at which requests were lost a moment ago, by name.
+	// losses holds the recent losses by incarnation of the target.
 	losses map[string]*incarnationLosses
-	// open is how many of them there are, for who only wants to know whether any is.
+	// incarnations is the size of losses, so that other goroutines can see without locking whether
+	// there are any.
 	incarnations atomic.Int32
 	wake         chan struct{}
 	cancel       context.CancelFunc
 	wait         sync.WaitGroup
 }
 
-// losses are the requests that were lost at one life of a target.
+// incarnationLosses holds the requests that were lost at one incarnation of a target.
 type incarnationLosses struct {
 	target   balance.Target
 	requests []lostRequest
-	// knocks counts the tries of its address since the last loss, and nextProbe is when the
-	// next one is due; knocking says that one is under way.
+	// probes counts the probes of the address since the last loss, and nextProbe is when the next
+	// one is due; probing means that one is running.
 	probes    int
 	nextProbe time.Time
 	probing   bool
 }
 
-// loss is a request that was lost.
+// lostRequest is a request that was lost.
 type lostRequest struct {
 	fingerprint quarantine.Fingerprint
 	began, at   time.Time
-	// broke says that its connection ended.
+	// disconnected means that its connection ended.
 	disconnected bool
 }
 
-// under says whether the request was under way when its target ended. Where the
-// target's entry went first and its connections later, it served on, as one does that leaves.
+// inFlightAt reports whether the request was in flight when its target ended. If the target's
+// membership entry was removed before its connections ended, the target went on serving, as one
+// does that leaves as planned.
 func (l lostRequest) inFlightAt(end balance.End) bool {
 	if end.Unlisted && l.disconnected && !l.at.Before(end.At) {
 		return false
@@ -117,12 +119,12 @@
 	return l.began.Before(end.At)
 }
 
-// NewCrashes returns a watch that Start begins.
+// NewCrashes returns a Crashes that begins to work with Start.
 func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, knocker PortProber, watcher CrashWatcher) *Crashes {
 	return &Crashes{Table: table, Balancer: balancer, Prober: knocker, Watcher: watcher, losses: make(map[string]*incarnationLosses), wake: make(chan struct{}, 1)}
 }
 
-// Start begins to look at what is lost.
+// Start begins to check the targets of lost requests.
 func (c *Crashes) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.cancel = cancel
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// Close ends that and waits.
+// Close stops the checks and waits for them to end.
 func (c *Crashes) Close() error {
 	if c.cancel != nil {
 		c.cancel()
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// run looks again and again while something is open, and rests otherwise.
+// run checks repeatedly while there are undecided losses, and otherwise waits for one.
 func (c *Crashes) run(ctx context.Context) {
 	for {
 		select {
@@ -162,7 +164,7 @@
 	}
 }
 
-// untilNextCheck is the time until the next look is due.
+// untilNextCheck returns the time until the next check is due.
 func (c *Crashes) untilNextCheck(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,7 +177,7 @@
 	return max(next, 0)
 }
 
-// checkSoon has a look begin now.
+// checkSoon triggers a check now.
 func (c *Crashes) checkSoon() {
 	select {
 	case c.wake <- struct{}{}:
@@ -183,12 +185,12 @@
 	}
 }
 
-// lost notes an attempt that was lost at its target. If its connection ended, whether
-// anything listens there is worth a try.
+// recordLoss records an attempt that was lost at its target. If its connection ended, the address
+// is probed.
 func (c *Crashes) recordLoss(a *attempt, now time.Time) {
 	incarnation, disconnected := a.incarnation, a.loss == lossDisconnected
 	if !c.Balancer.Serving(incarnation) {
-		return // its end, if it comes, is a planned one
+		return // an end of this target would be a planned one
 	}
 	c.mu.Lock()
 	known, ok := c.losses[incarnation]
@@ -207,8 +209,8 @@
 	c.checkSoon()
 }
 
-// heard notes an answer of a target to a request that was sent at a moment: who was lost
-// before that was not lost with the target.
+// recordHead records that a target answered a request sent at the given time. Requests lost before
+// that time were not lost because the target ended.
 func (c *Crashes) recordHead(incarnation string, sent time.Time) {
 	if c.incarnations.Load() == 0 {
 		return
@@ -228,20 +230,20 @@
 	known.requests = kept
 }
 
-// answered notes that a target has answered a request whole.
+// recordAnswered records that a target has answered a request completely.
 func (c *Crashes) recordAnswered(fingerprint quarantine.Fingerprint, now time.Time) {
 	c.publish(c.Table.Answered(fingerprint, now))
 }
 
-// Lift has a request sent again that was held back; false if it was not.
+// Lift releases a request that was held back, and reports whether it was.
 func (c *Crashes) Lift(fingerprint quarantine.Fingerprint, now time.Time) bool {
 	change := c.Table.Lift(fingerprint, now)
 	c.publish(change)
 	return change.News
 }
 
-// Merge takes what another process has kept in the store of a request. Other gateways read it
-// there too, and get only what is held against it.
+// Merge takes in what another process has stored about a request. Other gateways read the store
+// too, so only evidence against the request is sent on to them.
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
 	if change.Objects() {
@@ -253,7 +255,7 @@
 	}
 }
 
-// changed passes on what is new.
+// publish reports a change to the watcher and the other gateways.
 func (c *Crashes) publish(change quarantine.Change) {
 	if !change.News {
 		return
@@ -266,7 +268,8 @@
 	}
 }
 
-// look takes what has come out since the last look; it returns false once nothing is open.
+// check records what has become known since the last check; it returns false once nothing is
+// undecided.
 func (c *Crashes) check(ctx context.Context, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -288,7 +291,7 @@
 	return len(c.losses) > 0
 }
 
-// forget drops losses whose target has not ended in time.
+// dropExpired drops losses whose target has not ended in time.
 func (l *incarnationLosses) dropExpired(now time.Time) {
 	kept := l.requests[:0]
 	for _, lost := range l.requests {
@@ -299,8 +302,8 @@
 	l.requests = kept
 }
 
-// settle holds the end of a target against all requests that were under way there; c.mu is
-// held.
+// recordCrashes records the end of a target against all requests that were in flight there; c.mu
+// must be held.
 func (c *Crashes) recordCrashes(incarnation string, known *incarnationLosses, end balance.End, now time.Time) {
 	name := quarantineLife(incarnation)
 	for _, lost := range known.requests {
@@ -315,12 +318,12 @@
 	}
 }
 
-// quarantineLife names a life of a target in records.
+// quarantineLife returns the identifier of an incarnation in quarantine records.
 func quarantineLife(incarnation string) quarantine.Life {
 	return quarantine.Life(policy.HashName(incarnation) >> 32)
 }
 
-// knock tries a target's address; c.mu is held.
+// probe probes the address of a target; c.mu must be held.
 func (c *Crashes) probe(ctx context.Context, incarnation string, known *incarnationLosses) {
 	known.probing = true
 	c.wait.Go(func() {
@@ -347,16 +350,16 @@
 type lossKind int
 
 const (
-	// lossNone: it was answered, was not sent, or ended for a reason of this process or the
-	// caller.
+	// lossNone: the attempt was answered, was not sent, or ended for a reason of this process or
+	// the caller.
 	lossNone lossKind = iota
-	// lossSilent: nothing came any more.
+	// lossSilent: nothing more arrived.
 	lossSilent
-	// lossDisconnected: its connection ended.
+	// lossDisconnected: the connection ended.
 	lossDisconnected
 )
 
-// judge says what the attempt shows of its target's life.
+// reportToCrashes reports what the attempt shows about whether its target is alive.
 func (a *attempt) reportToCrashes(ctx context.Context, now time.Time) {
 	crashes := a.call.gateway.Crashes
 	switch {
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// readBufferSize is the read buffer for a stream, in bytes.
+	// readBufferSize is the size of the read buffer for a stream, in bytes.
 	readBufferSize = 4096
-	// maxEvent bounds one event, in bytes.
+	// maxEvent limits one event, in bytes.
 	maxEvent = 4 << 20
 )
 
-// events cuts a stream into whole events, byte for byte. An event ends with an
-// empty line; its id is the value of its last id field.
+// eventReader splits a stream into complete events, byte for byte. An event ends with an empty
+// line; its ID is the value of its last id field.
 type eventReader struct {
 	reader *bufio.Reader
 	buf    []byte
@@ -28,9 +28,8 @@
 
 var idField = []byte("id:")
 
-// next returns one whole event, valid until the next call, and its id. At a
-// clean end it returns io.EOF; an end inside an event is
-// io.ErrUnexpectedEOF.
+// next returns one complete event, valid until the next call, and its ID. At a clean end it returns
+// io.EOF; an end inside an event is io.ErrUnexpectedEOF.
 func (e *eventReader) next() (event []byte, id string, err error) {
 	e.buf = e.buf[:0]
 	for {
@@ -52,7 +51,7 @@
 	}
 }
 
-// ready is how many whole events can be read without waiting, as far as they have been
+// bufferedEvents returns how many complete events can be read without waiting, as far as they were
 // received together.
 func (e *eventReader) bufferedEvents() int {
 	buffered, err := e.reader.Peek(e.reader.Buffered())
@@ -62,7 +61,7 @@
 	return bytes.Count(buffered, []byte("\n\n")) + bytes.Count(buffered, []byte("\n\r\n"))
 }
 
-// endsEvent says whether the last line is empty.
+// endsEvent reports whether the last line is empty.
 func endsEvent(event []byte) bool {
 	return bytes.HasSuffix(event, []byte("\n\n")) ||
 		bytes.HasSuffix(event, []byte("\n\r\n")) ||
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,38 +16,37 @@
 	"github.com/capersaddle/capersaddle/internal/spool"
 )
 
-// Options bound what the gateway does by itself.
+// Options sets limits of the gateway and connects it to the state of its process and its peers.
 type Options struct {
-	// KeyFreshness is how old the proof of the newest configuration may be
-	// when a request with a key is sent; zero sets no bound.
+	// KeyFreshness is the maximum age of the proof of the newest configuration when a request with
+	// a key is sent; zero means no limit.
 	KeyFreshness time.Duration
-	// DenyFreshness is how old it may be when a request is denied for an
-	// unknown route or key; past it the request is put off instead.
+	// DenyFreshness is the maximum age of that proof when a request is denied for an unknown route
+	// or key. With an older proof the request is refused as retryable instead.
 	DenyFreshness time.Duration
-	// Accompanied says whether other gateways are heard; nil is never.
+	// PeersReachable reports whether other gateways are heard; nil means never.
 	PeersReachable func() bool
-	// Late says whether this process lacks processor time now, so that its own
-	// time limits pass before it has read what a target sent; nil is never.
+	// ProcessLate reports whether this process is short of CPU time now, so that its own time
+	// limits pass before it has read what a target sent; nil means never.
 	ProcessLate func() bool
-	// Pass is within which time of its making callers want each event of a stream; zero
-	// passes on each at once.
+	// StreamDelay is the time after its creation within which callers want each event of a stream;
+	// zero passes on each event at once.
 	StreamDelay time.Duration
-	// PeersConfigured says whether another live gateway has a configuration; nil is
-	// always.
+	// PeersConfigured reports whether another live gateway has a configuration; nil means always.
 	PeersConfigured func() bool
 }
 
-// Directory keeps track, over all gateways, of where parts of prompts are
-// cached, and of targets that have ended.
+// Directory tracks, across all gateways, where parts of prompts are cached and which targets have
+// ended.
 type Directory interface {
-	// Find has the balancer learn where parts are cached; it returns when that
-	// is known, or after a moment anyway.
+	// Find lets the balancer learn where parts are cached. It returns when that is known, or after
+	// a short time anyway.
 	Find(ctx context.Context, parts []uint32) balance.Finding
-	// Filling takes the parts that targets have begun to read for requests of
-	// this process, and Placed those that they have read.
+	// Filling reports the parts that targets have begun to prefill for requests of this process,
+	// and Placed the parts that they have finished.
 	Filling(placements []balance.Placement)
 	Placed(placements []balance.Placement)
-	// Refused takes the id of a target at whose address nothing listens.
+	// Refused reports the ID of a target whose address refuses connections.
 	Refused(target string)
 }
 
@@ -56,32 +55,32 @@
 	Sender   Sender
 	Balancer *balance.Balancer
 	Budgets  *retrybudget.Budgets
-	// Directory is nil where no other gateways are.
+	// Directory is nil if there are no other gateways.
 	Directory Directory
-	// Rollouts says which versions of targets may get a request; nil for all.
+	// Rollouts decides which versions of targets may get a request; nil allows all.
 	Rollouts *rollout.Gate
-	// Crashes says which requests are held back since targets ended under them; nil for none.
+	// Crashes tracks the requests that are held back because targets ended while running them; nil
+	// holds back none.
 	Crashes *Crashes
-	// Limiters bound what is sent to each service; nil for no bound.
+	// Limiters limits what is sent to each service; nil means no limit.
 	Limiters *admission.Limiters
 	Proof    *freshness.Proof
 	Events   Recorder
 	Options  Options
-	// Spools hold what callers have not read yet; nil has each of them keep its target
-	// waiting.
+	// Spools buffers what callers have not read yet; if nil, a slow caller delays its target.
 	Spools   *spool.Spools
 	inFlight inFlightAttempts
-	// stalls are losses of packets that streams have shown.
+	// stalls counts packet losses that streams have shown.
 	stalls stalls
-	// contacts and firstEventTimes are for streams whose target may be dark.
+	// contacts and firstEventTimes serve streams whose target may be unresponsive.
 	contacts        contacts
 	firstEventTimes firstEventTimes
 	// table is nil until a configuration is known.
 	table atomic.Pointer[routing.Table]
 }
 
-// Apply puts a configuration in force. One that is not newer is passed over;
-// the result says whether it was taken.
+// Apply puts a configuration in force unless it is no newer than the present one. It reports
+// whether the configuration was applied.
 func (g *Gateway) Apply(config *routing.Config) bool {
 	next := routing.NewTable(config)
 	for {
@@ -95,12 +94,12 @@
 	}
 }
 
-// Table is the configuration in force; nil until one is known.
+// Table returns the configuration in force, or nil if none is known yet.
 func (g *Gateway) Table() *routing.Table {
 	return g.table.Load()
 }
 
-// Version is that of the configuration in force; zero until one is known.
+// Version returns the version of the configuration in force, or zero if none is known yet.
 func (g *Gateway) Version() int64 {
 	if table := g.table.Load(); table != nil {
 		return table.Version()
@@ -108,20 +107,19 @@
 	return 0
 }
 
-// Times to come back after, in refusals.
+// Retry-After times in refusals.
 const (
-	// retryAfterOtherRouter: another router can probably serve the request now.
+	// retryAfterOtherRouter applies if another router can probably serve the request now.
 	retryAfterOtherRouter = 20 * time.Millisecond
-	// retryAfterStoreOutage: no live gateway can vouch for keys, or none has a
-	// configuration. Outages of the store last seconds; callers who have less
-	// time come back sooner by themselves.
+	// retryAfterStoreOutage applies if no live gateway can vouch for keys, or none has a
+	// configuration. Outages of the store last seconds; callers who have less time retry sooner by
+	// themselves.
 	retryAfterStoreOutage = time.Second
-	// retryAfterShortage: the service has no room, or no target, for a moment.
+	// retryAfterShortage applies if the service briefly has no capacity or no target.
 	retryAfterShortage = 150 * time.Millisecond
 )
 
-// Serve has a request answered. It returns when the caller has its final
-// answer, or has left.
+// Serve answers a request. It returns when the caller has its final answer or has disconnected.
 func (g *Gateway) Serve(ctx context.Context, request *Request, responder Responder) {
 	call := &call{gateway: g, request: request, responder: responder}
 	if refusal := call.admit(); refusal != nil {
@@ -132,7 +130,7 @@
 	g.Events.Request(call.record())
 }
 
-// admit finds route and workspace, or says why the request can't be served.
+// admit finds the route and the workspace, or returns why the request can't be served.
 func (c *call) admit() *fault.Error {
 	table := c.gateway.table.Load()
 	if table == nil {
@@ -145,7 +143,7 @@
 	}
 	c.route = route
 	if maxBytes := table.Limits().BodyBytes; maxBytes > 0 && int64(len(c.request.Body)) > maxBytes {
-		return fault.New(fault.TooLarge, fault.NotRun, "the body is over %d bytes", maxBytes)
+		return fault.New(fault.TooLarge, fault.NotRun, "the body exceeds %d bytes", maxBytes)
 	}
 	if !route.Public {
 		workspace, ok := table.Workspace(c.request.Key)
@@ -164,8 +162,7 @@
 	return nil
 }
 
-// deny gives a denial, or puts the request off when a newer configuration may
-// allow it.
+// deny returns the denial, or a retryable refusal if a newer configuration may allow the request.
 func (c *call) deny(denial *fault.Error) *fault.Error {
 	if c.gateway.Proof.Within(c.gateway.Options.DenyFreshness, clock.Check()) {
 		return denial
@@ -173,19 +170,19 @@
 	return fault.New(fault.StoreAway, fault.NotRun, "the configuration may be out of date: %s", denial.Message).After(c.gateway.retryAfterStale())
 }
 
-// checkKeyFreshness refuses a request with a key when the key may have been taken
-// away since the configuration was last proven to be the newest.
+// checkKeyFreshness refuses a request with a key if the key may have been revoked since the
+// configuration was last proven to be the newest.
 func (c *call) checkKeyFreshness(now time.Time) *fault.Error {
 	maxAge := c.gateway.Options.KeyFreshness
 	if c.workspace == nil || maxAge == 0 || c.gateway.Proof.Within(maxAge, now) {
 		return nil
 	}
-	return fault.New(fault.StoreAway, fault.NotRun, "cut off from the configuration for too long to vouch for the key").After(c.gateway.retryAfterStale())
+	return fault.New(fault.StoreAway, fault.NotRun, "disconnected from the configuration store for too long to verify the key").After(c.gateway.retryAfterStale())
 }
 
-// retryAfterUnready is when to come back to a gateway that knows no configuration
-// yet: at once if another one can serve. Where all begin anew, who came back at
-// once would be refused again.
+// retryAfterUnready returns when to retry at a gateway that has no configuration yet: at once if
+// another gateway can serve. If all gateways are starting, an immediate retry would be refused
+// again.
 func (g *Gateway) retryAfterUnready() time.Duration {
 	if g.Options.PeersConfigured == nil || g.Options.PeersConfigured() {
 		return retryAfterOtherRouter
@@ -193,9 +190,9 @@
 	return retryAfterStoreOutage
 }
 
-// retryAfterStale is when to come back to a gateway whose proof is too old. Another
-// one can serve only if this one is cut off from the others: their proofs
-// would have come with their beats.
+// retryAfterStale returns when to retry at a gateway whose proof is too old. Another gateway can
+// serve only if this one is cut off from its peers: otherwise their newer proofs would have arrived
+// with their heartbeats.
 func (g *Gateway) retryAfterStale() time.Duration {
 	if g.Options.PeersReachable != nil && g.Options.PeersReachable() {
 		return retryAfterStoreOutage
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -6,19 +6,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A target that begins again under its id knows nothing of the requests of its life before.
-// They would wait for their deadlines where that life ended without a sign on their
-// connections; they are ended, and go on elsewhere if they may, as soon as its entry says so.
+// A target that restarts under its ID knows nothing of the requests of its previous incarnation. If
+// that incarnation ended without any sign on its connections, these requests would wait until their
+// deadlines. They are ended as soon as the target's membership entry shows the new incarnation, and
+// are retried elsewhere if allowed.
 
-var errSuperseded = errors.New("the target has begun again, without this request")
+var errSuperseded = errors.New("the target restarted and lost this request")
 
-// inFlight are the attempts at each life of a target.
+// inFlightAttempts holds the attempts at each incarnation of a target.
 type inFlightAttempts struct {
 	mu            sync.Mutex
 	byIncarnation map[string]map[*attempt]struct{}
 }
 
-// join notes an attempt; the result ends that.
+// join adds an attempt; the returned function removes it.
 func (u *inFlightAttempts) join(a *attempt) (leave func()) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -39,7 +40,7 @@
 	}
 }
 
-// at are the attempts at a life.
+// attempts returns the attempts at an incarnation.
 func (u *inFlightAttempts) attempts(incarnation string) []*attempt {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -50,15 +51,15 @@
 	return attempts
 }
 
-// Outlived ends the attempts that are under way at a life of a target, of which another one
-// has begun.
+// EndSuperseded ends the attempts in flight at an incarnation of a target that has been replaced by
+// a newer one.
 func (g *Gateway) EndSuperseded(incarnation string) {
 	for _, a := range g.inFlight.attempts(incarnation) {
 		a.supersede()
 	}
 }
 
-// outlive ends the attempt since its target has begun again.
+// supersede ends the attempt because its target has restarted.
 func (a *attempt) supersede() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,7 +67,7 @@
 	a.cancel()
 }
 
-// isSuperseded says whether the attempt was ended for that.
+// isSuperseded reports whether the attempt was ended because its target has restarted.
 func (a *attempt) isSuperseded() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -9,24 +9,25 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// errWithdrawn is why an attempt sent nothing.
-var errWithdrawn = errors.New("the target wants nothing new")
+// errWithdrawn is returned for an attempt that sent nothing because its target no longer accepts
+// new requests.
+var errWithdrawn = errors.New("the target accepts no new requests")
 
-// NoticeRecord tells what a target said of itself in an answer that was not known yet.
+// NoticeRecord describes a new report of a target about itself in an answer.
 type NoticeRecord struct {
 	Target  string
 	Address string
 	Service string
-	// Life names the life of the target that it holds for.
+	// Incarnation is the incarnation of the target that the report applies to.
 	Incarnation string
-	// Request is the id of the request that was answered.
+	// Request is the ID of the request that was answered.
 	Request string
 	Notice  balance.Notice
 	News    balance.News
 }
 
-// heed takes what the target says of itself. It holds from now on for whatever this gateway
-// has to send, be the answer whole or not, waited for or not.
+// handleNotice applies the target's report about itself. It applies from now on to everything that
+// this gateway has to send, whether or not the answer is complete or still awaited.
 func (a *attempt) handleNotice(notice balance.Notice) {
 	a.notice = notice
 	if notice == (balance.Notice{}) {
@@ -47,8 +48,8 @@
 	})
 }
 
-// endProbe says how the first request after a rest has ended: others may follow the head of its
-// answer, however long that goes on.
+// endProbe reports how the half-open probe of a target that rested has ended. Other requests may
+// follow once the headers of its answer have arrived, however long the answer takes.
 func (a *attempt) endProbe(answered bool) {
 	if !a.pick.Try || a.probeEnded {
 		return
@@ -57,8 +58,8 @@
 	a.call.gateway.Balancer.EndTry(a.incarnation, answered, clock.Now())
 }
 
-// retryAfter is when the caller of a request that did not run is to come back: when a target that
-// rests is back, if nobody else is open, else when the service has room.
+// retryAfter returns when the caller of a request that did not run should retry: when a resting
+// target is available again if no other is open, else when the service has capacity.
 func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
 	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), now); ok {
@@ -70,7 +71,7 @@
 	return c.gateway.Limiters.Of(c.service).ComeBack(c.deadline.Sub(now), now)
 }
 
-// retryAfterNoTarget is the same where no target was open at all.
+// retryAfterNoTarget returns the same for a request for which no target was open at all.
 func (c *call) retryAfterNoTarget() time.Duration {
 	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), clock.Now()); ok {
 		return back
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -9,12 +9,12 @@
 	"github.com/capersaddle/capersaddle/internal/spool"
 )
 
-// minSpooled is the size from which a whole answer is handed to the caller's spool, in bytes:
-// a smaller one fits into the buffers of a connection, however slowly its caller reads.
+// minSpooled is the size from which a buffered answer is written to the caller's spool, in bytes. A
+// smaller answer fits into the buffers of a connection, however slowly its caller reads.
 const minSpooled = 16 << 10
 
-// write passes a part of an answer on. It doesn't wait for the caller to read, unless much is
-// held for it already.
+// write passes on a part of an answer. It doesn't wait for the caller to read, unless much is
+// buffered for the caller already.
 func (c *call) write(data []byte) error {
 	if c.gateway.Spools == nil {
 		return c.responder.Write(data)
@@ -25,7 +25,7 @@
 	return c.output.Write(data)
 }
 
-// writeBuffered passes the body of a whole answer on.
+// writeBuffered passes on the body of a buffered answer.
 func (c *call) writeBuffered(body []byte) error {
 	if len(body) < minSpooled {
 		return c.responder.Write(body)
@@ -33,8 +33,8 @@
 	return c.write(body)
 }
 
-// endOutput waits until the caller has been sent what it is to get. If that fails, the answer
-// must not look complete.
+// endOutput waits until everything has been sent to the caller. If that fails, it makes sure that
+// the answer can't look complete.
 func (c *call) endOutput(ctx context.Context) {
 	if c.output == nil {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// spoolEnding is the ending of a request whose caller's spool was ended; empty if the caller
-// ended it.
+// spoolEnding returns the ending of a request whose caller's spool was ended, or an empty string if
+// the caller ended it.
 func spoolEnding(err error) string {
 	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrWriteTimeout) {
 		return EndingCallerSlow
@@ -63,14 +63,14 @@
 	return ""
 }
 
-// outputWriter makes a call's output an io.Writer, and keeps what went wrong with it: a
-// caller that can't be written to is no fault of the target.
+// outputWriter makes the output of a call an io.Writer and keeps its write error: a caller that
+// can't be written to is no fault of the target.
 type outputWriter struct {
 	call *call
 	err  error
 }
 
-// Write passes all of data on.
+// Write passes on all of data.
 func (w *outputWriter) Write(data []byte) (int, error) {
 	if w.err = w.call.write(data); w.err != nil {
 		return 0, w.err
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -9,24 +9,24 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// retryAfterDoubtful is when callers of a request that is in doubt come back: most trials have begun
-// by then.
+// retryAfterDoubtful is the Retry-After for requests that are in doubt; most trials have begun by
+// then.
 const retryAfterDoubtful = time.Second
 
-// held says whether the call is to be sent to no target.
+// isHeldBack reports whether the call must not be sent to any target.
 func (c *call) isHeldBack(now time.Time) bool {
 	crashes := c.gateway.Crashes
 	return crashes != nil && crashes.Table.Held(c.fingerprint, now)
 }
 
-// mayRunTrial says whether the call, which is held back, may be the one copy of its request that
-// is tried now. A call that was sent before may not: it has had its try.
+// mayRunTrial reports whether the call, which is held back, may be the single trial of its request
+// now. A call that was already sent may not, since that was its attempt.
 func (c *call) mayRunTrial(now time.Time) bool {
 	return len(c.triedIncarnations) == 0 && c.gateway.Crashes.mayRunTrial(c.fingerprint, now)
 }
 
-// barred is the answer to a call that is held back, right before it is sent; nil where it may
-// be sent. There its trial begins, if it is one.
+// checkQuarantine returns the refusal of a call that is held back, right before it is sent, or nil
+// if it may be sent. It starts the trial of the request if the attempt may be one.
 func (a *attempt) checkQuarantine(now time.Time) *fault.Error {
 	c := a.call
 	if a.trial || !c.isHeldBack(now) {
@@ -39,7 +39,7 @@
 	return c.heldBackError(fault.NotRun, now)
 }
 
-// endTrial notes that the target did not run the attempt, if it was a trial.
+// endTrial records that the target did not run the attempt, if it was a trial.
 func (a *attempt) endTrial(now time.Time) {
 	answered := a.err == nil || a.result == balance.Good
 	if a.trial && !answered && (a.outcome == delivery.Unsent || a.outcome == delivery.Rejected) {
@@ -48,21 +48,21 @@
 	}
 }
 
-// heldBackError is the answer to a request that is held back. Where others may be to blame its
-// caller is to come back. Otherwise there is no time to come back after: it is the request
-// that has to change.
+// heldBackError returns the answer to a request that is held back. If other requests may have
+// caused the crashes, its caller is told to retry. Otherwise there is no time after which to retry:
+// the request itself has to change.
 func (c *call) heldBackError(state fault.RunState, now time.Time) *fault.Error {
 	if c.gateway.Crashes.Table.Standing(c.fingerprint, now) != quarantine.Doubtful {
-		return fault.New(fault.Quarantined, state, "several targets ended while they ran this request; it is sent to no other")
+		return fault.New(fault.Quarantined, state, "several targets ended while running this request; it is not sent to another one")
 	}
 	if state != fault.NotRun {
-		return fault.New(fault.TargetFailed, state, "a target ended while it ran this request and others")
+		return fault.New(fault.TargetFailed, state, "a target ended while running this request and others")
 	}
-	refusal := fault.New(fault.Suspected, state, "several targets ended while they ran this request and others; which of them is to blame is not known yet")
+	refusal := fault.New(fault.Suspected, state, "several targets ended while running this request and others; which request caused this is not known yet")
 	return refusal.After(retryAfterDoubtful)
 }
 
-// endHeldBack ends a call that is held back since it began.
+// endHeldBack ends a call whose request was held back after the call began.
 func (c *call) endHeldBack(now time.Time) {
 	switch {
 	case c.delivery.Begun():
@@ -75,7 +75,7 @@
 	}
 }
 
-// place is that of this process among those that may try a request.
+// trialPlace returns the position of this process among those that may run the trial of a request.
 func (c *Crashes) trialPlace(fingerprint quarantine.Fingerprint) int {
 	if c.Peers == nil {
 		return 0
@@ -83,12 +83,13 @@
 	return c.Peers.TrialPlace(fingerprint)
 }
 
-// mayRunTrial says whether this process may send a request that is held back once.
+// mayRunTrial reports whether this process may send a request that is held back once.
 func (c *Crashes) mayRunTrial(fingerprint quarantine.Fingerprint, now time.Time) bool {
 	return c.Table.Standing(fingerprint, now) == quarantine.Doubtful && c.Table.MayTry(fingerprint, c.trialPlace(fingerprint), now)
 }
 
-// try has an attempt be the trial of its request, if this process may begin one.
+// startTrial makes an attempt the trial of its request if this process may begin one, and reports
+// whether it did.
 func (c *Crashes) startTrial(a *attempt, now time.Time) bool {
 	fingerprint := a.call.fingerprint
 	change, begun := c.Table.Try(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// maxQueueShare of the route's target latency is how long a request waits at
-	// most for its turn: who comes back after an early refusal can still be
-	// served in time.
+	// maxQueueShare is the share of the route's target latency that a request waits in the queue at
+	// most: a caller that retries after an early refusal can still be served in time.
 	maxQueueShare = 0.1
-	// defaultMaxQueueTime is the same where a route names no target latency.
+	// defaultMaxQueueTime is the limit for routes without a target latency.
 	defaultMaxQueueTime = 200 * time.Millisecond
 )
 
-// awaitAdmission waits until the targets of the service have room for the request,
-// or refuses it.
+// awaitAdmission waits until the targets of the service have capacity for the request, or refuses
+// it.
 func (c *call) awaitAdmission(ctx context.Context) *fault.Error {
 	if c.gateway.Limiters == nil {
 		return nil
@@ -64,7 +63,7 @@
 	return entry
 }
 
-// queueTimeLeft is how long the request may still wait for its turn.
+// queueTimeLeft returns how long the request may still wait in the queue.
 func (c *call) queueTimeLeft(now time.Time) time.Duration {
 	limit := defaultMaxQueueTime
 	if c.route.TargetLatency > 0 {
@@ -73,7 +72,7 @@
 	return max(limit-now.Sub(c.request.Arrived), 0)
 }
 
-// endTurn notes that the request is counted at a target, or given up.
+// endTurn releases the admission once the request is counted at a target or is given up.
 func (c *call) endTurn() {
 	if c.turn == nil {
 		return
@@ -82,8 +81,8 @@
 	c.turn = nil
 }
 
-// hasCapacity says whether the service has room for a retry: those who wait for
-// their first attempt go before.
+// hasCapacity reports whether the service has capacity for a retry. Requests that wait for their
+// first attempt take precedence.
 func (g *Gateway) hasCapacity(service string) bool {
 	if g.Limiters == nil {
 		return true
@@ -95,7 +94,7 @@
 	return g.Balancer.Room(service, g.admittingVersions(service, now), 1, now) > 0
 }
 
-// admitWaitingFor admits requests that wait for a service which may have room.
+// admitWaitingFor admits waiting requests of a service that may have capacity.
 func (g *Gateway) admitWaitingFor(service string) {
 	if g.Limiters == nil {
 		return
@@ -103,8 +102,8 @@
 	g.admitQueued(service, g.Limiters.Of(service))
 }
 
-// AdmitWaiting admits requests that wait for any service which may have room,
-// as when other gateways have reported less load.
+// AdmitWaiting admits waiting requests of all services that may have capacity, for example when
+// other gateways have reported less load.
 func (g *Gateway) AdmitWaiting() {
 	if g.Limiters != nil {
 		g.Limiters.Each(g.admitQueued)
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -9,29 +9,29 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// Recorder takes what is to be logged and counted. Its methods don't block.
+// Recorder logs and counts requests and notices. Its methods don't block.
 type Recorder interface {
 	// Request is called once for each request, at its end.
 	Request(record *RequestRecord)
-	// Notice is called when a target says something new of itself.
+	// Notice is called when a target reports something new about itself.
 	Notice(record *NoticeRecord)
 }
 
-// Endings of a request besides the kinds of refusal.
+// Endings of a request other than refusals.
 const (
-	// EndingAnswered: the caller has a target's whole answer.
+	// EndingAnswered: the caller has the complete answer of a target.
 	EndingAnswered = "answered"
 	// EndingRelayed: the caller has a target's own failure.
 	EndingRelayed = "relayed"
-	// EndingCut: the answer was broken off after its begin.
+	// EndingCut: the answer broke off after it had begun.
 	EndingCut = "cut"
-	// EndingCallerLeft: the caller left before the end.
+	// EndingCallerLeft: the caller disconnected before the end.
 	EndingCallerLeft = "caller_left"
-	// EndingCallerSlow: the answer was broken off since the caller read it too slowly.
+	// EndingCallerSlow: the answer was ended because the caller read it too slowly.
 	EndingCallerSlow = "caller_slow"
 )
 
-// RequestRecord tells how a request was served and what decided it.
+// RequestRecord describes how a request was served and what decided it.
 type RequestRecord struct {
 	ID        string
 	Route     string
@@ -39,42 +39,42 @@
 	Workspace string
 	Service   string
 	Session   string
-	// Prompt are the prompt's parts; nil if it names none.
+	// Prompt lists the parts of the prompt; nil if the request has none.
 	Prompt []Part
-	// Print names what it asks, and for whom: a request that comes again has the same one.
-	// Zero if it was denied.
+	// Fingerprint identifies the content of the request and its workspace: a retried request has
+	// the same one. Zero if the request was denied.
 	Fingerprint quarantine.Fingerprint
-	// Config is the version of the configuration that was used.
+	// ConfigVersion is the version of the configuration that was used.
 	ConfigVersion int64
-	// ProofAge is the age of the proof that it was the newest, at the end;
-	// negative if there was none.
+	// ProofAge is the age, at the end of the request, of the proof that the configuration was the
+	// newest; negative if there was no proof.
 	ProofAge time.Duration
 	Attempts []AttemptRecord
-	// Queued is how long it waited for its turn at the service.
+	// QueueTime is how long the request waited for admission to the service.
 	QueueTime time.Duration
-	// Waited is how long it waited, before its first attempt, for a part of its
-	// prompt to be read for another request.
+	// PrefillWait is how long the request waited, before its first attempt, for the prefill of a
+	// part of its prompt by another request.
 	PrefillWait time.Duration
-	// Found is how its question for a holder of its prompt ended, empty if it
-	// asked none, and Asked how long that took.
+	// HolderLookup is how the lookup of a cache holder for the prompt ended, empty if there was
+	// none, and HolderLookupTime how long it took.
 	HolderLookup     balance.Finding
 	HolderLookupTime time.Duration
-	// Status is the caller's; zero if it got none.
+	// Status is the status that the caller got; zero if it got none.
 	Status int
-	// Ending is one of the constants above or the kind of refusal.
+	// Ending is one of the Ending constants or the kind of the refusal.
 	Ending string
-	// Wanted is the time within which the route's callers want the answer or its
-	// first event; zero if the route does not say.
+	// TargetLatency is the time within which the route's callers want the answer or its first
+	// event; zero if the route sets none.
 	TargetLatency time.Duration
-	// First is the time to the answer's head.
+	// TimeToHead is the time to the headers of the answer.
 	TimeToHead time.Duration
 	Took       time.Duration
 }
 
-// AttemptRecord tells of one attempt.
+// AttemptRecord describes one attempt.
 type AttemptRecord struct {
 	Target string
-	// Version is that of the target's software; empty if its entry states none.
+	// Version is the version of the target's software; empty if its entry states none.
 	Version    string
 	Address    string
 	Load       int
@@ -86,9 +86,9 @@
 	Events     int
 	Outcome    string
 	Reason     string
-	// Notice is what the target said of itself in its answer.
+	// Notice holds the target's reports about itself in its answer.
 	Notice balance.Notice
-	// Ejected says that the target was left out for this attempt's result.
+	// Ejected means that the target was ejected because of the result of this attempt.
 	Ejected bool
 }
 
@@ -101,7 +101,7 @@
 	delivery.Cut:      "cut",
 }
 
-// record sums the call up.
+// record summarizes the call.
 func (c *call) record() *RequestRecord {
 	now := clock.Now()
 	record := &RequestRecord{
@@ -136,8 +136,8 @@
 	return record
 }
 
-// session names the deepest part of the prompt that other requests share;
-// empty for none.
+// session returns the ID of the deepest part of the prompt that other requests share; empty for
+// none.
 func (r *Request) session() string {
 	switch len(r.Parts) {
 	case 0:
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -11,31 +11,30 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// Request is one attempt of a caller, whatever front it came by.
+// Request is one attempt of a caller, independent of the front end it arrived through.
 type Request struct {
-	// ID names the attempt; the caller chose it.
+	// ID identifies the attempt; the caller chose it.
 	ID string
-	// Method, Host and URI are as the caller sent them; the URI holds path
-	// and query.
+	// Method, Host and URI are as the caller sent them; URI includes path and query.
 	Method string
 	Host   string
 	URI    string
-	// Path is the URI's path, as sent.
+	// Path is the path of URI, as sent.
 	Path string
-	// Header holds what is to be passed on; it is not changed.
+	// Header holds the headers to pass on; it is not modified.
 	Header http.Header
 	Body   []byte
 	// Key is the caller's API key; empty for none.
 	Key string
-	// Arrived is when the request had been read.
+	// Arrived is when the request had been read completely.
 	Arrived time.Time
-	// Patience is how long the caller will wait; zero is not said.
+	// Patience is how long the caller will wait; zero if it didn't say.
 	Patience time.Duration
 	// Model is the model that the prompt is for; empty for none.
 	Model string
-	// Parts are the prompt's parts in order, the last one the request's own.
+	// Parts lists the parts of the prompt in order; the last part belongs to this request alone.
 	Parts []Part
-	// After is the id of the last event that the caller has; empty for none.
+	// LastEventID is the ID of the last event that the caller has; empty for none.
 	LastEventID string
 }
 
@@ -45,9 +44,8 @@
 	Tokens int
 }
 
-// sharedParts are hashes of the parts that other requests for the same model
-// share, in order, and their lengths in tokens: all but the last, or the only
-// one.
+// sharedParts returns the hashes of the parts that other requests for the same model share, in
+// order, and their lengths in tokens: all parts but the last, or the only one.
 func (r *Request) sharedParts() (hashes []uint64, tokens []int) {
 	parts := r.Parts
 	if len(parts) > 1 {
@@ -64,83 +62,83 @@
 type Outgoing struct {
 	Request *Request
 	Target  balance.Target
-	// Left is how long the target may take; zero for no bound.
+	// TimeLeft is how long the target may take; zero means no limit.
 	TimeLeft time.Duration
 	// Workspace is the name of the key's workspace; empty on public routes.
 	Workspace string
-	// Rank is the urgency, 0 first, at most 9.
+	// Rank is the priority, from 0 (first) to 9.
 	Rank int
 	// FetchFrom is the address of a target that may hold the prompt's prefix.
 	FetchFrom string
-	// After is the id of the last event that the caller has; empty for none.
+	// LastEventID is the ID of the last event that the caller has; empty for none.
 	LastEventID string
-	// Reuse allows a kept connection that has rested for a while; a request
-	// that may not be repeated isn't risked on one.
+	// ReuseIdle allows a kept connection that has been idle for a while. A request that may not be
+	// repeated doesn't use one: it must not be exposed to the risk.
 	ReuseIdle bool
 }
 
-// Answer is a target's answer, whose head has been read.
+// Answer is a target's answer whose headers have been read.
 type Answer struct {
 	Status int
-	// Header is what is passed on to the caller.
+	// Header holds the headers to pass on to the caller.
 	Header http.Header
-	// Size is the body's length in bytes; -1 if it isn't known.
+	// Size is the length of the body in bytes, or -1 if it isn't known.
 	Size int64
-	// Body ends with io.EOF only if the answer is whole. Close ends the
-	// attempt if it isn't over.
+	// Body ends with io.EOF only if the answer is complete. Close ends the attempt if it isn't
+	// over.
 	Body io.ReadCloser
-	// NotRun says that the target did not run the request and will not.
+	// NotRun means that the target did not run the request and will not.
 	NotRun bool
-	// Misdirected says that it was not for the target that answered: the one that was meant
-	// is no longer at its address. NotRun holds too.
+	// Misdirected means that another target answered: the intended one is no longer at its address.
+	// NotRun is set too.
 	Misdirected bool
-	// Signed says that the answer carries the target's signature.
+	// Signed means that the answer carries the target's signature.
 	Signed bool
-	// Load is what the target said of its load; nil if nothing.
+	// Load is the load that the target reported; nil if it reported none.
 	Load *balance.Load
-	// Notice is what the target said of itself besides, in this answer and in any that
-	// stood before it.
+	// Notice holds the target's other reports about itself, in this answer and in any interim
+	// answers before it.
 	Notice balance.Notice
 }
 
 // SendError is an attempt without a usable answer.
 type SendError struct {
-	// Sent says that bytes of the request may have reached the target.
+	// Sent means that bytes of the request may have reached the target.
 	Sent bool
-	// Unreachable says that no connection could be made, and Refused that this
-	// was since nothing listens at the target's address.
+	// Unreachable means that no connection could be made, and Refused that the reason is a refused
+	// connection: nothing listens at the target's address.
 	Unreachable bool
 	Refused     bool
-	// Notice is what the target said of itself in what was read.
+	// Notice holds the target's reports about itself in what was read.
 	Notice balance.Notice
 	Err    error
 }
 
-// Error gives the cause.
+// Error returns the text of the cause.
 func (e *SendError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Err }
 
 // Sender sends requests to targets.
 type Sender interface {
-	// Send returns once the head of the answer has been read. When the
-	// context ends, the attempt's connection is closed. Before the first byte
-	// is written, admit is asked; if it refuses, nothing is sent.
+	// Send returns once the headers of the answer have been read. When the context ends, the
+	// connection of the attempt is closed. Send calls admit before it writes the first byte; if
+	// admit returns an error, nothing is sent.
 	Send(ctx context.Context, out *Outgoing, admit func() error) (*Answer, *SendError)
 }
 
 // Responder passes an answer on to the caller.
 type Responder interface {
-	// Begin sends the head; size is the body's length, or -1.
+	// Begin sends the status and the headers; size is the length of the body, or -1.
 	Begin(status int, header http.Header, size int64) error
-	// Write sends a part of the body and does not keep it back.
+	// Write sends a part of the body without buffering it.
 	Write(data []byte) error
-	// Refuse sends a whole answer of the router's own.
+	// Refuse sends a complete answer of the router's own.
 	Refuse(refusal *fault.Error) error
-	// Interrupt makes a Write that is under way, and all later ones, fail. It may be called
-	// at any time until the request has been served.
+	// Interrupt makes a running Write and all later ones fail. It may be called at any time until
+	// the request has been served.
 	Interrupt()
-	// Abort ends a begun answer so that it can't look complete.
+	// Abort ends an answer that has begun in a way that can't look complete.
 	Abort()
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -7,8 +7,8 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// maxSilenceToHead is how long the target may take to the head of its answer
-// before the attempt may be left for another target; zero for no such bound.
+// maxSilenceToHead returns how long the target may take to the headers of its answer before the
+// attempt may be abandoned for another target; zero means no limit.
 func (a *attempt) maxSilenceToHead() time.Duration {
 	route := a.call.route
 	if route.TargetLatency <= 0 {
@@ -21,13 +21,13 @@
 	return max(minSilence, time.Duration(share*float64(route.TargetLatency)))
 }
 
-// maxSilenceBetweenEvents is the same between two events.
+// maxSilenceBetweenEvents returns the same limit between two events.
 func (a *attempt) maxSilenceBetweenEvents() time.Duration {
 	return time.Duration(maxSilenceGaps * float64(a.call.route.TargetGap))
 }
 
-// watch ends the attempt after a silence, if the delivery allows another
-// target and the budget pays for it. Each call begins the time anew.
+// startSilenceTimer abandons the attempt after a silence, if the delivery allows another target and
+// the retry budget pays for it. Each call restarts the timer.
 func (a *attempt) startSilenceTimer(ctx context.Context, silence time.Duration) {
 	if silence <= 0 || !a.call.delivery.MayAbandon() {
 		return
@@ -44,7 +44,7 @@
 	a.timer = time.AfterFunc(silence, func() { a.onSilence(ctx) })
 }
 
-// leave ends a silent attempt.
+// onSilence abandons a silent attempt.
 func (a *attempt) onSilence(ctx context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,14 +52,14 @@
 		return
 	}
 	if !a.call.takeRetry(ctx) {
-		a.startLivenessTimer() // it can't go on elsewhere
+		a.startLivenessTimer() // it can't continue at another target
 		return
 	}
 	a.abandoned = true
 	a.cancel()
 }
 
-// stopSilenceTimer ends the watch; the attempt can't be left any more.
+// stopSilenceTimer stops the timer; the attempt can no longer be abandoned.
 func (a *attempt) stopSilenceTimer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Where links lose packets, an event whose packet is lost comes a retransmission time-out
-// later, and those behind it with it. Fewer packets are lost fewer times: while streams from
-// targets show such losses, the events of a stream that come within a window go to its caller
-// in one write. Where none are lost each event goes at once.
+// On links that lose packets, an event whose packet is lost arrives one retransmission timeout
+// late, together with the events behind it. Sending fewer packets reduces how often that happens.
+// While streams from targets show such losses, the events of a stream that arrive within a window
+// are written to its caller at once. Without losses each event is passed on immediately.
 const (
-	// minStall is just below the shortest time-out after which usual systems send a packet
-	// again (200 ms; RFC 6298 asks for a second).
+	// minStall is just below the shortest timeout after which common systems retransmit a packet
+	// (200 ms; RFC 6298 recommends a second).
 	minStall = 180 * time.Millisecond
-	// minEventsBehind is how many events must have come behind a late one: a target that works
-	// slowly makes none meanwhile, and one that was held up makes them one by one.
+	// minEventsBehind is how many events must have arrived behind a late one. A target that works
+	// slowly produces none meanwhile, and one that was paused produces them one by one.
 	minEventsBehind = 2
-	// stallHalfLife is how fast what was seen fades.
+	// stallHalfLife is the half-life of the counts.
 	stallHalfLife = 20 * time.Second
-	// minStallShare of the events must have come after a stall, and at least minStalls of
-	// them, for events to be kept.
+	// minStallShare is the share of the events that must have arrived after a stall, and minStalls
+	// their minimum count, for events to be written together.
 	minStallShare = 0.0004
 	minStalls     = 1.5
 )
 
-// stalls counts events that came late together, over all streams of a process; older ones
-// count less. It is safe for concurrent use.
+// stalls counts events that arrived late together, over all streams of a process, with exponential
+// decay. It is safe for concurrent use.
 type stalls struct {
 	mu        sync.Mutex
 	events    float64
@@ -34,7 +34,8 @@
 	updatedAt time.Time
 }
 
-// note notes an event that was waited for so long, with so many whole ones behind it.
+// record records an event that was awaited for the given time, with eventsBehind complete events
+// behind it.
 func (s *stalls) record(waited time.Duration, eventsBehind int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// fade lets older events count less; s.mu is held.
+// fade applies the decay up to now; s.mu must be held.
 func (s *stalls) fade(now time.Time) {
 	factor := math.Exp2(-max(now.Sub(s.updatedAt), 0).Seconds() / stallHalfLife.Seconds())
 	s.events *= factor
@@ -53,7 +54,7 @@
 	s.updatedAt = now
 }
 
-// many says whether so many events come late together that it pays to send fewer packets.
+// frequent reports whether so many events arrive late together that it pays to send fewer packets.
 func (s *stalls) frequent(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,11 +62,11 @@
 	return s.stalled >= minStalls && s.stalled >= minStallShare*s.events
 }
 
-// maxDelayShare of the time within which callers want an event is how long it may be kept: the
-// rest is for its way, on which a packet may be lost too.
+// maxDelayShare is the share of the time within which callers want an event that the event may be
+// held back. The rest is for its transfer, where a packet may be lost too.
 const maxDelayShare = 0.4
 
-// window is how long the events of a new stream are kept to go in one write.
+// writeWindow returns for how long the events of a new stream are collected for one write.
 func (g *Gateway) writeWindow(now time.Time) time.Duration {
 	if g.Options.StreamDelay == 0 || !g.stalls.frequent(now) {
 		return 0
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,8 +12,8 @@
 	"github.com/capersaddle/capersaddle/internal/delivery"
 )
 
-// passStream passes whole events on as they come. A resumed stream goes on
-// under the head that the caller already has.
+// passStream passes on complete events as they arrive. A resumed stream continues under the headers
+// that the caller already has.
 func (a *attempt) passStream(ctx context.Context, answer *Answer) bool {
 	source := newEventReader(answer.Body)
 	paused := false
@@ -32,7 +32,7 @@
 		}
 		a.recordEvent(asked)
 		a.recordStall(clock.Since(asked), source)
-		// A pause before the end of a stream that broke off is its target's.
+		// A pause before the end of a stream that broke off is attributed to its target.
 		paused = paused || a.events > 0 && a.isLongPause(clock.Since(asked))
 		if err := a.passEventUnwatched(answer, event); err != nil {
 			a.failWriting(err)
@@ -45,8 +45,8 @@
 	}
 }
 
-// recordEvent notes the arrival of an event that was waited for from a moment on. The time
-// that it takes to pass events on is the caller's, not the target's.
+// recordEvent records the arrival of an event that was awaited since the given time. The time taken
+// to pass events on is the caller's, not the target's, and doesn't count.
 func (a *attempt) recordEvent(asked time.Time) {
 	a.recordContact(clock.Now())
 	a.liveness.eventSeen.Store(true)
@@ -58,8 +58,8 @@
 	a.eventSpan += clock.Since(asked)
 }
 
-// recordStall notes whether an event came late together with others. A delay of this process
-// itself looks alike, and is none.
+// recordStall records whether an event arrived late together with others. A delay of this process
+// looks the same and isn't counted.
 func (a *attempt) recordStall(waited time.Duration, source *eventReader) {
 	if a.events == 0 || a.isProcessLate() {
 		return
@@ -67,18 +67,19 @@
 	a.call.gateway.stalls.record(waited, source.bufferedEvents(), clock.Now())
 }
 
-// longPauseShare of the longest pause that callers want is how long a pause counts
-// as a halt.
+// longPauseShare is the share of the target gap, the longest pause that callers want, from which a
+// pause counts as long.
 const longPauseShare = 0.5
 
-// isLongPause says whether a pause between two events is one that a target which
-// works does not make by itself.
+// isLongPause reports whether a pause between two events is longer than a working target makes by
+// itself.
 func (a *attempt) isLongPause(pause time.Duration) bool {
 	maxGap := a.call.route.TargetGap
 	return maxGap > 0 && pause > time.Duration(longPauseShare*float64(maxGap))
 }
 
-// passEventUnwatched passes an event on. As long as that takes, the target is not heard.
+// passEventUnwatched passes an event on. Nothing is read from the target meanwhile, so its silence
+// doesn't count.
 func (a *attempt) passEventUnwatched(answer *Answer, event []byte) error {
 	a.liveness.passing.Store(true)
 	defer a.liveness.passing.Store(false)
@@ -87,7 +88,7 @@
 	return err
 }
 
-// passEvent sends the head before the first event.
+// passEvent sends the headers before the first event.
 func (a *attempt) passEvent(answer *Answer, event []byte) error {
 	if err := a.beginStream(answer); err != nil {
 		return err
@@ -104,7 +105,7 @@
 	return a.call.responder.Begin(answer.Status, answer.Header, -1)
 }
 
-// endStream ends a stream whose target ended it whole.
+// endStream ends a stream that its target ended completely.
 func (a *attempt) endStream(answer *Answer) bool {
 	if err := a.beginStream(answer); err != nil {
 		a.failWriting(err)
@@ -114,7 +115,7 @@
 	return true
 }
 
-// cut notes a stream that broke off.
+// failStream records that a stream broke off.
 func (a *attempt) failStream(err error) {
 	a.err = errors.Wrapf(err, "after %d events", a.events)
 	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -11,39 +11,39 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// A stream that can't go on elsewhere, at a target that is gone without a trace, would
-// keep its caller until its deadline. It is ended once several gateways know that the
-// target is dark and nothing has come from it here for longer than is usual: neither
-// alone is enough. Source: docs/design/dark-targets.md.
+// A stream that can't continue elsewhere, at a target that disappeared without closing its
+// connections, would keep its caller waiting until the deadline. The stream is ended once several
+// gateways suspect the target and nothing has arrived from it here for longer than usual. Neither
+// of these is enough alone. Source: docs/design/dark-targets.md.
 
 const (
-	// unresponsiveInterval is the time between two looks at a stream's target: what gateways suspect
-	// is known for 1.5 s, and callers wait for seconds.
+	// unresponsiveInterval is the time between two checks of a stream's target: suspicions of
+	// gateways are known for 1.5 s, and callers wait for seconds.
 	unresponsiveInterval = 200 * time.Millisecond
-	// minUnresponsiveSilence is the least silence that counts, for routes that name no times: engines
-	// pause for less while they read another prompt.
+	// minUnresponsiveSilence is the minimum silence that counts, needed for routes without target
+	// times: engines pause for less than this while they prefill another prompt.
 	minUnresponsiveSilence = 500 * time.Millisecond
-	// meanWeight is the share of a new sample in the moving mean of a route's times to
-	// the first event, and in that of how far they are from it; maxDeviations of these
-	// above the mean is unusual.
+	// meanWeight is the weight of a new sample in the moving mean of a route's times to the first
+	// event, and in the moving mean of the deviations from it. A time more than maxDeviations such
+	// deviations above the mean is unusual.
 	meanWeight    = 0.05
 	maxDeviations = 4
 )
 
-var errUnresponsive = errors.New("the target is dark: several gateways lost requests there, and nothing comes from it")
+var errUnresponsive = errors.New("the target is unresponsive: several gateways lost requests there and nothing arrives from it")
 
-// contact is when something last came from a target, in any attempt since the first of
-// those that are under way there.
+// contact records when something last arrived from a target, in any attempt since the first of
+// those in flight there.
 type contact struct {
 	began time.Time
-	// heard is the time from began to then, in nanoseconds.
+	// sinceBegan is the time from began to the last arrival, in nanoseconds.
 	sinceBegan atomic.Int64
 	attempts   int
 }
 
 func (c *contact) record(now time.Time) { c.sinceBegan.Store(int64(now.Sub(c.began))) }
 
-// last is when something came, at the earliest at the given time.
+// last returns when something last arrived, or from if that is later.
 func (c *contact) last(from time.Time) time.Time {
 	if at := c.began.Add(time.Duration(c.sinceBegan.Load())); at.After(from) {
 		return at
@@ -51,7 +51,7 @@
 	return from
 }
 
-// contacts are those of the targets with streams under way, by id.
+// contacts holds the contact with each target that has streams in flight, by incarnation.
 type contacts struct {
 	mu      sync.Mutex
 	targets map[string]*contact
@@ -72,7 +72,7 @@
 	return known
 }
 
-// note notes an answer of a target.
+// record records an answer of a target.
 func (c *contacts) record(target string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,14 +90,14 @@
 	}
 }
 
-// firstEventTimes are how long routes' streams take to their first events, by name. Routes
-// that the configuration drops stay: a few numbers each.
+// firstEventTimes holds how long the streams of each route take to their first event, by route
+// name. Routes removed from the configuration are kept: they cost a few numbers each.
 type firstEventTimes struct {
 	mu     sync.Mutex
 	routes map[string]firstEventTime
 }
 
-// firstEventTime is the moving mean, and the mean distance from it, in seconds.
+// firstEventTime is the moving mean of the times and the mean deviation from it, in seconds.
 type firstEventTime struct {
 	mean, spread float64
 }
@@ -119,7 +119,7 @@
 	u.routes[route] = known
 }
 
-// most is the longest time that is usual; zero if nothing is known.
+// maxUsual returns the longest usual time, or zero if nothing is known.
 func (u *firstEventTimes) maxUsual(route string) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -127,26 +127,27 @@
 	return time.Duration((known.mean + maxDeviations*known.spread) * float64(time.Second))
 }
 
-// livenessWatch is what a stream's attempt knows of a target that may be dark.
+// livenessWatch is the state of a stream's attempt that is needed to detect an unresponsive target.
 type livenessWatch struct {
 	contact *contact
-	// passing says that an event is being passed on: nothing is read meanwhile.
+	// passing means that an event is being passed on: nothing is read meanwhile.
 	passing atomic.Bool
-	// begun says that an event has come.
+	// eventSeen means that an event has arrived.
 	eventSeen atomic.Bool
-	// suspectedAt is when the target had last been heard of when several gateways were
-	// last known to doubt it; zero if they never were.
+	// suspectedAt is the time of the last contact with the target when several gateways were last
+	// known to suspect it; zero if they never did.
 	suspectedAt time.Time
-	// timer is nil where nobody looks, or no longer; nextCheck is when it is to fire.
+	// timer is nil if the target isn't checked, or no longer; nextCheck is when the timer is to
+	// fire.
 	timer     *time.Timer
 	nextCheck time.Time
-	// ended says that the attempt was ended since its target is dark, and closed that it
-	// is over.
+	// ended means that the attempt was ended because its target is unresponsive, and closed that
+	// the attempt is over.
 	ended, closed bool
 }
 
-// watchLiveness begins to look at a stream's target; the result ends it. Others are
-// left for another target, or wait.
+// watchLiveness starts to check a stream's target; the returned function stops the checks. Attempts
+// that aren't streams switch to another target, or wait.
 func (a *attempt) watchLiveness() (stop func()) {
 	if a.call.route.Kind != routing.Stream {
 		return func() {}
@@ -170,7 +171,8 @@
 	}
 }
 
-// startLivenessTimer begins to look at a stream's target, if nobody does yet; a.mu is held.
+// startLivenessTimer starts to check a stream's target unless that has been started; a.mu must be
+// held.
 func (a *attempt) startLivenessTimer() {
 	if a.liveness.timer == nil && a.liveness.contact != nil && !a.liveness.closed {
 		a.liveness.nextCheck = clock.Now().Add(unresponsiveInterval)
@@ -178,8 +180,8 @@
 	}
 }
 
-// checkLiveness ends the attempt if its target is dark. A look that comes late sees nothing: this
-// process stood still, and may not have read yet what has come.
+// checkLiveness ends the attempt if its target is unresponsive. A late check does nothing: this
+// process was paused and may not have read yet what has arrived.
 func (a *attempt) checkLiveness() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,8 +199,8 @@
 	a.liveness.timer.Reset(unresponsiveInterval)
 }
 
-// isUnresponsive says whether the target is known to be gone: doubted since it was last heard of,
-// and silent for longer than it usually is. a.mu is held.
+// isUnresponsive reports whether the target is known to be gone: suspected since the last contact,
+// and silent for longer than usual. a.mu must be held.
 func (a *attempt) isUnresponsive(now time.Time) bool {
 	last := a.liveness.contact.last(a.started)
 	if a.liveness.passing.Load() || now.Sub(last) < unresponsiveInterval {
@@ -210,7 +212,7 @@
 	return a.liveness.suspectedAt.Equal(last) && now.Sub(last) >= a.maxUsualSilence()
 }
 
-// maxUsualSilence is the longest one that the target's working explains.
+// maxUsualSilence returns the longest silence that a working target explains.
 func (a *attempt) maxUsualSilence() time.Duration {
 	if a.liveness.eventSeen.Load() {
 		return max(minUnresponsiveSilence, a.maxSilenceBetweenEvents())
@@ -218,13 +220,13 @@
 	return max(minUnresponsiveSilence, a.maxSilenceToHead(), a.call.gateway.firstEventTimes.maxUsual(a.call.route.Name))
 }
 
-// recordContact notes that something came from a stream's target, or that its events are
-// read again.
+// recordContact records that something arrived from a stream's target, or that its events are read
+// again.
 func (a *attempt) recordContact(now time.Time) {
 	a.liveness.contact.record(now)
 }
 
-// endedUnresponsive says whether the attempt was ended since its target is dark.
+// endedUnresponsive reports whether the attempt was ended because its target is unresponsive.
 func (a *attempt) endedUnresponsive() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -9,8 +9,8 @@
 	"github.com/capersaddle/capersaddle/internal/rollout"
 )
 
-// assign asks which versions of targets the next attempt may go to. Finding a holder of
-// the prompt, waiting for a reading of it and the choice all go by the same answer.
+// assignVersions determines which versions of targets the next attempt may use. The lookup of a
+// cache holder, the wait for a prefill and the choice of a target all use the same assignment.
 func (c *call) assignVersions(now time.Time) {
 	gate := c.gateway.Rollouts
 	if gate == nil {
@@ -26,19 +26,19 @@
 	}
 }
 
-// assignmentTTL is how old an assignment may be when a target is chosen by it: a version
-// that is halted gets nothing more from those who wait.
+// assignmentTTL is the maximum age of an assignment when a target is chosen by it, so that requests
+// that wait send nothing more to a version that is halted.
 const assignmentTTL = 20 * time.Millisecond
 
-// refreshAssignment does so again where the call has waited since. What it held of a version's
-// share it most likely gets again.
+// refreshAssignment renews the assignment if the call has waited since. It most likely gets the
+// same share of a version again.
 func (c *call) refreshAssignment(now time.Time) {
 	if now.Sub(c.assignedAt) > assignmentTTL {
 		c.assignVersions(now)
 	}
 }
 
-// choose picks a target for an attempt and counts it for the roll-out of its version.
+// chooseTarget picks a target for an attempt and counts it for the rollout of its version.
 func (c *call) chooseTarget(now time.Time) (balance.Pick, bool) {
 	pick, ok := c.gateway.Balancer.Choose(c.attemptQuery(), now)
 	if c.gateway.Rollouts == nil {
@@ -56,8 +56,8 @@
 	return pick, true
 }
 
-// awaitRollout waits for the news that the version on trial takes all requests, where no other target
-// is open and some of the version are; false if none came in time.
+// awaitRollout waits for the rollout to admit all requests to the version on trial, if no other
+// target is open and some of that version are. It returns false if that doesn't happen in time.
 func (c *call) awaitRollout(ctx context.Context, now time.Time) bool {
 	gate := c.gateway.Rollouts
 	if gate == nil || !c.gateway.Balancer.Has(c.promptQuery(), now) {
@@ -80,7 +80,7 @@
 	return c.gateway.Balancer.Has(c.attemptQuery(), later)
 }
 
-// returnAssignment returns an assignment that no attempt followed.
+// returnAssignment returns an assignment that no attempt used.
 func (c *call) returnAssignment() {
 	if c.assignmentUnused {
 		c.gateway.Rollouts.Unused(c.assignment)
@@ -88,7 +88,7 @@
 	}
 }
 
-// admitting are the versions that take a service's requests at all.
+// admittingVersions returns the versions that take any requests of a service.
 func (g *Gateway) admittingVersions(service string, now time.Time) balance.Versions {
 	if g.Rollouts == nil {
 		return balance.Versions{}
@@ -96,7 +96,7 @@
 	return g.Rollouts.Admitting(service, now)
 }
 
-// observe tells the roll-out of the target's version how the attempt ended.
+// reportToRollout reports to the rollout of the target's version how the attempt ended.
 func (a *attempt) reportToRollout(now time.Time) {
 	gate := a.call.gateway.Rollouts
 	if gate == nil {
@@ -120,8 +120,9 @@
 	}, now)
 }
 
-// endings are what results say of a target's version. That nothing listens at an address,
-// or can't be reached, says nothing of what runs there, nor does a full target.
+// rolloutEndings maps the results of attempts to evidence about the target's version. An address
+// that refuses connections or can't be reached says nothing about what runs there, and neither does
+// a full target.
 var rolloutEndings = map[balance.Result]rollout.Ending{
 	balance.Good:        rollout.Answered,
 	balance.Bad:         rollout.Failed,
