--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -21,50 +21,50 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// knocks is a Knocker and Spreader that notes what it is asked and told.
-type knocks struct {
+// fakeProber is a PortProber, PeerNotifier and CrashWatcher that records its calls.
+type fakeProber struct {
 	refuses atomic.Bool
-	count   atomic.Int32
+	probes  atomic.Int32
 
-	mu     sync.Mutex
-	spread []quarantine.Change
-	noted  []string
-	held   []string
+	mu          sync.Mutex
+	sentToPeers []quarantine.Change
+	crashed     []string
+	heldBack    []string
 }
 
-func (k *knocks) ProbePort(context.Context, balance.Target) bool {
-	k.count.Add(1)
+func (k *fakeProber) ProbePort(context.Context, balance.Target) bool {
+	k.probes.Add(1)
 	return k.refuses.Load()
 }
 
-func (k *knocks) Refused(string) {}
+func (k *fakeProber) Refused(string) {}
 
-func (k *knocks) Spread(change quarantine.Change) {
+func (k *fakeProber) Spread(change quarantine.Change) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.spread = append(k.spread, change)
+	k.sentToPeers = append(k.sentToPeers, change)
 }
 
-func (k *knocks) TrialPlace(quarantine.Fingerprint) int { return 0 }
+func (k *fakeProber) TrialPlace(quarantine.Fingerprint) int { return 0 }
 
-func (k *knocks) TrialBegan(string, quarantine.Change) {}
+func (k *fakeProber) TrialBegan(string, quarantine.Change) {}
 
-func (k *knocks) CrashNoted(target string, _ quarantine.Change) {
+func (k *fakeProber) CrashNoted(target string, _ quarantine.Change) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.noted = append(k.noted, target)
+	k.crashed = append(k.crashed, target)
 }
 
-func (k *knocks) QuarantineChanged(change quarantine.Change, peer string) {
+func (k *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.held = append(k.held, peer+change.Print.String())
+	k.heldBack = append(k.heldBack, peer+change.Print.String())
 }
 
-// watched has a world find out which requests were under way when targets ended.
-func watched(t *testing.T, w *world) *knocks {
+// startCrashes gives the gateway a running Crashes.
+func startCrashes(t *testing.T, w *testGateway) *fakeProber {
 	t.Helper()
-	k := new(knocks)
+	k := new(fakeProber)
 	crashes := gateway.NewCrashes(quarantine.New(), w.gateway.Balancer, k, k)
 	crashes.Peers = k
 	w.gateway.Crashes = crashes
@@ -73,8 +73,8 @@
 	return k
 }
 
-// only leaves one target, which has begun at a moment.
-func only(w *world, born int64) balance.Target {
+// keepOneTarget leaves a single target, with the given start time.
+func keepOneTarget(w *testGateway, born int64) balance.Target {
 	for _, id := range []string{"a", "b", "c"} {
 		w.gateway.Balancer.SetUnusable(id)
 	}
@@ -83,57 +83,59 @@
 	return target
 }
 
-// TestWhatCountsAsACrash: a lost request is held against nobody unless its target's life has
-// ended without a plan while it was there.
-func TestWhatCountsAsACrash(t *testing.T) {
-	nothing := func(*world, *knocks, balance.Target) {}
-	refuses := func(_ *world, k *knocks, _ balance.Target) { k.refuses.Store(true) }
-	drops := func(w *world, _ *knocks, target balance.Target) { w.gateway.Balancer.Drop(target.ID, time.Now()) }
-	restarts := func(w *world, _ *knocks, target balance.Target) {
+// TestCrashDetection checks that a lost request counts against itself only if its target ended
+// unplanned while the request was in flight there.
+func TestCrashDetection(t *testing.T) {
+	nothing := func(*testGateway, *fakeProber, balance.Target) {}
+	refuses := func(_ *testGateway, k *fakeProber, _ balance.Target) { k.refuses.Store(true) }
+	drops := func(w *testGateway, _ *fakeProber, target balance.Target) {
+		w.gateway.Balancer.Drop(target.ID, time.Now())
+	}
+	restarts := func(w *testGateway, _ *fakeProber, target balance.Target) {
 		target.Born++
 		w.gateway.Balancer.Put(target, time.Now())
 	}
-	leaves := func(w *world, _ *knocks, target balance.Target) {
+	leaves := func(w *testGateway, _ *fakeProber, target balance.Target) {
 		target.Leaving = true
 		w.gateway.Balancer.Put(target, time.Now())
 	}
-	refusedElsewhere := func(w *world, _ *knocks, target balance.Target) {
+	refusedElsewhere := func(w *testGateway, _ *fakeProber, target balance.Target) {
 		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Life())>>32), time.Now())
 	}
-	type step = func(w *world, k *knocks, target balance.Target)
+	type step = func(w *testGateway, k *fakeProber, target balance.Target)
 	cases := map[string]struct {
 		answer script
 		path   string
-		// during happens while the request is under way, after at a time after it.
+		// during runs while the request is in flight, after runs at after its end.
 		during, after step
 		at            time.Duration
 		counts        bool
 	}{
-		"a reset alone":                        {answer: lost, after: nothing},
-		"a reset, and nothing listens":         {answer: lost, during: refuses, after: nothing, counts: true},
-		"a reset, nothing listens a bit later": {answer: lost, after: refuses, at: 100 * time.Millisecond, counts: true},
-		"a reset, and the entry goes":          {answer: lost, after: drops, at: 4 * time.Second, counts: true},
-		"a reset, and another life":            {answer: lost, after: restarts, at: 3 * time.Second, counts: true},
-		"a reset, refused at another gateway":  {answer: lost, after: refusedElsewhere, at: time.Second, counts: true},
-		"a reset, long before the end":         {answer: lost, after: drops, at: 10 * time.Second},
-		"a stream broken off":                  {answer: stream(one, io.ErrUnexpectedEOF), path: "/stream/x", during: refuses, after: nothing, counts: true},
-		"a stream broken off, and it lives":    {answer: stream(one, io.ErrUnexpectedEOF), path: "/stream/x", after: nothing},
-		"silence, and another life":            {answer: silent, during: restarts, after: nothing, counts: true},
-		"silence alone":                        {answer: silent, after: nothing},
-		"a failure that was answered":          {answer: whole(500, "no"), during: refuses, after: drops},
-		"turned away":                          {answer: rejected, during: refuses, after: drops},
-		"a whole answer":                       {answer: whole(200, "yes"), during: refuses, after: drops},
-		"a planned stop":                       {answer: lost, during: leaves, after: drops},
-		"a planned stop after the entry went":  {answer: lost, during: drops, after: refusedElsewhere},
-		"stopped by plan after the loss":       {answer: lost, after: leaves, at: time.Second},
+		"a reset alone":                              {answer: lost, after: nothing},
+		"a reset, and connections refused":           {answer: lost, during: refuses, after: nothing, counts: true},
+		"a reset, connections refused later":         {answer: lost, after: refuses, at: 100 * time.Millisecond, counts: true},
+		"a reset, and the entry is removed":          {answer: lost, after: drops, at: 4 * time.Second, counts: true},
+		"a reset, and a new incarnation":             {answer: lost, after: restarts, at: 3 * time.Second, counts: true},
+		"a reset, refused at another gateway":        {answer: lost, after: refusedElsewhere, at: time.Second, counts: true},
+		"a reset, long before the end":               {answer: lost, after: drops, at: 10 * time.Second},
+		"a stream broken off":                        {answer: stream(one, io.ErrUnexpectedEOF), path: "/stream/x", during: refuses, after: nothing, counts: true},
+		"a stream broken off, target alive":          {answer: stream(one, io.ErrUnexpectedEOF), path: "/stream/x", after: nothing},
+		"silence, and a new incarnation":             {answer: silent, during: restarts, after: nothing, counts: true},
+		"silence alone":                              {answer: silent, after: nothing},
+		"a failure that was answered":                {answer: respond(500, "no"), during: refuses, after: drops},
+		"rejected":                                   {answer: rejected, during: refuses, after: drops},
+		"a whole answer":                             {answer: respond(200, "yes"), during: refuses, after: drops},
+		"a planned stop":                             {answer: lost, during: leaves, after: drops},
+		"a planned stop after the entry was removed": {answer: lost, during: drops, after: refusedElsewhere},
+		"stopped by plan after the loss":             {answer: lost, after: leaves, at: time.Second},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(nil)
-				k := watched(t, w)
-				target := only(w, 1000)
+				w := newTestGateway(nil)
+				k := startCrashes(t, w)
+				target := keepOneTarget(w, 1000)
 				w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					time.Sleep(20 * time.Millisecond)
 					if tc.during != nil {
@@ -151,20 +153,20 @@
 				tc.after(w, k, target)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				is.Equal(len(k.noted) == 1, tc.counts)
+				is.Equal(len(k.crashed) == 1, tc.counts)
 				is.Equal(len(w.gateway.Crashes.Table.Records(time.Now())) == 1, tc.counts)
 			})
 		})
 	}
 }
 
-// TestACallerWhoLeftIsNoCrash: the connection ended since the caller left, and the target a
-// moment later for another reason.
-func TestACallerWhoLeftIsNoCrash(t *testing.T) {
+// TestDisconnectedCallerIsNoCrash covers a connection that ends because the caller disconnected,
+// shortly before the target ends for another reason.
+func TestDisconnectedCallerIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(silent)
-		k := watched(t, w)
+		w := newTestGateway(silent)
+		k := startCrashes(t, w)
 		k.refuses.Store(true)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
@@ -173,32 +175,32 @@
 			w.gateway.Balancer.Drop(id, time.Now())
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(len(k.noted), 0)
-		is.Equal(k.count.Load(), int32(0))
+		is.Equal(len(k.crashed), 0)
+		is.Equal(k.probes.Load(), int32(0))
 	})
 }
 
-// TestATargetThatAnswersLives: what it lost before it did not lose with its life, though that
-// ends soon.
-func TestATargetThatAnswersLives(t *testing.T) {
+// TestLossBeforeAnswerIsNoCrash checks that an answer of the target shows that earlier losses were
+// not caused by its end, even if it ends soon after.
+func TestLossBeforeAnswerIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(lost, whole(200, "yes"))
-		k := watched(t, w)
-		target := only(w, 1000)
+		w := newTestGateway(lost, respond(200, "yes"))
+		k := startCrashes(t, w)
+		target := keepOneTarget(w, 1000)
 		w.serve(t.Context(), "/once/x")
 		time.Sleep(time.Second)
 		w.serve(t.Context(), "/once/y")
 		w.gateway.Balancer.Drop(target.ID, time.Now())
 		time.Sleep(10 * time.Second)
-		is.Equal(len(k.noted), 0)
-		is.True(k.count.Load() <= 2) // tried twice, and no more
+		is.Equal(len(k.crashed), 0)
+		is.True(k.probes.Load() <= 2) // probed twice and not again
 	})
 }
 
-// TestATargetThatBeginsAgainKeepsNobody: requests at its life before waited for their
-// deadlines where their connections stayed silent.
-func TestATargetThatBeginsAgainKeepsNobody(t *testing.T) {
+// TestTargetRestartEndsAttempts covers requests at the previous incarnation of a target, which
+// waited until their deadlines if their connections stayed silent.
+func TestTargetRestartEndsAttempts(t *testing.T) {
 	cases := map[string]struct {
 		answer  script
 		path    string
@@ -206,18 +208,18 @@
 		body    string
 		aborted bool
 	}{
-		"no answer yet":       {answer: silent, path: "/get/x", status: http.StatusOK, body: one},
-		"not to be repeated":  {answer: silent, path: "/once/x", status: http.StatusBadGateway},
-		"a stream that halts": {answer: goesDark(one), path: "/resumable/x", status: http.StatusOK, body: one + one},
-		"a stream for once":   {answer: goesDark(one), path: "/stream/x", status: http.StatusOK, body: one, aborted: true},
+		"no answer yet":                  {answer: silent, path: "/get/x", status: http.StatusOK, body: one},
+		"not repeatable":                 {answer: silent, path: "/once/x", status: http.StatusBadGateway},
+		"a resumable stream":             {answer: streamThenSilence(one), path: "/resumable/x", status: http.StatusOK, body: one + one},
+		"a stream that can't be resumed": {answer: streamThenSilence(one), path: "/stream/x", status: http.StatusOK, body: one, aborted: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(tc.answer, stream(one, io.EOF))
-				watched(t, w)
-				target := only(w, 1000)
+				w := newTestGateway(tc.answer, stream(one, io.EOF))
+				startCrashes(t, w)
+				target := keepOneTarget(w, 1000)
 				time.AfterFunc(50*time.Millisecond, func() {
 					target.Born++
 					w.gateway.EndSuperseded(w.gateway.Balancer.Put(target, time.Now()).Outlived)
@@ -233,8 +235,8 @@
 	}
 }
 
-// hold has a request held back, as other gateways found out.
-func hold(w *world, subject quarantine.Subject) {
+// holdBack marks a request as held back, as other gateways found out.
+func holdBack(w *testGateway, subject quarantine.Subject) {
 	record := quarantine.Record{Print: subject.Fingerprint(), Lives: []quarantine.Life{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
@@ -243,44 +245,45 @@
 	return quarantine.Subject{Workspace: "w", Method: "POST", Host: "h", URI: path}
 }
 
-// TestAHeldRequestIsSentNoMore: by no way that is left to it, and its caller gets a final
-// answer at once.
-func TestAHeldRequestIsSentNoMore(t *testing.T) {
+// TestHeldBackRequestIsNotSent checks that a request that is held back isn't sent on any of the
+// remaining ways, and that its caller gets a final answer at once.
+func TestHeldBackRequestIsNotSent(t *testing.T) {
 	cases := map[string]struct {
 		path    string
 		scripts []script
-		// heldAt is which sending finds it held back; zero is before the first.
+		// heldAt is the number of the send during which the request becomes held back; zero means
+		// before the first.
 		heldAt  int
 		sends   int
 		kind    fault.Kind
 		state   fault.RunState
 		aborted bool
 	}{
-		"at once":                    {path: "/once/x", scripts: []script{whole(200, "yes")}, kind: fault.Quarantined, state: fault.NotRun},
-		"before its own retry":       {path: "/get/x", scripts: []script{lost, whole(200, "yes")}, heldAt: 1, sends: 1, kind: fault.TargetFailed, state: fault.Unknown},
-		"after it was turned away":   {path: "/once/x", scripts: []script{rejected, whole(200, "yes")}, heldAt: 1, sends: 1, kind: fault.Overloaded, state: fault.NotRun},
-		"before a stream goes on":    {path: "/resumable/x", scripts: []script{stream(one, io.ErrUnexpectedEOF), stream(two, io.EOF)}, heldAt: 1, sends: 1, aborted: true},
-		"before it goes on unbegun":  {path: "/resumable/x", scripts: []script{stream("", io.ErrUnexpectedEOF), stream(two, io.EOF)}, heldAt: 1, sends: 1, kind: fault.TargetFailed, state: fault.Unknown},
-		"instead of a silent target": {path: "/get/x", scripts: []script{silent, whole(200, "yes")}, heldAt: 1, sends: 1, kind: fault.Deadline, state: fault.Unknown},
+		"at once":                                   {path: "/once/x", scripts: []script{respond(200, "yes")}, kind: fault.Quarantined, state: fault.NotRun},
+		"before its own retry":                      {path: "/get/x", scripts: []script{lost, respond(200, "yes")}, heldAt: 1, sends: 1, kind: fault.TargetFailed, state: fault.Unknown},
+		"after it was rejected":                     {path: "/once/x", scripts: []script{rejected, respond(200, "yes")}, heldAt: 1, sends: 1, kind: fault.Overloaded, state: fault.NotRun},
+		"before a stream is resumed":                {path: "/resumable/x", scripts: []script{stream(one, io.ErrUnexpectedEOF), stream(two, io.EOF)}, heldAt: 1, sends: 1, aborted: true},
+		"before a stream without events is retried": {path: "/resumable/x", scripts: []script{stream("", io.ErrUnexpectedEOF), stream(two, io.EOF)}, heldAt: 1, sends: 1, kind: fault.TargetFailed, state: fault.Unknown},
+		"instead of a silent target":                {path: "/get/x", scripts: []script{silent, respond(200, "yes")}, heldAt: 1, sends: 1, kind: fault.Deadline, state: fault.Unknown},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(nil)
-				watched(t, w)
+				w := newTestGateway(nil)
+				startCrashes(t, w)
 				sends := 0
 				scripts := tc.scripts
 				w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if sends++; sends == tc.heldAt {
-						hold(w, subjectOf(tc.path))
+						holdBack(w, subjectOf(tc.path))
 					}
 					next := scripts[0]
 					scripts = scripts[1:]
 					return next(ctx, out)
 				}}
 				if tc.heldAt == 0 {
-					hold(w, subjectOf(tc.path))
+					holdBack(w, subjectOf(tc.path))
 				}
 				w.serve(t.Context(), tc.path)
 				is.Equal(sends, tc.sends)
@@ -291,7 +294,7 @@
 				}
 				if tc.kind == fault.Quarantined {
 					is.Equal(w.caller.status, http.StatusBadRequest)
-					is.Equal(w.caller.refusal.RetryAfter, time.Duration(0)) // nothing invites it back
+					is.Equal(w.caller.refusal.RetryAfter, time.Duration(0)) // nothing tells the caller to retry
 					is.Equal(w.caller.records[0].Took, time.Duration(0))
 				}
 				is.Equal(len(w.gateway.Balancer.InFlight()), 0)
@@ -300,30 +303,31 @@
 	}
 }
 
-// TestHeldBackRightBeforeTheFirstByte: it came to be so while a connection was made.
-func TestHeldBackRightBeforeTheFirstByte(t *testing.T) {
+// TestHeldBackWhileConnecting covers a request that becomes held back while a connection is made.
+func TestHeldBackWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(200, "yes"))
-		watched(t, w)
-		w.gateway.Sender = &lateSender{w.sender, func() { hold(w, subjectOf("/once/x")) }}
+		w := newTestGateway(respond(200, "yes"))
+		startCrashes(t, w)
+		w.gateway.Sender = &hookSender{w.sender, func() { holdBack(w, subjectOf("/once/x")) }}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(len(w.sender.sent), 0)
 		is.Equal(w.caller.refusal.Kind, fault.Quarantined)
 	})
 }
 
-// TestHeldBackWhileItWaits: for a part of its prompt that is being read for another request.
-func TestHeldBackWhileItWaits(t *testing.T) {
+// TestHeldBackDuringPrefillWait covers a request that becomes held back while it waits for the
+// prefill of a part of its prompt for another request.
+func TestHeldBackDuringPrefillWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(stream(one, io.EOF))
-		watched(t, w)
+		w := newTestGateway(stream(one, io.EOF))
+		startCrashes(t, w)
 		w.gateway.Apply(engineConfig())
 		part := gateway.Part{ID: "long", Tokens: 4000}
 		w.gateway.Balancer.LearnFills([]balance.Placement{{Part: uint32(policy.HashName("m/long") >> 32), Target: 7}}, time.Now())
 		request := &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: "/stream/x", Path: "/stream/x", Key: "key", Model: "m", Parts: []gateway.Part{part, {ID: "own", Tokens: 10}}, Arrived: time.Now()}
-		time.AfterFunc(100*time.Millisecond, func() { hold(w, subjectOf("/stream/x")) })
+		time.AfterFunc(100*time.Millisecond, func() { holdBack(w, subjectOf("/stream/x")) })
 		w.gateway.Serve(t.Context(), request, w.caller)
 		is.True(w.caller.records[0].PrefillWait >= 100*time.Millisecond)
 		is.Equal(len(w.sender.sent), 0)
@@ -331,23 +335,24 @@
 	})
 }
 
-// lateSender has something happen before it asks whether to send.
-type lateSender struct {
+// hookSender calls before ahead of each send.
+type hookSender struct {
 	*fakeSender
 	before func()
 }
 
-func (l *lateSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
+func (l *hookSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
 	l.before()
 	return l.fakeSender.Send(ctx, out, admit)
 }
 
-// TestInnocentsKeepTheirRetry: a request that was under way at one end goes on elsewhere.
-func TestInnocentsKeepTheirRetry(t *testing.T) {
+// TestRetryAfterSingleCrash checks that a request that was in flight at a single crash is retried
+// elsewhere.
+func TestRetryAfterSingleCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(lost, whole(200, "yes"))
-		k := watched(t, w)
+		w := newTestGateway(lost, respond(200, "yes"))
+		k := startCrashes(t, w)
 		k.refuses.Store(true)
 		w.gateway.Crashes.Merge(quarantine.Record{Print: subjectOf("/get/x").Fingerprint(), Lives: []quarantine.Life{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
@@ -358,19 +363,19 @@
 	})
 }
 
-// TestOtherRequestsAreServed: of the same caller, of other callers with the same body, and on
-// other paths.
-func TestOtherRequestsAreServed(t *testing.T) {
+// TestHeldBackDoesNotAffectOthers checks that other requests are served: those of the same caller,
+// of other callers with the same body, and on other paths.
+func TestHeldBackDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(whole(200, "yes"))
-		watched(t, w)
+		w := newTestGateway(respond(200, "yes"))
+		startCrashes(t, w)
 		config := config()
 		config.Version++
 		config.Workspaces = append(config.Workspaces, routing.Workspace{Name: "other", Keys: []string{"key-2"}})
 		w.gateway.Apply(config)
 		held := subjectOf("/once/x")
 		held.Body = []byte("body")
-		hold(w, held)
+		holdBack(w, held)
 		cases := map[string]struct {
 			path, key, body string
 			kind            fault.Kind
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEvents(t *testing.T) {
+func TestEventReader(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		ids  []string
@@ -46,8 +46,8 @@
 	}
 }
 
-// FuzzEvents: whole events come out byte for byte in order, and what is left
-// is no whole event.
+// FuzzEvents checks that complete events are returned byte for byte in order, and that the
+// remainder is not a complete event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\nrest"))
 	f.Add([]byte("\n\r\n\r\n\n"))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -22,10 +22,10 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// script is what one target does with one request.
+// script is the behavior of a target for one request.
 type script func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError)
 
-// fakeSender plays scripts in order; the last one stays.
+// fakeSender plays scripts in order and repeats the last one.
 type fakeSender struct {
 	mu      sync.Mutex
 	scripts []script
@@ -46,20 +46,20 @@
 	return next(ctx, out)
 }
 
-func whole(status int, body string) script {
+func respond(status int, body string) script {
 	return func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		return &gateway.Answer{Status: status, Header: http.Header{"Stamp": {"x"}}, Size: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)), Signed: true}, nil
 	}
 }
 
 func unsigned(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	answer, err := whole(http.StatusOK, "false")(ctx, out)
+	answer, err := respond(http.StatusOK, "false")(ctx, out)
 	answer.Signed = false
 	return answer, err
 }
 
 func rejected(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	answer, err := whole(http.StatusServiceUnavailable, "")(ctx, out)
+	answer, err := respond(http.StatusServiceUnavailable, "")(ctx, out)
 	answer.NotRun = true
 	return answer, err
 }
@@ -69,20 +69,20 @@
 }
 
 func unreachable(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	return nil, &gateway.SendError{Unreachable: true, Err: errors.New("no way there")}
+	return nil, &gateway.SendError{Unreachable: true, Err: errors.New("no route to host")}
 }
 
 func refused(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	return nil, &gateway.SendError{Unreachable: true, Refused: true, Err: errors.New("nothing listens")}
+	return nil, &gateway.SendError{Unreachable: true, Refused: true, Err: errors.New("connection refused")}
 }
 
-// silent says nothing until the attempt is ended.
+// silent sends nothing until the attempt is ended.
 func silent(ctx context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 	<-ctx.Done()
 	return nil, &gateway.SendError{Sent: true, Err: ctx.Err()}
 }
 
-// brokenBody gives its text and then an error.
+// brokenBody returns its text and then an error.
 type brokenBody struct {
 	text io.Reader
 	err  error
@@ -98,14 +98,14 @@
 
 func (b *brokenBody) Close() error { return nil }
 
-// stream answers with text, which breaks off with err; io.EOF ends it whole.
+// stream answers with text that ends with err; with io.EOF the answer is complete.
 func stream(text string, err error) script {
 	return func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &brokenBody{strings.NewReader(text), err}}, nil
 	}
 }
 
-// recorder is the caller and the log.
+// recorder is the caller and the event recorder.
 type recorder struct {
 	status  int
 	body    strings.Builder
@@ -113,7 +113,7 @@
 	refusal *fault.Error
 	aborted bool
 
-	// mu guards records, which all requests of a world add to.
+	// mu guards records and notices, which all requests of a test gateway add to.
 	mu      sync.Mutex
 	records []*gateway.RequestRecord
 	notices []*gateway.NoticeRecord
@@ -169,14 +169,14 @@
 	}
 }
 
-type world struct {
+type testGateway struct {
 	gateway *gateway.Gateway
 	sender  *fakeSender
 	caller  *recorder
 }
 
-func newWorld(scripts ...script) *world {
-	w := &world{sender: &fakeSender{scripts: scripts}, caller: new(recorder)}
+func newTestGateway(scripts ...script) *testGateway {
+	w := &testGateway{sender: &fakeSender{scripts: scripts}, caller: new(recorder)}
 	w.gateway = &gateway.Gateway{
 		Sender:   w.sender,
 		Balancer: balance.New(balance.DefaultOptions()),
@@ -193,7 +193,7 @@
 	return w
 }
 
-func (w *world) serve(ctx context.Context, path string) {
+func (w *testGateway) serve(ctx context.Context, path string) {
 	w.gateway.Serve(ctx, &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: path, Path: path, Key: "key", Arrived: time.Now()}, w.caller)
 }
 
@@ -213,35 +213,35 @@
 		state   fault.RunState
 		aborted bool
 	}{
-		"a whole answer":                        {[]script{whole(200, "yes")}, "/once/x", 1, 200, "yes", "", "", false},
-		"the target's own refusal":              {[]script{whole(404, "no")}, "/get/x", 1, 404, "no", "", "", false},
-		"not run goes elsewhere":                {[]script{rejected, whole(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
-		"unreachable goes elsewhere":            {[]script{unreachable, whole(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
+		"a whole answer":                        {[]script{respond(200, "yes")}, "/once/x", 1, 200, "yes", "", "", false},
+		"the target's own refusal":              {[]script{respond(404, "no")}, "/get/x", 1, 404, "no", "", "", false},
+		"not run is retried elsewhere":          {[]script{rejected, respond(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
+		"unreachable is retried elsewhere":      {[]script{unreachable, respond(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
 		"all unreachable was not run":           {[]script{unreachable}, "/once/x", 3, 503, "", fault.NoTarget, fault.NotRun, false},
 		"all rejecting was not run":             {[]script{rejected}, "/once/x", 3, 429, "", fault.Overloaded, fault.NotRun, false},
-		"lost at most once":                     {[]script{lost, whole(200, "yes")}, "/once/x", 1, 502, "", fault.TargetFailed, fault.Unknown, false},
-		"lost repeatable":                       {[]script{lost, whole(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
-		"failed repeatable":                     {[]script{whole(500, "broken"), whole(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
-		"failed twice is relayed":               {[]script{whole(500, "broken")}, "/get/x", 2, 500, "broken", "", "", false},
-		"failed at most once is relayed":        {[]script{whole(500, "broken")}, "/once/x", 1, 500, "broken", "", "", false},
-		"no signature is no answer":             {[]script{unsigned, whole(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
-		"no signature at most once":             {[]script{unsigned, whole(200, "yes")}, "/once/x", 1, 502, "", fault.TargetFailed, fault.Unknown, false},
-		"broken body is asked for again":        {[]script{stream("half", io.ErrUnexpectedEOF), whole(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
+		"lost at most once":                     {[]script{lost, respond(200, "yes")}, "/once/x", 1, 502, "", fault.TargetFailed, fault.Unknown, false},
+		"lost repeatable":                       {[]script{lost, respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
+		"failed repeatable":                     {[]script{respond(500, "broken"), respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
+		"failed twice is relayed":               {[]script{respond(500, "broken")}, "/get/x", 2, 500, "broken", "", "", false},
+		"failed at most once is relayed":        {[]script{respond(500, "broken")}, "/once/x", 1, 500, "broken", "", "", false},
+		"no signature is retried":               {[]script{unsigned, respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
+		"no signature at most once":             {[]script{unsigned, respond(200, "yes")}, "/once/x", 1, 502, "", fault.TargetFailed, fault.Unknown, false},
+		"broken body is retried":                {[]script{stream("half", io.ErrUnexpectedEOF), respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
 		"a whole stream":                        {[]script{stream(one+two, io.EOF)}, "/stream/x", 1, 200, one + two, "", "", false},
 		"an empty stream":                       {[]script{stream("", io.EOF)}, "/stream/x", 1, 200, "", "", "", false},
 		"a cut stream is broken off":            {[]script{stream(one+two[:5], io.ErrUnexpectedEOF)}, "/stream/x", 1, 200, one, "", "", true},
 		"an end inside an event is a cut":       {[]script{stream(one+two[:5], io.EOF)}, "/stream/x", 1, 200, one, "", "", true},
-		"a resumable stream goes on":            {[]script{stream(one+two[:5], io.ErrUnexpectedEOF), stream(two, io.EOF)}, "/resumable/x", 2, 200, one + two, "", "", false},
+		"a resumable stream is resumed":         {[]script{stream(one+two[:5], io.ErrUnexpectedEOF), stream(two, io.EOF)}, "/resumable/x", 2, 200, one + two, "", "", false},
 		"a resumable stream is rejected":        {[]script{stream(one, io.ErrUnexpectedEOF), rejected, stream(two, io.EOF)}, "/resumable/x", 3, 200, one + two, "", "", false},
 		"a resumable stream is cut twice":       {[]script{stream(one, io.ErrUnexpectedEOF)}, "/resumable/x", 2, 200, one + one, "", "", true},
 		"a stream that fails before its events": {[]script{stream("", io.ErrUnexpectedEOF), stream(one, io.EOF)}, "/resumable/x", 2, 200, one, "", "", false},
-		"no route":                              {[]script{whole(200, "yes")}, "/none/x", 0, 404, "", fault.UnknownRoute, fault.NotRun, false},
+		"no route":                              {[]script{respond(200, "yes")}, "/none/x", 0, 404, "", fault.UnknownRoute, fault.NotRun, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(tc.scripts...)
+				w := newTestGateway(tc.scripts...)
 				w.serve(t.Context(), tc.path)
 				is.Equal(len(w.sender.sent), tc.sends)
 				is.Equal(w.caller.status, tc.status)
@@ -260,10 +260,10 @@
 	}
 }
 
-func TestAResumedStreamSaysWhereItGoesOn(t *testing.T) {
+func TestResumedStreamLastEventID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(stream(one+two[:5], io.ErrUnexpectedEOF), stream(two, io.EOF))
+		w := newTestGateway(stream(one+two[:5], io.ErrUnexpectedEOF), stream(two, io.EOF))
 		w.serve(t.Context(), "/resumable/x")
 		is.Equal(w.sender.sent[0].LastEventID, "")
 		is.Equal(w.sender.sent[1].LastEventID, "1")
@@ -271,23 +271,23 @@
 	})
 }
 
-func TestSilence(t *testing.T) {
+func TestSilentTargets(t *testing.T) {
 	cases := map[string]struct {
 		path  string
 		sends int
 		took  time.Duration
 		kind  fault.Kind
 	}{
-		"a repeatable request is left for another": {"/get/x", 2, 60 * time.Millisecond, ""},
-		"a resumable stream too":                   {"/resumable/x", 2, time.Second, ""},
-		"at most once waits to the end":            {"/once/x", 1, time.Second, fault.Deadline},
-		"a stream waits to the end":                {"/stream/x", 1, 10 * time.Second, fault.Deadline},
+		"a repeatable request is retried elsewhere": {"/get/x", 2, 60 * time.Millisecond, ""},
+		"a resumable stream too":                    {"/resumable/x", 2, time.Second, ""},
+		"at most once waits to the end":             {"/once/x", 1, time.Second, fault.Deadline},
+		"a stream waits to the end":                 {"/stream/x", 1, 10 * time.Second, fault.Deadline},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(silent, whole(200, one))
+				w := newTestGateway(silent, respond(200, one))
 				began := time.Now()
 				w.serve(t.Context(), tc.path)
 				is.Equal(len(w.sender.sent), tc.sends)
@@ -300,13 +300,13 @@
 	}
 }
 
-// TestOwnDelayBlamesNoTarget: found on a day with slow gateways, which left out
-// one target after the other because their own time limits passed.
-func TestOwnDelayBlamesNoTarget(t *testing.T) {
+// TestProcessDelayEjectsNoTarget guards against ejecting one target after the other because the
+// time limits of a slow gateway pass.
+func TestProcessDelayEjectsNoTarget(t *testing.T) {
 	for name, late := range map[string]bool{"in time": false, "late": true} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(unreachable)
+			w := newTestGateway(unreachable)
 			w.gateway.Options.ProcessLate = func() bool { return late }
 			w.serve(t.Context(), "/once/x")
 			is.Equal(w.caller.refusal.Kind, fault.NoTarget)
@@ -317,10 +317,10 @@
 	}
 }
 
-func TestNoBudgetNoSecondTarget(t *testing.T) {
+func TestNoRetryWithoutBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(lost)
+		w := newTestGateway(lost)
 		w.gateway.Budgets = retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
 		w.serve(t.Context(), "/get/x")
 		is.Equal(len(w.sender.sent), 1)
@@ -328,10 +328,10 @@
 	})
 }
 
-func TestKeysNeedAFreshProof(t *testing.T) {
+func TestKeyFreshness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(200, "yes"))
+		w := newTestGateway(respond(200, "yes"))
 		time.Sleep(4 * time.Second)
 		w.serve(t.Context(), "/once/x")
 		is.Equal(w.caller.status, 200)
@@ -347,24 +347,23 @@
 	})
 }
 
-// TestWhenToComeBackToAGatewayThatBegins: found on trouble-3 of
-// mmd-cuenca-grown, where 1,061 requests were refused twice, 20 ms apart, while
-// all gateways began anew without the store.
-func TestWhenToComeBackToAGatewayThatBegins(t *testing.T) {
+// TestRetryAfterWithoutConfiguration guards against a Retry-After that is too short while all
+// gateways start without the store: 1,061 requests were refused twice, 20 ms apart.
+func TestRetryAfterWithoutConfiguration(t *testing.T) {
 	cases := map[string]struct {
 		know func() bool
 		want time.Duration
 	}{
 		"another one can serve": {func() bool { return true }, 20 * time.Millisecond},
-		"all begin anew":        {func() bool { return false }, time.Second},
-		"nothing known of them": {nil, 20 * time.Millisecond},
+		"all are starting":      {func() bool { return false }, time.Second},
+		"peers unknown":         {nil, 20 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(whole(200, "yes"))
-			begun := &gateway.Gateway{Sender: w.sender, Balancer: w.gateway.Balancer, Budgets: w.gateway.Budgets, Proof: w.gateway.Proof, Events: w.caller, Options: gateway.Options{PeersConfigured: tc.know}}
-			w.gateway = begun
+			w := newTestGateway(respond(200, "yes"))
+			unconfigured := &gateway.Gateway{Sender: w.sender, Balancer: w.gateway.Balancer, Budgets: w.gateway.Budgets, Proof: w.gateway.Proof, Events: w.caller, Options: gateway.Options{PeersConfigured: tc.know}}
+			w.gateway = unconfigured
 			w.serve(t.Context(), "/once/x")
 			is.Equal(w.caller.refusal.Kind, fault.NotReady)
 			is.Equal(w.caller.refusal.State, fault.NotRun)
@@ -373,19 +372,19 @@
 	}
 }
 
-// TestALongPromptIsReadOnce: found on trouble-2 of vmt-grid, where 142,000
-// tokens were read again, most of them side by side with their first reading.
-// The second request waits until the first one's answer begins, and no longer
-// than half the route's target latency (1 s).
-func TestALongPromptIsReadOnce(t *testing.T) {
+// TestLongPromptIsPrefilledOnce guards against prefilling the same prompt twice: 142,000 tokens
+// were prefilled again, most of them in parallel with their first prefill. The second request must
+// wait until the answer to the first begins, but no longer than half the route's target latency (1
+// s).
+func TestLongPromptIsPrefilledOnce(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
-		first  time.Duration // to the first answer's head
-		starts time.Duration // when the second one is sent
+		first  time.Duration // to the headers of the first answer
+		starts time.Duration // when the second request is sent
 	}{
-		"until it is read":  {8000, 300 * time.Millisecond, 300 * time.Millisecond},
-		"no longer than so": {8000, 800 * time.Millisecond, 500 * time.Millisecond},
-		"not for a few":     {200, 300 * time.Millisecond, 0},
+		"until it is prefilled":         {8000, 300 * time.Millisecond, 300 * time.Millisecond},
+		"until half the target latency": {8000, 800 * time.Millisecond, 500 * time.Millisecond},
+		"short prompt":                  {200, 300 * time.Millisecond, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -400,7 +399,7 @@
 						return stream(one, io.EOF)(ctx, out)
 					}
 				}
-				w := newWorld(slow(tc.first), slow(0))
+				w := newTestGateway(slow(tc.first), slow(0))
 				w.gateway.Apply(engineConfig())
 				var wait sync.WaitGroup
 				for _, id := range []string{"r1", "r2"} {
@@ -424,12 +423,12 @@
 	}
 }
 
-// TestWhoLeavesWhileWaitingIsNotSent: nothing is sent for a caller who has left
-// while his prompt was being read for another.
-func TestWhoLeavesWhileWaitingIsNotSent(t *testing.T) {
+// TestCallerDisconnectsDuringPrefillWait checks that nothing is sent for a caller that disconnected
+// while its prompt was being prefilled for another request.
+func TestCallerDisconnectsDuringPrefillWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(silent, whole(200, one))
+		w := newTestGateway(silent, respond(200, one))
 		w.gateway.Apply(engineConfig())
 		parts := []gateway.Part{{ID: "shared", Tokens: 8000}, {ID: "own", Tokens: 10}}
 		serve := func(ctx context.Context, id string) *recorder {
@@ -452,7 +451,7 @@
 	})
 }
 
-// engineConfig is config with a service that caches prompts.
+// engineConfig returns config with a service that caches prompts.
 func engineConfig() *routing.Config {
 	made := config()
 	made.Version++
@@ -460,30 +459,31 @@
 	return made
 }
 
-// TestWhenToComeBack: to another gateway at once if this one is alone, else
-// when the store may be back: the others' proofs would have come with their
-// beats. Found as "refused again" on trouble-3.
-func TestWhenToComeBack(t *testing.T) {
-	for name, accompanied := range map[string]bool{"alone": false, "among others": true} {
+// TestRetryAfterWithStaleProof checks that the caller is told to retry at another gateway at once
+// if this gateway is cut off from its peers, and otherwise when the store may be back: newer proofs
+// of the peers would have arrived with their heartbeats. Requests were refused a second time when
+// this was not distinguished.
+func TestRetryAfterWithStaleProof(t *testing.T) {
+	for name, peersReachable := range map[string]bool{"cut off": false, "with peers": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(whole(200, "yes"))
-				w.gateway.Options.PeersReachable = func() bool { return accompanied }
+				w := newTestGateway(respond(200, "yes"))
+				w.gateway.Options.PeersReachable = func() bool { return peersReachable }
 				time.Sleep(5 * time.Second)
 				w.serve(t.Context(), "/once/x")
-				is.Equal(w.caller.refusal.RetryAfter >= 500*time.Millisecond, accompanied)
+				is.Equal(w.caller.refusal.RetryAfter >= 500*time.Millisecond, peersReachable)
 			})
 		})
 	}
 }
 
-// TestAPauseBeforeTheSending: a process that stood still between the choice
-// and the sending looks at the clock again.
-func TestAPauseBeforeTheSending(t *testing.T) {
+// TestProcessPauseBeforeSend checks that the clock is read again after a pause of the process
+// between the choice of a target and the send.
+func TestProcessPauseBeforeSend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(200, "yes"))
+		w := newTestGateway(respond(200, "yes"))
 		w.gateway.Sender = pausingSender{w.sender}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(len(w.sender.sent), 0)
@@ -492,7 +492,7 @@
 	})
 }
 
-// pausingSender stands still for longer than a key may be vouched for.
+// pausingSender pauses for longer than a key may be trusted.
 type pausingSender struct {
 	*fakeSender
 }
@@ -505,26 +505,26 @@
 func TestUnknownKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(200, "yes"))
+		w := newTestGateway(respond(200, "yes"))
 		w.gateway.Serve(t.Context(), &gateway.Request{ID: "r", Host: "h", Path: "/once/x", Key: "other", Arrived: time.Now()}, w.caller)
 		is.Equal(w.caller.status, http.StatusUnauthorized)
 		is.Equal(len(w.sender.sent), 0)
 	})
 }
 
-func TestNothingKnownIsNoDenial(t *testing.T) {
+func TestNoDenialWithoutConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(whole(200, "yes"))
+	w := newTestGateway(respond(200, "yes"))
 	fresh := &gateway.Gateway{Sender: w.sender, Balancer: w.gateway.Balancer, Budgets: w.gateway.Budgets, Proof: new(freshness.Proof), Events: w.caller}
 	fresh.Serve(t.Context(), &gateway.Request{ID: "r", Host: "h", Path: "/none/", Arrived: time.Now()}, w.caller)
 	is.Equal(w.caller.status, http.StatusServiceUnavailable)
 	is.Equal(w.caller.refusal.State, fault.NotRun)
 }
 
-func TestACallerWhoLeavesEndsTheAttempt(t *testing.T) {
+func TestCallerDisconnectEndsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(silent)
+		w := newTestGateway(silent)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(30*time.Millisecond, cancel)
 		w.serve(ctx, "/get/x")
@@ -534,27 +534,27 @@
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestApplyIgnoresOlderConfiguration(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(whole(200, ""))
+	w := newTestGateway(respond(200, ""))
 	older := config()
 	older.Version = 6
 	is.True(!w.gateway.Apply(older))
-	is.True(!w.gateway.Apply(config())) // the same again
+	is.True(!w.gateway.Apply(config())) // the same version again
 	newer := config()
 	newer.Version = 9
 	is.True(w.gateway.Apply(newer))
 	is.Equal(w.gateway.Version(), int64(9))
 }
 
-func TestBodyOverTheLimit(t *testing.T) {
+func TestBodyTooLarge(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(whole(200, ""))
+	w := newTestGateway(respond(200, ""))
 	w.gateway.Serve(t.Context(), &gateway.Request{ID: "r", Host: "h", Path: "/once/x", Key: "key", Body: make([]byte, 101), Arrived: time.Now()}, w.caller)
 	is.Equal(w.caller.status, http.StatusRequestEntityTooLarge)
 }
 
-// fakeDirectory notes which targets refused connections.
+// fakeDirectory records the targets that refused connections.
 type fakeDirectory struct {
 	refused []string
 }
@@ -564,12 +564,11 @@
 func (f *fakeDirectory) Placed([]balance.Placement)                     {}
 func (f *fakeDirectory) Refused(target string)                          { f.refused = append(f.refused, target) }
 
-// TestARefusedConnectionCostsNoRetry: on a day of ours on the large site, a surge
-// with a third of the engines lost, 4,069 streams were answered 503 within 12 ms
-// after one refused connection, while some 150 engines were open: the follow-up
-// came from the retry budget that a hundred gateways share. Nothing has arrived
-// where nothing listens.
-func TestARefusedConnectionCostsNoRetry(t *testing.T) {
+// TestRefusedConnectionsAndRetryBudget guards against taking a retry from the budget after a
+// refused connection, where nothing arrived. In a surge with a third of the engines lost, 4,069
+// streams were answered 503 within 12 ms after one refused connection while some 150 engines were
+// available, because the next attempt needed a retry from the budget that a hundred gateways share.
+func TestRefusedConnectionsAndRetryBudget(t *testing.T) {
 	cases := map[string]struct {
 		scripts []script
 		targets int
@@ -577,18 +576,18 @@
 		sends   int
 		told    int
 	}{
-		"refused, then served":         {[]script{refused, whole(200, "yes")}, 5, 200, 2, 1},
-		"refused three times":          {[]script{refused, refused, refused, whole(200, "yes")}, 5, 200, 4, 3},
-		"refused by all":               {[]script{refused}, 3, 503, 3, 3},
-		"refused too often":            {[]script{refused}, 9, 503, 4, 4},
-		"no way there, so who knows":   {[]script{unreachable, whole(200, "yes")}, 5, 503, 1, 0},
-		"turned away by a full target": {[]script{rejected, whole(200, "yes")}, 5, 429, 1, 0},
+		"refused, then served":       {[]script{refused, respond(200, "yes")}, 5, 200, 2, 1},
+		"refused three times":        {[]script{refused, refused, refused, respond(200, "yes")}, 5, 200, 4, 3},
+		"refused by all":             {[]script{refused}, 3, 503, 3, 3},
+		"refused too often":          {[]script{refused}, 9, 503, 4, 4},
+		"unreachable, cause unknown": {[]script{unreachable, respond(200, "yes")}, 5, 503, 1, 0},
+		"rejected by a full target":  {[]script{rejected, respond(200, "yes")}, 5, 429, 1, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(tc.scripts...)
+				w := newTestGateway(tc.scripts...)
 				directory := new(fakeDirectory)
 				w.gateway.Directory = directory
 				w.gateway.Budgets = retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
--- a/internal/gateway/misdirected_test.go
+++ b/internal/gateway/misdirected_test.go
@@ -14,35 +14,36 @@
 	"github.com/capersaddle/capersaddle/internal/gateway"
 )
 
-// misdirected is the answer of another target at the address of the one that was meant.
-func misdirected(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	answer, err := whole(http.StatusMisdirectedRequest, "")(ctx, out)
+// answerMisdirected is the answer of another target at the address of the intended one.
+func answerMisdirected(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+	answer, err := respond(http.StatusMisdirectedRequest, "")(ctx, out)
 	answer.NotRun, answer.Misdirected = true, true
 	return answer, err
 }
 
-// refusedDirectory notes the targets that other gateways are to leave out.
+// refusedDirectory records the targets that other gateways are told to leave out.
 type refusedDirectory struct {
 	gateway.Directory
 	refused []string
 }
 
-func (d *refusedDirectory) Refused(life string) { d.refused = append(d.refused, life) }
+func (d *refusedDirectory) Refused(incarnation string) { d.refused = append(d.refused, incarnation) }
 
 func (d *refusedDirectory) Filling([]balance.Placement) {}
 
-// TestATargetWhoseAddressAnotherOneHas: its life has ended, and it gets nothing more, here or
-// from others. It was asked on and on until its entry went: a request that met it twice was
-// refused as if all targets were full: 29 to 70 of 609, beside four fatal requests under which
-// all eight targets had ended and begun again under other ids.
-func TestATargetWhoseAddressAnotherOneHas(t *testing.T) {
+// TestAddressTakenByAnotherTarget checks that a target whose address belongs to another target
+// counts as ended and gets no more requests, here or from other gateways. Such a target was tried
+// until its membership entry expired, and a request that met it twice was refused as if all targets
+// were full: 29 to 70 of 609 requests, while four requests crashed all eight targets, which
+// restarted under other IDs.
+func TestAddressTakenByAnotherTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+		w := newTestGateway(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			if out.Target.ID == "a" {
-				return misdirected(ctx, out)
+				return answerMisdirected(ctx, out)
 			}
-			return whole(http.StatusOK, "yes")(ctx, out)
+			return respond(http.StatusOK, "yes")(ctx, out)
 		})
 		directory := new(refusedDirectory)
 		w.gateway.Directory = directory
@@ -59,6 +60,6 @@
 		}
 		is.Equal(asked, 1)
 		is.Equal(directory.refused, []string{"a"})
-		is.True(w.gateway.Balancer.EndOf("a").Known()) // what was lost there was lost with it
+		is.True(w.gateway.Balancer.EndOf("a").Known()) // its losses count as losses to its end
 	})
 }
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -16,11 +16,11 @@
 	"github.com/capersaddle/capersaddle/internal/retrybudget"
 )
 
-// saying has target a say something of itself in each answer of a script.
-func saying(notice balance.Notice, answers script) script {
+// withNotice adds a notice of target a to each answer of a script.
+func withNotice(notice balance.Notice, answers script) script {
 	return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		if out.Target.ID != "a" {
-			return whole(http.StatusOK, one)(ctx, out)
+			return respond(http.StatusOK, one)(ctx, out)
 		}
 		answer, failure := answers(ctx, out)
 		if failure != nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// sentTo counts the sendings to a target.
-func (w *world) sentTo(target string) int {
+// sentTo returns the number of sends to a target.
+func (w *testGateway) sentTo(target string) int {
 	w.sender.mu.Lock()
 	defer w.sender.mu.Unlock()
 	count := 0
@@ -45,8 +45,8 @@
 	return count
 }
 
-// serveUntilAsked serves requests of a path until target a has got one.
-func (w *world) serveUntilAsked(t *testing.T, path string) {
+// serveUntilAsked serves requests on a path until target a has received one.
+func (w *testGateway) serveUntilAsked(t *testing.T, path string) {
 	t.Helper()
 	for number := 0; w.sentTo("a") == 0; number++ {
 		if number == 100 {
@@ -56,8 +56,8 @@
 	}
 }
 
-// large is an answer that is passed on as it comes.
-func large(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+// largeAnswer is an answer that is passed on as it arrives.
+func largeAnswer(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 	const size = 2 << 20
 	return &gateway.Answer{Status: http.StatusOK, Size: size, Body: io.NopCloser(io.LimitReader(zeros{}, size)), Signed: true}, nil
 }
@@ -66,34 +66,35 @@
 
 func (zeros) Read(data []byte) (int, error) { return len(data), nil }
 
-// TestALeavingTargetGetsNothingMore: whichever answer has said it.
-func TestALeavingTargetGetsNothingMore(t *testing.T) {
+// TestLeavingTargetGetsNoRequests checks that a leaving notice is applied whatever answer carries
+// it.
+func TestLeavingTargetGetsNoRequests(t *testing.T) {
 	cases := map[string]struct {
 		path    string
 		answers script
 	}{
-		"a whole answer":                    {"/once/", whole(http.StatusOK, "yes")},
-		"a failure of its own":              {"/get/", whole(http.StatusInternalServerError, "broken")},
-		"a denial of its own":               {"/get/", whole(http.StatusNotFound, "no")},
+		"a whole answer":                    {"/once/", respond(http.StatusOK, "yes")},
+		"a failure of its own":              {"/get/", respond(http.StatusInternalServerError, "broken")},
+		"a denial of its own":               {"/get/", respond(http.StatusNotFound, "no")},
 		"one that was not run":              {"/once/", rejected},
 		"a stream":                          {"/stream/", stream(one, io.EOF)},
 		"a stream that breaks off":          {"/resumable/", stream(one+two[:5], io.ErrUnexpectedEOF)},
 		"a body that breaks off":            {"/get/", stream("half", io.ErrUnexpectedEOF)},
-		"a large body":                      {"/get/", large},
+		"a large body":                      {"/get/", largeAnswer},
 		"an answer before one that is lost": {"/get/", lost},
-		"an answer before one that is mute": {"/get/", silent},
+		"an answer before silence":          {"/get/", silent},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(saying(balance.Notice{Leaving: true}, test.answers))
+				w := newTestGateway(withNotice(balance.Notice{Leaving: true}, test.answers))
 				w.serveUntilAsked(t, test.path)
 				for number := range 100 {
 					w.serve(t.Context(), fmt.Sprintf("%smore-%d", test.path, number))
 				}
 				is.Equal(w.sentTo("a"), 1)
-				is.Equal(len(w.caller.notices), 1) // told once
+				is.Equal(len(w.caller.notices), 1) // reported once
 				is.Equal(w.caller.notices[0].Target, "a")
 				is.True(w.caller.notices[0].News.Leaving)
 				is.Equal(len(w.gateway.Balancer.InFlight()), 0)
@@ -102,24 +103,24 @@
 	}
 }
 
-// heldSender holds every sending before its first byte until it is let go, as a new connection
-// does that takes its time.
-type heldSender struct {
+// blockedSender blocks every send before its first byte until it is released, like a slow new
+// connection.
+type blockedSender struct {
 	*fakeSender
-	let chan struct{}
+	release chan struct{}
 }
 
-func (h *heldSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
-	<-h.let
+func (h *blockedSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
+	<-h.release
 	return h.fakeSender.Send(ctx, out, admit)
 }
 
-// TestWhatWasChosenBeforeIsNotSentAfter: requests that wait for a connection, of whatever kind, go to
-// another target, which costs nothing of the retry budget, though there is none.
-func TestWhatWasChosenBeforeIsNotSentAfter(t *testing.T) {
+// TestLeavingNoticeWhileConnecting checks that requests of all kinds that wait for a connection to
+// a leaving target go to another target and need no retry: the retry budget is empty here.
+func TestLeavingNoticeWhileConnecting(t *testing.T) {
 	notices := map[string]func(b *balance.Balancer){
-		"it said that it leaves": func(b *balance.Balancer) { b.Heed("a", balance.Notice{Leaving: true}, time.Now()) },
-		"its entry says that it leaves": func(b *balance.Balancer) {
+		"announced in an answer": func(b *balance.Balancer) { b.Heed("a", balance.Notice{Leaving: true}, time.Now()) },
+		"announced in its entry": func(b *balance.Balancer) {
 			b.Put(balance.Target{ID: "a", Service: "s", Address: "a", Leaving: true}, time.Now())
 		},
 	}
@@ -128,9 +129,9 @@
 			t.Run(name+", "+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := newWorld(whole(http.StatusOK, one))
-					held := &heldSender{fakeSender: w.sender, let: make(chan struct{})}
-					w.gateway.Sender = held
+					w := newTestGateway(respond(http.StatusOK, one))
+					sender := &blockedSender{fakeSender: w.sender, release: make(chan struct{})}
+					w.gateway.Sender = sender
 					w.gateway.Budgets = retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
 					callers := make([]*recorder, 9)
 					for i := range callers {
@@ -138,7 +139,7 @@
 					}
 					synctest.Wait()
 					notice(w.gateway.Balancer)
-					close(held.let)
+					close(sender.release)
 					synctest.Wait()
 					is.Equal(w.sentTo("a"), 0)
 					for _, caller := range callers {
@@ -151,11 +152,12 @@
 	}
 }
 
-// TestAllLeave: callers are refused at once, and served as soon as a target joins.
-func TestAllLeave(t *testing.T) {
+// TestAllTargetsLeave checks that callers are refused at once, and served as soon as a target
+// joins.
+func TestAllTargetsLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(http.StatusOK, "yes"))
+		w := newTestGateway(respond(http.StatusOK, "yes"))
 		for _, id := range []string{"a", "b", "c"} {
 			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, time.Now())
 		}
@@ -171,15 +173,15 @@
 	})
 }
 
-// TestCallersAreServedWhileATargetLeaves: each of them, without a retry, but for the first who may
-// meet a target that turns requests away as it leaves.
-func TestCallersAreServedWhileATargetLeaves(t *testing.T) {
-	for name, answers := range map[string]script{"it serves on": whole(http.StatusOK, one), "it turns requests away": rejected} {
+// TestServiceDuringTargetLeave checks that all callers are served without a retry, except for the
+// first one, which may reach a target that rejects requests while it leaves.
+func TestServiceDuringTargetLeave(t *testing.T) {
+	for name, answers := range map[string]script{"it serves on": respond(http.StatusOK, one), "it rejects requests": rejected} {
 		for _, path := range []string{"/once/", "/get/", "/stream/", "/resumable/"} {
 			t.Run(name+", "+path, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					w := newWorld(saying(balance.Notice{Leaving: true}, answers))
+					w := newTestGateway(withNotice(balance.Notice{Leaving: true}, answers))
 					w.gateway.Budgets = retrybudget.New(retrybudget.Options{Slack: 1, Window: time.Minute})
 					for number := range 300 {
 						w.gateway.Proof.Note(time.Now())
--- a/internal/gateway/output_test.go
+++ b/internal/gateway/output_test.go
@@ -24,7 +24,7 @@
 	reads chan struct{}
 	once  sync.Once
 	ended chan struct{}
-	// writes are the times at which parts were written.
+	// writes holds the times of the writes.
 	writes []time.Time
 }
 
@@ -48,33 +48,33 @@
 	return &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: path, Path: path, Key: "key", Arrived: time.Now()}
 }
 
-// timedBody gives one part after each pause; a pause is that before the part.
+// timedBody returns one part after each pause; pauses[i] precedes parts[i].
 type timedBody struct {
 	pauses []time.Duration
 	parts  []string
-	left   string
+	rest   string
 }
 
 func (b *timedBody) Read(data []byte) (int, error) {
-	if b.left == "" {
+	if b.rest == "" {
 		if len(b.parts) == 0 {
 			return 0, io.EOF
 		}
 		time.Sleep(b.pauses[0])
-		b.left, b.parts, b.pauses = b.parts[0], b.parts[1:], b.pauses[1:]
+		b.rest, b.parts, b.pauses = b.parts[0], b.parts[1:], b.pauses[1:]
 	}
-	n := copy(data, b.left)
-	b.left = b.left[n:]
+	n := copy(data, b.rest)
+	b.rest = b.rest[n:]
 	return n, nil
 }
 
 func (b *timedBody) Close() error { return nil }
 
-// event is one event of a stream.
+// event returns one event of a stream.
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// steady is a stream of so many events with a pause before each.
-func steady(count int, pause time.Duration) *timedBody {
+// steadyStream returns a stream of count events with a pause before each.
+func steadyStream(count int, pause time.Duration) *timedBody {
 	b := new(timedBody)
 	for id := range count {
 		b.pauses, b.parts = append(b.pauses, pause), append(b.parts, event(id))
@@ -82,20 +82,20 @@
 	return b
 }
 
-func answering(body io.ReadCloser, size int64) script {
+func respondBody(body io.ReadCloser, size int64) script {
 	return func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		return &gateway.Answer{Status: http.StatusOK, Size: size, Signed: true, Body: body}, nil
 	}
 }
 
-// TestASlowCallerLeavesItsTargetFree: a target cuts off an answer that is left unread for some
-// seconds. The stream is read to its end while its caller reads nothing, and the caller gets
-// it whole once it reads on.
-func TestASlowCallerLeavesItsTargetFree(t *testing.T) {
+// TestSlowCallerDoesNotDelayTarget covers a caller that reads nothing for a while. A target cuts
+// off an answer that is left unread for some seconds, so the stream must be read to its end
+// meanwhile, and the caller must get all of it once it reads again.
+func TestSlowCallerDoesNotDelayTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		body := steady(60, 20*time.Millisecond)
-		w := newWorld(answering(body, -1))
+		body := steadyStream(60, 20*time.Millisecond)
+		w := newTestGateway(respondBody(body, -1))
 		w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, spool.NewBudget(1<<20))
 		caller := newPausedCaller()
 		done := make(chan struct{})
@@ -105,7 +105,7 @@
 		}()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		is.Equal(len(body.parts), 0) // the target has been rid of it
+		is.Equal(len(body.parts), 0) // the target's answer was read to its end
 		close(caller.reads)
 		<-done
 		var want strings.Builder
@@ -118,20 +118,20 @@
 	})
 }
 
-// TestACallerThatIsEndedGetsNoWholeAnswer: what it has looks broken off, and the log says why;
-// the target is not blamed.
-func TestACallerThatIsEndedGetsNoWholeAnswer(t *testing.T) {
+// TestTooSlowCallerIsAborted checks that a caller that is ended for reading too slowly gets an
+// answer that looks broken off, that the record says why, and that the target isn't ejected.
+func TestTooSlowCallerIsAborted(t *testing.T) {
 	large := strings.Repeat("x", 2<<20)
 	cases := map[string]script{
-		"stream":       answering(steady(60, 20*time.Millisecond), -1),
-		"whole answer": answering(io.NopCloser(strings.NewReader(large[:1<<19])), 1<<19),
-		"large answer": answering(io.NopCloser(strings.NewReader(large)), int64(len(large))),
+		"stream":       respondBody(steadyStream(60, 20*time.Millisecond), -1),
+		"whole answer": respondBody(io.NopCloser(strings.NewReader(large[:1<<19])), 1<<19),
+		"large answer": respondBody(io.NopCloser(strings.NewReader(large)), int64(len(large))),
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(play)
+				w := newTestGateway(play)
 				budget := spool.NewBudget(4 << 20)
 				w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, budget)
 				caller := newPausedCaller()
@@ -150,10 +150,10 @@
 	}
 }
 
-// TestEventsGoTogetherWherePacketsAreLost: after streams whose events came late together, the
-// events of the next one that come within a share of the time that callers allow go in one
-// write. Without such losses, or without that time, each goes at once.
-func TestEventsGoTogetherWherePacketsAreLost(t *testing.T) {
+// TestEventsAreJoinedUnderPacketLoss checks that, after streams whose events arrived late together,
+// the events of the next stream that arrive within a share of the time allowed by callers are sent
+// in one write. Without such losses, or without a time, each event is sent at once.
+func TestEventsAreJoinedUnderPacketLoss(t *testing.T) {
 	cases := map[string]struct {
 		pass   time.Duration
 		clumps bool
@@ -169,15 +169,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				first := steady(30, 20*time.Millisecond)
+				first := steadyStream(30, 20*time.Millisecond)
 				for _, at := range []int{10, 20, 25} {
 					first.pauses[at] = 205 * time.Millisecond
 					if tc.clumps {
 						first.parts[at] += event(100) + event(101) + event(102)
 					}
 				}
-				second := steady(30, 20*time.Millisecond)
-				w := newWorld(answering(first, -1), answering(second, -1))
+				second := steadyStream(30, 20*time.Millisecond)
+				w := newTestGateway(respondBody(first, -1), respondBody(second, -1))
 				w.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout}, spool.NewBudget(1<<20))
 				w.gateway.Options.StreamDelay = tc.pass
 				w.gateway.Options.ProcessLate = func() bool { return tc.late }
--- a/internal/gateway/pause_test.go
+++ b/internal/gateway/pause_test.go
@@ -17,15 +17,15 @@
 	"github.com/capersaddle/capersaddle/internal/gateway"
 )
 
-// pausing gives one event, pauses, and gives the rest or breaks off.
-type pausing struct {
+// pausingBody returns one event, pauses, and returns the rest or breaks off.
+type pausingBody struct {
 	io.Reader
 	pause time.Duration
 	reads int
 	err   error
 }
 
-func (p *pausing) Read(data []byte) (int, error) {
+func (p *pausingBody) Read(data []byte) (int, error) {
 	p.reads++
 	if p.reads == 2 {
 		time.Sleep(p.pause) // virtual time
@@ -36,30 +36,30 @@
 	return p.Reader.Read(data[:min(len(data), len(one))])
 }
 
-func (p *pausing) Close() error { return nil }
+func (p *pausingBody) Close() error { return nil }
 
-// TestWhatCountsAsAHalt: found on scale-1 of mmd-cuenca, where streams of
-// crashed targets made whole data centres look like a bad path.
-func TestWhatCountsAsAHalt(t *testing.T) {
+// TestLongPauses guards against counting the pause before a stream breaks off as a slow path:
+// streams of crashed targets made whole data centres look as if their network path was bad.
+func TestLongPauses(t *testing.T) {
 	cases := map[string]struct {
 		pause   time.Duration
 		err     error
 		avoided bool
 	}{
 		"no pause":               {pause: 10 * time.Millisecond},
-		"a halt":                 {pause: 300 * time.Millisecond, avoided: true},
+		"a long pause":           {pause: 300 * time.Millisecond, avoided: true},
 		"a pause before a break": {pause: 300 * time.Millisecond, err: errors.New("reset")},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(func(_ context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+				w := newTestGateway(func(_ context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					pause := time.Duration(0)
 					if out.Target.ID == "a" {
 						pause = tc.pause
 					}
-					body := &pausing{Reader: strings.NewReader(one + two), pause: pause, err: tc.err}
+					body := &pausingBody{Reader: strings.NewReader(one + two), pause: pause, err: tc.err}
 					return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: body}, nil
 				})
 				for _, id := range []string{"a", "b", "c"} {
@@ -76,8 +76,8 @@
 					w.gateway.Balancer.Forgive()
 				}
 				chosen := false
-				// Choices among equals are random: with twenty of them the target was not
-				// drawn in six of three thousand runs.
+				// Choices among equals are random: with twenty choices the target was not drawn in
+				// six of three thousand runs.
 				for range 200 {
 					pick, ok := w.gateway.Balancer.Choose(balance.Query{Service: "s"}, time.Now())
 					is.True(ok)
--- a/internal/gateway/queue_test.go
+++ b/internal/gateway/queue_test.go
@@ -18,9 +18,9 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// newFullWorld is a world with one target of one slot.
-func newFullWorld(scripts ...script) *world {
-	w := newWorld(scripts...)
+// newSingleSlotGateway returns a test gateway with one target that has one slot.
+func newSingleSlotGateway(scripts ...script) *testGateway {
+	w := newTestGateway(scripts...)
 	w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 	for _, id := range []string{"a", "b", "c"} {
 		w.gateway.Balancer.Put(balance.Target{ID: id, Service: "s", Address: id, Leaving: id != "a", Slots: 1}, time.Now())
@@ -28,8 +28,8 @@
 	return w
 }
 
-// after answers once some time has passed.
-func after(wait time.Duration, status int, body string) script {
+// respondAfter answers after a delay.
+func respondAfter(wait time.Duration, status int, body string) script {
 	return func(ctx context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		select {
 		case <-time.After(wait):
@@ -40,20 +40,20 @@
 	}
 }
 
-// serveAs serves a request of its own caller.
-func (w *world) serveAs(ctx context.Context, path string) *recorder {
+// serveAs serves a request with a caller of its own.
+func (w *testGateway) serveAs(ctx context.Context, path string) *recorder {
 	caller := new(recorder)
 	w.gateway.Serve(ctx, &gateway.Request{ID: path, Method: "POST", Host: "h", URI: path, Path: path, Key: "key", Arrived: time.Now()}, caller)
 	return caller
 }
 
-// TestAFullServiceRefuses: while the target's slot is taken a request waits for
-// a tenth of its target latency and is then refused, never sent, with a time
-// to come back that its caller can keep.
-func TestAFullServiceRefuses(t *testing.T) {
+// TestFullServiceRefuses checks that while the target's slot is taken, a request waits for a tenth
+// of its target latency and is then refused without being sent, with a Retry-After that still fits
+// its caller's time.
+func TestFullServiceRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(after(500*time.Millisecond, http.StatusOK, "yes"))
+		w := newSingleSlotGateway(respondAfter(500*time.Millisecond, http.StatusOK, "yes"))
 		go w.serve(t.Context(), "/once/first")
 		synctest.Wait()
 		began := time.Now()
@@ -69,12 +69,12 @@
 	})
 }
 
-// TestAFreedSlotGoesToWhoWaits: the next in line is sent as soon as the request
-// before has ended.
-func TestAFreedSlotGoesToWhoWaits(t *testing.T) {
+// TestFreedSlotAdmitsWaitingRequest checks that the next request in the queue is sent as soon as
+// the previous one has ended.
+func TestFreedSlotAdmitsWaitingRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(after(5*time.Millisecond, http.StatusOK, "yes"))
+		w := newSingleSlotGateway(respondAfter(5*time.Millisecond, http.StatusOK, "yes"))
 		go w.serve(t.Context(), "/once/first")
 		synctest.Wait()
 		began := time.Now()
@@ -84,12 +84,12 @@
 	})
 }
 
-// TestOtherGatewaysMakeRoom: when another gateway reports less load, those who
-// wait here are sent.
-func TestOtherGatewaysMakeRoom(t *testing.T) {
+// TestPeerLoadDecreaseAdmitsWaiting checks that waiting requests are sent when another gateway
+// reports less load.
+func TestPeerLoadDecreaseAdmitsWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(stream(one, io.EOF))
+		w := newSingleSlotGateway(stream(one, io.EOF))
 		w.gateway.Balancer.Observe("other", []balance.Count{{Target: hashOf("a"), Count: 9}}, time.Now())
 		done := make(chan *recorder, 1)
 		go func() { done <- w.serveAs(t.Context(), "/stream/x") }()
@@ -101,35 +101,35 @@
 	})
 }
 
-// TestACallerLeavesTheQueue: its place is given up and nothing is sent.
-func TestACallerLeavesTheQueue(t *testing.T) {
+// TestCallerDisconnectsInQueue checks that the place in the queue is given up and nothing is sent.
+func TestCallerDisconnectsInQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(after(time.Second/2, http.StatusOK, "yes"))
+		w := newSingleSlotGateway(respondAfter(time.Second/2, http.StatusOK, "yes"))
 		go w.serve(t.Context(), "/once/first")
 		synctest.Wait()
 		ctx, cancel := context.WithTimeout(t.Context(), time.Hour)
 		time.AfterFunc(3*time.Millisecond, cancel)
-		left := w.serveAs(ctx, "/once/second")
-		is.True(left.aborted)
-		is.Equal(left.refusal, nil)
+		disconnected := w.serveAs(ctx, "/once/second")
+		is.True(disconnected.aborted)
+		is.Equal(disconnected.refusal, nil)
 		is.Equal(w.gateway.Limiters.Of("s").Wants(), 0)
 		is.Equal(len(w.sender.sent), 1)
 		time.Sleep(time.Second)
 	})
 }
 
-// TestRetriesStopFirst: with the targets full, a request that was turned away
-// isn't sent to another one, and its refusal names when to come back.
-func TestRetriesStopFirst(t *testing.T) {
+// TestNoRetriesWithoutCapacity checks that a rejected request isn't retried at another target while
+// the targets are full, and that its refusal has a Retry-After.
+func TestNoRetriesWithoutCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(rejected, whole(http.StatusOK, "yes"))
+		w := newSingleSlotGateway(rejected, respond(http.StatusOK, "yes"))
 		w.gateway.Balancer.Put(balance.Target{ID: "b", Service: "s", Address: "b", Slots: 1}, time.Now())
 		w.gateway.Balancer.Observe("other", []balance.Count{{Target: hashOf("b"), Count: 2}, {Target: hashOf("a"), Count: 1}}, time.Now())
-		w.gateway.Balancer.NoteHold("s", time.Millisecond, time.Second) // three requests a slot
+		w.gateway.Balancer.NoteHold("s", time.Millisecond, time.Second) // three requests per slot
 		got := w.serveAs(t.Context(), "/once/x")
-		is.Equal(got.status, http.StatusOK) // there is room: it goes elsewhere
+		is.Equal(got.status, http.StatusOK) // there is capacity, so it is retried at the other target
 		w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			w.gateway.Balancer.Observe("other", []balance.Count{{Target: hashOf("a"), Count: 9}, {Target: hashOf("b"), Count: 9}}, time.Now())
 			return rejected(ctx, out)
@@ -143,7 +143,7 @@
 	})
 }
 
-// hashOf is the hash by which gateways name a target to each other.
+// hashOf returns the hash by which gateways refer to a target among each other.
 func hashOf(id string) uint64 {
 	return policy.HashName(id)
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -21,24 +21,25 @@
 
 const restTime = 3 * time.Second
 
-// resting has target a turn everything away and ask for rest, until a moment.
-func resting(until time.Time) script {
+// restingUntil rejects all requests at target a with a Retry-After until the given time.
+func restingUntil(until time.Time) script {
 	return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		if time.Now().Before(until) {
-			return saying(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{Rest: restTime}, rejected)(ctx, out)
 		}
-		return whole(http.StatusOK, one)(ctx, out)
+		return respond(http.StatusOK, one)(ctx, out)
 	}
 }
 
-// TestARestIsKept: the target gets one request in each of its rests, the sound callers cost no
-// more of the retry budget than that, and it has its share again once it takes requests.
-func TestARestIsKept(t *testing.T) {
+// TestRestingTargetGetsOneProbe checks that the target gets one request per rest, that callers lose
+// no more than that to the retry budget, and that the target gets its share again once it accepts
+// requests.
+func TestRestingTargetGetsOneProbe(t *testing.T) {
 	for _, path := range []string{"/once/", "/get/", "/stream/", "/resumable/"} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(resting(time.Now().Add(7 * time.Second)))
+				w := newTestGateway(restingUntil(time.Now().Add(7 * time.Second)))
 				w.gateway.Budgets = retrybudget.New(retrybudget.Options{Slack: 4, Window: time.Minute})
 				for number := range 700 {
 					w.gateway.Proof.Note(time.Now())
@@ -63,12 +64,12 @@
 	}
 }
 
-// TestALateWordOfRest: requests that were under way when the target asked first have it rest
-// for as long as the last of them says.
-func TestALateWordOfRest(t *testing.T) {
+// TestLaterRestNoticeExtendsRest checks that answers to requests that were in flight at the first
+// notice extend the rest to the latest end that they name.
+func TestLaterRestNoticeExtendsRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(http.StatusOK, "yes"))
+		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
 		time.Sleep(time.Second)
 		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
@@ -80,11 +81,12 @@
 	})
 }
 
-// TestASuspensionIsRest: the time for which this host was suspended counts.
-func TestASuspensionIsRest(t *testing.T) {
+// TestHostSuspensionCountsAsRest checks that the time for which this host was suspended counts
+// towards the rest.
+func TestHostSuspensionCountsAsRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(http.StatusOK, "yes"))
+		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Options.KeyFreshness = 0
 		w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Minute}, clock.Check())
 		w.serve(t.Context(), "/once/x")
@@ -96,18 +98,19 @@
 	})
 }
 
-// TestAllRest: callers are refused at once, told when somebody is back, not all the same, and
-// served then; nothing is sent to anybody meanwhile, nor taken from the retry budget.
-func TestAllRest(t *testing.T) {
+// TestAllTargetsRest checks that callers are refused at once with differing Retry-After times from
+// the end of the rests on, and are served then. Meanwhile nothing is sent, and no retries are taken
+// from the budget.
+func TestAllTargetsRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
-		w := newWorld(whole(http.StatusOK, "yes"))
+		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 		for _, id := range []string{"a", "b", "c"} {
 			w.gateway.Balancer.Heed(id, balance.Notice{Rest: restTime}, clock.Now())
 		}
-		told := make(map[time.Duration]bool)
+		retryTimes := make(map[time.Duration]bool)
 		for time.Since(began) < restTime {
 			at := time.Now()
 			w.gateway.Proof.Note(at)
@@ -117,22 +120,22 @@
 			is.Equal(caller.refusal.State, fault.NotRun)
 			back := restTime - at.Sub(began)
 			is.True(caller.refusal.RetryAfter >= back && caller.refusal.RetryAfter <= back+time.Second)
-			told[caller.refusal.RetryAfter] = true
+			retryTimes[caller.refusal.RetryAfter] = true
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(len(told) > 25)
+		is.True(len(retryTimes) > 25)
 		is.Equal(len(w.sender.sent), 0)
 		w.gateway.Proof.Note(time.Now())
 		is.Equal(w.serveAs(t.Context(), "/once/x").status, http.StatusOK)
 	})
 }
 
-// TestTheLastTargetAsksForRest: the request that it turned away is refused with the time at which
-// somebody is back.
-func TestTheLastTargetAsksForRest(t *testing.T) {
+// TestLastTargetAsksForRest checks that the request rejected by the last target is refused with the
+// time at which a target is available again.
+func TestLastTargetAsksForRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(saying(balance.Notice{Rest: restTime}, rejected))
+		w := newTestGateway(withNotice(balance.Notice{Rest: restTime}, rejected))
 		for _, id := range []string{"b", "c"} {
 			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
 		}
@@ -142,13 +145,14 @@
 	})
 }
 
-// TestWhoWaitsForATurnAtATargetThatRests: is refused once it does, and not sent.
-func TestWhoWaitsForATurnAtATargetThatRests(t *testing.T) {
+// TestQueuedRequestWhenTargetRests checks that a queued request is refused without being sent once
+// the target rests.
+func TestQueuedRequestWhenTargetRests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newFullWorld(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+		w := newSingleSlotGateway(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			time.Sleep(5 * time.Millisecond)
-			return saying(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{Rest: restTime}, rejected)(ctx, out)
 		})
 		first := make(chan *recorder, 1)
 		go func() { first <- w.serveAs(t.Context(), "/once/first") }()
@@ -161,13 +165,14 @@
 	})
 }
 
-// TestWhatWasChosenBeforeARestIsNotSentAfter: and costs no retry.
-func TestWhatWasChosenBeforeARestIsNotSentAfter(t *testing.T) {
+// TestRestNoticeWhileConnecting checks that requests that wait for a connection to a resting target
+// go to another one without a retry.
+func TestRestNoticeWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(http.StatusOK, one))
-		held := &heldSender{fakeSender: w.sender, let: make(chan struct{})}
-		w.gateway.Sender = held
+		w := newTestGateway(respond(http.StatusOK, one))
+		sender := &blockedSender{fakeSender: w.sender, release: make(chan struct{})}
+		w.gateway.Sender = sender
 		w.gateway.Budgets = retrybudget.New(retrybudget.Options{Window: 10 * time.Second})
 		callers := make([]*recorder, 9)
 		for i := range callers {
@@ -175,7 +180,7 @@
 		}
 		synctest.Wait()
 		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
-		close(held.let)
+		close(sender.release)
 		synctest.Wait()
 		is.Equal(w.sentTo("a"), 0)
 		for _, caller := range callers {
@@ -184,15 +189,15 @@
 	})
 }
 
-// TestAStreamIsNotResumedWhereRestIsWanted: nor where the target leaves, when its target has
-// broken it off.
-func TestAStreamIsNotResumedWhereRestIsWanted(t *testing.T) {
+// TestStreamIsNotResumedAtRestingTarget checks that a stream that broke off isn't resumed at a
+// resting or leaving target.
+func TestStreamIsNotResumedAtRestingTarget(t *testing.T) {
 	for name, notice := range map[string]balance.Notice{"rest": {Rest: time.Minute}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				var w *world
-				w = newWorld(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+				var w *testGateway
+				w = newTestGateway(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if out.LastEventID != "" {
 						return stream(two, io.EOF)(ctx, out)
 					}
@@ -213,12 +218,12 @@
 	}
 }
 
-// TestWhoeverShedsWithoutAWordIsJudgedAsBefore: a target that turns requests away and says
-// nothing of rest gets the next ones too.
-func TestWhoeverShedsWithoutAWordIsJudgedAsBefore(t *testing.T) {
+// TestRejectionsWithoutNotice checks that a target that rejects requests without asking for a rest
+// still gets requests.
+func TestRejectionsWithoutNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(saying(balance.Notice{}, rejected))
+		w := newTestGateway(withNotice(balance.Notice{}, rejected))
 		w.gateway.Budgets = retrybudget.New(retrybudget.Options{Slack: 1000, Window: time.Minute})
 		for number := range 60 {
 			w.serve(t.Context(), fmt.Sprintf("/once/%d", number))
@@ -227,23 +232,23 @@
 	})
 }
 
-// TestATryThatIsNotAnswered: another one follows after a while, or as soon as it is known to have
-// ended.
-func TestATryThatIsNotAnswered(t *testing.T) {
+// TestUnansweredProbe checks that another probe follows after a while, or as soon as the first one
+// is known to have ended.
+func TestUnansweredProbe(t *testing.T) {
 	cases := map[string]struct {
 		answers script
-		// after is when others may follow.
+		// after is when further requests may follow.
 		after time.Duration
 	}{
-		"it is lost":  {lost, 0},
-		"it is mute":  {silent, time.Second},
-		"it is whole": {whole(http.StatusOK, one), 0},
+		"it is lost":      {lost, 0},
+		"it stays silent": {silent, time.Second},
+		"it is complete":  {respond(http.StatusOK, one), 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(saying(balance.Notice{}, test.answers))
+				w := newTestGateway(withNotice(balance.Notice{}, test.answers))
 				for _, id := range []string{"b", "c"} {
 					w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
 				}
@@ -266,11 +271,12 @@
 	}
 }
 
-// TestOthersFollowTheHeadOfATry: not its end, which for a stream may be far.
-func TestOthersFollowTheHeadOfATry(t *testing.T) {
+// TestRequestsFollowProbeHeaders checks that further requests follow the headers of the answer to a
+// probe rather than its end, which may be late for a stream.
+func TestRequestsFollowProbeHeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+		w := newTestGateway(func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			body, rest := io.Pipe()
 			time.AfterFunc(5*time.Second, func() { _ = rest.Close() })
 			return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: body}, nil
--- a/internal/gateway/rollout_full_test.go
+++ b/internal/gateway/rollout_full_test.go
@@ -16,73 +16,74 @@
 	"github.com/capersaddle/capersaddle/internal/rollout"
 )
 
-// ownStore keeps records, and has the only gateway's replica follow at once.
-type ownStore struct {
+// singleStore keeps records and passes each on to the only gateway at once.
+type singleStore struct {
 	mu       sync.Mutex
 	record   rollout.Record
 	revision int64
-	// then is called with each record that was written.
-	then func(record rollout.Record, revision int64)
+	// onCommit is called with each record that was written.
+	onCommit func(record rollout.Record, revision int64)
 }
 
-func (o *ownStore) Commit(_ context.Context, commit rollout.Commit) (int64, error) {
+func (o *singleStore) Commit(_ context.Context, commit rollout.Commit) (int64, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if commit.Over != o.revision {
 		return 0, rollout.ErrOutdated
 	}
 	o.record, o.revision = commit.Record, o.revision+10
-	go o.then(o.record, o.revision)
+	go o.onCommit(o.record, o.revision)
 	return o.revision, nil
 }
 
-func (o *ownStore) Reachable() bool { return true }
+func (o *singleStore) Reachable() bool { return true }
 
-// state is that of the last record.
-func (o *ownStore) state() rollout.State {
+// state returns the state of the last record.
+func (o *singleStore) state() rollout.State {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.record.State
 }
 
-// steps keep when the version was halted.
-type steps struct {
+// haltWatcher records whether the version was halted.
+type haltWatcher struct {
 	halted atomic.Bool
 }
 
-func (s *steps) RolloutStep(step rollout.Step) {
+func (s *haltWatcher) RolloutStep(step rollout.Step) {
 	if step.Kind == rollout.StepHalted {
 		s.halted.Store(true)
 	}
 }
 
-// wholeRollout is a gateway alone, which decides about its roll-out, and its callers.
-type wholeRollout struct {
-	*rolloutWorld
-	store *ownStore
-	steps *steps
-	// served counts requests and late those that reached the version after its halt;
-	// failed are callers that got no answer.
-	served, late, failed, over atomic.Int64
-	callers                    sync.WaitGroup
+// fullRollout is a single gateway that decides about its own rollout, and its callers.
+type fullRollout struct {
+	*rolloutGateway
+	store *singleStore
+	steps *haltWatcher
+	// served counts requests, lateSends those sent to the version after its halt, failed the
+	// callers without an answer, and overShare the moments at which the version had more than its
+	// share.
+	served, lateSends, failed, overShare atomic.Int64
+	callers                              sync.WaitGroup
 }
 
-func newWholeRollout(t *testing.T, scripts map[string]script) *wholeRollout {
+func newFullRollout(t *testing.T, scripts map[string]script) *fullRollout {
 	t.Helper()
-	w := &wholeRollout{rolloutWorld: newRolloutWorld(t, scripts), steps: new(steps), store: new(ownStore)}
+	w := &fullRollout{rolloutGateway: newRolloutGateway(t, scripts), steps: new(haltWatcher), store: new(singleStore)}
 	w.close()
 	w.control = rollout.NewController(rollout.ControllerOptions{
 		Options: rollout.Options{Share: 0.1, Slack: 50, Rollback: 5 * time.Second},
 		Store:   w.store, Registry: registry{w.gateway.Balancer}, Watcher: w.steps,
 	})
-	w.store.then = w.control.Recorded
+	w.store.onCommit = w.control.Recorded
 	is.New(t).NoErr(w.control.Start(t.Context()))
 	w.gateway.Rollouts = w.control.Gate()
 	return w
 }
 
-// play has callers come, 100 a second, each of them on the next of two routes.
-func (w *wholeRollout) play(ctx context.Context, lasts time.Duration) {
+// play sends 100 requests per second, alternating between two routes.
+func (w *fullRollout) play(ctx context.Context, lasts time.Duration) {
 	const every = 10 * time.Millisecond
 	for range int(lasts / every) {
 		time.Sleep(every)
@@ -99,24 +100,25 @@
 		synctest.Wait()
 		sent := w.sender.count(newVersion)
 		if halted && sent > before {
-			w.late.Add(1)
+			w.lateSends.Add(1)
 		}
 		if w.store.state() != rollout.Completed && float64(sent) > 0.1*float64(w.served.Load())+50 {
-			w.over.Add(1)
+			w.overShare.Add(1)
 		}
 	}
 	w.callers.Wait()
 }
 
-// TestAWholeRollout: from the order to its end, with all parts but those between gateways.
-func TestAWholeRollout(t *testing.T) {
-	answers := after(20*time.Millisecond, http.StatusOK, "yes")
+// TestFullRollout runs a rollout from the order to its end with all parts except those between
+// gateways.
+func TestFullRollout(t *testing.T) {
+	answers := respondAfter(20*time.Millisecond, http.StatusOK, "yes")
 	fails := func(each int64, from time.Duration) script {
 		var count atomic.Int64
 		began := time.Now()
 		return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			if time.Since(began) >= from && count.Add(1)%each == 0 {
-				return after(20*time.Millisecond, http.StatusInternalServerError, "broken")(ctx, out)
+				return respondAfter(20*time.Millisecond, http.StatusInternalServerError, "broken")(ctx, out)
 			}
 			return answers(ctx, out)
 		}
@@ -135,21 +137,21 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWholeRollout(t, map[string]script{oldVersion: answers})
+				w := newFullRollout(t, map[string]script{oldVersion: answers})
 				defer w.close()
 				w.sender.play(newVersion, tc.answer())
-				w.store.then = func(record rollout.Record, revision int64) {
+				w.store.onCommit = func(record rollout.Record, revision int64) {
 					w.control.Recorded(record, revision)
 					if record.State == rollout.Completed {
 						w.stop("a", "b")
 					}
 				}
-				w.control.Ordered(rollout.Order{Service: "s", Version: newVersion, Duration: 30 * time.Second, Revision: theOrder})
+				w.control.Ordered(rollout.Order{Service: "s", Version: newVersion, Duration: 30 * time.Second, Revision: orderRevision})
 				w.play(t.Context(), 30*time.Second)
 				is.Equal(w.store.state(), tc.state)
 				is.Equal(w.steps.halted.Load(), tc.halted)
-				is.Equal(w.over.Load(), int64(0)) // the share held at every moment
-				is.Equal(w.late.Load(), int64(0)) // nothing after the halt
+				is.Equal(w.overShare.Load(), int64(0)) // the share was kept at every moment
+				is.Equal(w.lateSends.Load(), int64(0)) // nothing was sent after the halt
 				before := w.sender.count(newVersion)
 				w.play(t.Context(), 5*time.Second)
 				got := w.sender.count(newVersion) - before
@@ -163,8 +165,8 @@
 	}
 }
 
-// stop ends targets at once; their entries go a moment later.
-func (w *wholeRollout) stop(ids ...string) {
+// stop ends targets at once; their entries are removed a moment later.
+func (w *fullRollout) stop(ids ...string) {
 	w.sender.play(oldVersion, refused)
 	time.Sleep(300 * time.Millisecond)
 	for _, id := range ids {
--- a/internal/gateway/rollout_pace_test.go
+++ b/internal/gateway/rollout_pace_test.go
@@ -43,7 +43,7 @@
 
 func (p *pacedBody) Close() error { return nil }
 
-// slowCaller takes its time with each event.
+// slowCaller delays each write.
 type slowCaller struct {
 	*recorder
 	block time.Duration
@@ -54,9 +54,9 @@
 	return s.recorder.Write(data)
 }
 
-// TestSlowAnswersCount: a version that is slow to its first events or between them is
-// told from one whose callers are, or whose targets have just started.
-func TestSlowAnswersCount(t *testing.T) {
+// TestRolloutSlowAnswers checks that a version that is slow to its first events or between events
+// is distinguished from one whose callers are slow or whose targets have just started.
+func TestRolloutSlowAnswers(t *testing.T) {
 	usual := paced{head: 50 * time.Millisecond, gap: 20 * time.Millisecond}
 	cases := map[string]struct {
 		answer paced
@@ -64,18 +64,18 @@
 		cold   time.Duration
 		slow   int
 	}{
-		"as usual":                   {answer: usual},
-		"late":                       {answer: paced{head: 200 * time.Millisecond, gap: 20 * time.Millisecond}, slow: 1},
-		"slow between events":        {answer: paced{head: 50 * time.Millisecond, gap: 80 * time.Millisecond}, slow: 1},
-		"its caller is slow":         {answer: usual, block: 200 * time.Millisecond},
-		"late, from a cold target":   {answer: paced{head: 200 * time.Millisecond, gap: 20 * time.Millisecond}, cold: time.Minute},
-		"the other way round: quick": {answer: paced{head: 5 * time.Millisecond, gap: 5 * time.Millisecond}},
+		"as usual":                 {answer: usual},
+		"late":                     {answer: paced{head: 200 * time.Millisecond, gap: 20 * time.Millisecond}, slow: 1},
+		"slow between events":      {answer: paced{head: 50 * time.Millisecond, gap: 80 * time.Millisecond}, slow: 1},
+		"its caller is slow":       {answer: usual, block: 200 * time.Millisecond},
+		"late, from a cold target": {answer: paced{head: 200 * time.Millisecond, gap: 20 * time.Millisecond}, cold: time.Minute},
+		"fast":                     {answer: paced{head: 5 * time.Millisecond, gap: 5 * time.Millisecond}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: usual.send, newVersion: tc.answer.send})
+				w := newRolloutGateway(t, map[string]script{oldVersion: usual.send, newVersion: tc.answer.send})
 				defer w.close()
 				w.serveMany(t.Context(), "/stream/x", 20)
 				for _, id := range []string{"c", "d"} {
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -20,15 +20,15 @@
 )
 
 const (
-	oldVersion = "v1"
-	newVersion = "v2"
-	theOrder   = 3
+	oldVersion    = "v1"
+	newVersion    = "v2"
+	orderRevision = 3
 )
 
-// rolloutWorld is a world with two targets of an old and two of a new version, in which
-// another gateway decides about the roll-out.
-type rolloutWorld struct {
-	*world
+// rolloutGateway is a test gateway with two targets each of an old and a new version, in which
+// another gateway decides about the rollout.
+type rolloutGateway struct {
+	*testGateway
 	control *rollout.Controller
 	sender  *versionSender
 	caller  *recorder
@@ -52,14 +52,14 @@
 	return next(ctx, out)
 }
 
-// play has the targets of a version answer by a script from now on.
+// play sets the script of the targets of a version.
 func (v *versionSender) play(version string, next script) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.scripts[version] = next
 }
 
-// count is how many requests were sent to a version.
+// count returns the number of requests sent to a version.
 func (v *versionSender) count(version string) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -72,11 +72,11 @@
 	return count
 }
 
-// elsewhere are peers of which another one decides.
-type elsewhere struct{}
+// otherDecides has one peer, which decides about the rollout.
+type otherDecides struct{}
 
-func (elsewhere) Decides(string) bool { return false }
-func (elsewhere) LiveIDs() []string   { return []string{"other"} }
+func (otherDecides) Decides(string) bool { return false }
+func (otherDecides) LiveIDs() []string   { return []string{"other"} }
 
 type noStore struct{}
 
@@ -93,10 +93,10 @@
 
 func (noWatcher) RolloutStep(rollout.Step) {}
 
-// newRolloutWorld begins a roll-out; within a bubble of virtual time.
-func newRolloutWorld(t *testing.T, scripts map[string]script) *rolloutWorld {
+// newRolloutGateway starts a rollout; it must be called within a synctest bubble.
+func newRolloutGateway(t *testing.T, scripts map[string]script) *rolloutGateway {
 	t.Helper()
-	w := &rolloutWorld{world: newWorld(), sender: &versionSender{scripts: scripts}, caller: new(recorder)}
+	w := &rolloutGateway{testGateway: newTestGateway(), sender: &versionSender{scripts: scripts}, caller: new(recorder)}
 	w.gateway.Sender, w.gateway.Events = w.sender, w.caller
 	w.gateway.Budgets = retrybudget.New(retrybudget.Options{Ratio: 1, Slack: 1000, Window: 10 * time.Second})
 	for id, version := range map[string]string{"a": oldVersion, "b": oldVersion, "c": newVersion, "d": newVersion} {
@@ -104,41 +104,41 @@
 	}
 	w.control = rollout.NewController(rollout.ControllerOptions{
 		Options: rollout.Options{Share: 0.1, Slack: 50, Rollback: 5 * time.Second},
-		Store:   noStore{}, Peers: elsewhere{}, Registry: registry{w.gateway.Balancer}, Watcher: noWatcher{},
+		Store:   noStore{}, Peers: otherDecides{}, Registry: registry{w.gateway.Balancer}, Watcher: noWatcher{},
 	})
 	is.New(t).NoErr(w.control.Start(t.Context()))
 	w.gateway.Rollouts = w.control.Gate()
-	w.control.Ordered(rollout.Order{Service: "s", Version: newVersion, Duration: time.Minute, Revision: theOrder})
+	w.control.Ordered(rollout.Order{Service: "s", Version: newVersion, Duration: time.Minute, Revision: orderRevision})
 	time.Sleep(time.Second)
 	return w
 }
 
-// close ends what the world began. It is deferred: goroutines of a bubble must have ended
-// before it does, also where a check has failed.
-func (w *rolloutWorld) close() {
+// close stops the controller. It must be deferred: the goroutines of a synctest bubble must have
+// ended before the bubble does, also after a failed check.
+func (w *rolloutGateway) close() {
 	_ = w.control.Close()
 }
 
-func (w *rolloutWorld) put(id, version string, leaving bool) {
+func (w *rolloutGateway) put(id, version string, leaving bool) {
 	w.gateway.Balancer.Put(balance.Target{ID: id, Service: "s", Address: id, Version: version, Leaving: leaving, Slots: 4}, time.Now())
 }
 
-// grant allows a stage until it is allowed another one; samples of all routes are wanted.
-func (w *rolloutWorld) grant(stage rollout.Stage) {
-	grant := rollout.Grant{Service: uint32(hashOf("s") >> 32), Order: theOrder, Stage: stage, For: time.Hour}
+// grant allows a stage until another one is allowed; samples of all routes are requested.
+func (w *rolloutGateway) grant(stage rollout.Stage) {
+	grant := rollout.Grant{Service: uint32(hashOf("s") >> 32), Order: orderRevision, Stage: stage, For: time.Hour}
 	for _, route := range []string{"get", "once", "stream"} {
 		grant.Wanted = append(grant.Wanted, uint32(hashOf(route)>>32))
 	}
 	w.control.Grant("other", grant, time.Now(), time.Now())
 }
 
-// halt ends all that was allowed.
-func (w *rolloutWorld) halt() {
-	w.control.Grant("other", rollout.Grant{Service: uint32(hashOf("s") >> 32), Order: theOrder, End: rollout.Halted}, time.Time{}, time.Now())
+// halt revokes all grants.
+func (w *rolloutGateway) halt() {
+	w.control.Grant("other", rollout.Grant{Service: uint32(hashOf("s") >> 32), Order: orderRevision, End: rollout.Halted}, time.Time{}, time.Now())
 }
 
-// report is what this gateway tells the one that decides.
-func (w *rolloutWorld) report(t *testing.T) rollout.Report {
+// report returns the report of this gateway to the deciding one.
+func (w *rolloutGateway) report(t *testing.T) rollout.Report {
 	t.Helper()
 	for range 20 {
 		for _, report := range w.control.Reports(time.Now()) {
@@ -151,7 +151,7 @@
 }
 
 // serveMany serves requests one after the other and returns their records.
-func (w *rolloutWorld) serveMany(ctx context.Context, path string, count int) []*gateway.RequestRecord {
+func (w *rolloutGateway) serveMany(ctx context.Context, path string, count int) []*gateway.RequestRecord {
 	before := len(w.caller.records)
 	for range count {
 		w.serveAs(ctx, path)
@@ -160,67 +160,68 @@
 	return w.caller.records[before:]
 }
 
-func yes(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	return whole(http.StatusOK, "yes")(ctx, out)
+func answerYes(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+	return respond(http.StatusOK, "yes")(ctx, out)
 }
 
-func broken(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-	return whole(http.StatusInternalServerError, "broken")(ctx, out)
+func answerFailure(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+	return respond(http.StatusInternalServerError, "broken")(ctx, out)
 }
 
-// TestWhereRequestsGoInARollout: the bound on the share, what is tried again, and what a
-// halt stops.
-func TestWhereRequestsGoInARollout(t *testing.T) {
+// TestRolloutRouting checks the limit of the share, which requests are retried, and what a halt
+// stops.
+func TestRolloutRouting(t *testing.T) {
 	const requests = 400
 	cases := map[string]struct {
-		before func(w *rolloutWorld)
+		before func(w *rolloutGateway)
 		answer script
 		path   string
-		// least and most are requests sent to the new version; others to the old one.
+		// least and most limit the requests sent to the new version; others is the number sent to
+		// the old one.
 		least, most, others int
 		status              int
 	}{
-		"nothing allowed yet":    {answer: yes, path: "/get/x", others: requests, status: 200},
-		"a share of all":         {before: func(w *rolloutWorld) { w.grant(rollout.Canary) }, answer: yes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
-		"a share that fails":     {before: func(w *rolloutWorld) { w.grant(rollout.Canary) }, answer: broken, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that is full":   {before: func(w *rolloutWorld) { w.grant(rollout.Canary) }, answer: rejected, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that is away":   {before: func(w *rolloutWorld) { w.grant(rollout.Canary) }, answer: refused, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that is silent": {before: func(w *rolloutWorld) { w.grant(rollout.Canary) }, answer: silent, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"no new target is open": {before: func(w *rolloutWorld) {
+		"nothing allowed yet":              {answer: answerYes, path: "/get/x", others: requests, status: 200},
+		"a share of all":                   {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerYes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
+		"a share that fails":               {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerFailure, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
+		"a share that is full":             {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: rejected, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
+		"a share that refuses connections": {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: refused, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
+		"a share that is silent":           {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: silent, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
+		"no new target is open": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.put("c", newVersion, true)
 			w.put("d", newVersion, true)
-		}, answer: yes, path: "/get/x", others: requests, status: 200},
-		"the entries lapse": {before: func(w *rolloutWorld) {
+		}, answer: answerYes, path: "/get/x", others: requests, status: 200},
+		"the entries expire": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			for _, id := range []string{"a", "b", "c", "d"} {
 				w.gateway.Balancer.Drop(id, time.Now())
 			}
-		}, answer: yes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
-		"all": {before: func(w *rolloutWorld) { w.grant(rollout.Move) }, answer: yes, path: "/get/x", least: requests, most: requests, status: 200},
-		"halted in the canary": {before: func(w *rolloutWorld) {
+		}, answer: answerYes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
+		"all": {before: func(w *rolloutGateway) { w.grant(rollout.Move) }, answer: answerYes, path: "/get/x", least: requests, most: requests, status: 200},
+		"halted in the canary": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.halt()
-		}, answer: yes, path: "/get/x", others: requests, status: 200},
-		"halted in the move": {before: func(w *rolloutWorld) {
+		}, answer: answerYes, path: "/get/x", others: requests, status: 200},
+		"halted in the move": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Move)
 			w.halt()
-		}, answer: yes, path: "/get/x", others: requests, status: 200},
-		"allowed once more after a halt": {before: func(w *rolloutWorld) {
+		}, answer: answerYes, path: "/get/x", others: requests, status: 200},
+		"allowed once more after a halt": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.halt()
 			w.grant(rollout.Canary)
-		}, answer: yes, path: "/get/x", others: requests, status: 200},
-		"withdrawn": {before: func(w *rolloutWorld) {
+		}, answer: answerYes, path: "/get/x", others: requests, status: 200},
+		"withdrawn": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.control.Withdrawn("s")
-		}, answer: yes, path: "/get/x", others: requests, status: 200},
+		}, answer: answerYes, path: "/get/x", others: requests, status: 200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: yes, newVersion: tc.answer})
+				w := newRolloutGateway(t, map[string]script{oldVersion: answerYes, newVersion: tc.answer})
 				defer w.close()
 				if tc.before != nil {
 					tc.before(w)
@@ -228,7 +229,7 @@
 				for _, record := range w.serveMany(t.Context(), tc.path, requests) {
 					is.Equal(record.Status, tc.status)
 					for i, attempt := range record.Attempts {
-						is.True(i == 0 || attempt.Version == oldVersion) // what it failed goes to the old one
+						is.True(i == 0 || attempt.Version == oldVersion) // what the new version failed is retried at the old one
 					}
 				}
 				sent := w.sender.count(newVersion)
@@ -241,9 +242,9 @@
 	}
 }
 
-// TestHowAttemptsCount: each attempt ends with one outcome, which says something of the
+// TestRolloutAttemptOutcomes checks that each attempt ends with one outcome, which counts for the
 // version only if the target itself answered or failed.
-func TestHowAttemptsCount(t *testing.T) {
+func TestRolloutAttemptOutcomes(t *testing.T) {
 	cutOnce := func() script {
 		times := 0
 		return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
@@ -256,35 +257,35 @@
 	cases := map[string]struct {
 		answer          script
 		path            string
-		before          func(w *rolloutWorld)
+		before          func(w *rolloutGateway)
 		patience        time.Duration
 		answers, failed int
 	}{
-		"a whole answer":              {answer: yes, path: "/once/x", answers: 1},
-		"a refusal of its own":        {answer: whole(404, "no"), path: "/once/x", answers: 1},
-		"a failure":                   {answer: broken, path: "/once/x", answers: 1, failed: 1},
-		"a failure, twice":            {answer: broken, path: "/get/x", answers: 2, failed: 2},
-		"full":                        {answer: rejected, path: "/once/x"},
-		"unreachable":                 {answer: unreachable, path: "/once/x"},
-		"nothing listens":             {answer: refused, path: "/once/x"},
-		"lost":                        {answer: lost, path: "/once/x", answers: 1, failed: 1},
-		"unsigned":                    {answer: unsigned, path: "/once/x", answers: 1, failed: 1},
-		"silent to the end":           {answer: silent, path: "/once/x", answers: 1, failed: 1},
-		"silent, left for another":    {answer: silent, path: "/get/x", answers: 2, failed: 2},
-		"a whole stream":              {answer: stream(one+two, io.EOF), path: "/stream/x", answers: 1},
-		"a stream without events":     {answer: stream("", io.EOF), path: "/stream/x", answers: 1},
-		"a stream cut":                {answer: stream(one+two[:5], io.ErrUnexpectedEOF), path: "/stream/x", answers: 1, failed: 1},
-		"a stream cut, and resumed":   {answer: cutOnce(), path: "/resumable/x", answers: 2, failed: 1},
-		"a failure while late itself": {answer: broken, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1, failed: 1},
-		"silence while late itself":   {answer: silent, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }},
-		"an answer while late itself": {answer: yes, path: "/once/x", before: func(w *rolloutWorld) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1},
-		"the caller leaves":           {answer: silent, path: "/once/x", patience: 30 * time.Millisecond},
+		"a whole answer":                      {answer: answerYes, path: "/once/x", answers: 1},
+		"a refusal of its own":                {answer: respond(404, "no"), path: "/once/x", answers: 1},
+		"a failure":                           {answer: answerFailure, path: "/once/x", answers: 1, failed: 1},
+		"a failure, twice":                    {answer: answerFailure, path: "/get/x", answers: 2, failed: 2},
+		"full":                                {answer: rejected, path: "/once/x"},
+		"unreachable":                         {answer: unreachable, path: "/once/x"},
+		"connection refused":                  {answer: refused, path: "/once/x"},
+		"lost":                                {answer: lost, path: "/once/x", answers: 1, failed: 1},
+		"unsigned":                            {answer: unsigned, path: "/once/x", answers: 1, failed: 1},
+		"silent to the end":                   {answer: silent, path: "/once/x", answers: 1, failed: 1},
+		"silent, retried elsewhere":           {answer: silent, path: "/get/x", answers: 2, failed: 2},
+		"a whole stream":                      {answer: stream(one+two, io.EOF), path: "/stream/x", answers: 1},
+		"a stream without events":             {answer: stream("", io.EOF), path: "/stream/x", answers: 1},
+		"a stream cut":                        {answer: stream(one+two[:5], io.ErrUnexpectedEOF), path: "/stream/x", answers: 1, failed: 1},
+		"a stream cut, and resumed":           {answer: cutOnce(), path: "/resumable/x", answers: 2, failed: 1},
+		"a failure while the process is late": {answer: answerFailure, path: "/once/x", before: func(w *rolloutGateway) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1, failed: 1},
+		"silence while the process is late":   {answer: silent, path: "/once/x", before: func(w *rolloutGateway) { w.gateway.Options.ProcessLate = func() bool { return true } }},
+		"an answer while the process is late": {answer: answerYes, path: "/once/x", before: func(w *rolloutGateway) { w.gateway.Options.ProcessLate = func() bool { return true } }, answers: 1},
+		"the caller leaves":                   {answer: silent, path: "/once/x", patience: 30 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: tc.answer})
+				w := newRolloutGateway(t, map[string]script{oldVersion: tc.answer})
 				defer w.close()
 				if tc.before != nil {
 					tc.before(w)
@@ -296,7 +297,7 @@
 				}
 				w.serveAs(ctx, tc.path)
 				report := w.report(t)
-				is.Equal(report.Others, 0) // each that was chosen has been observed
+				is.Equal(report.Others, 0) // each chosen attempt was reported
 				is.Equal(report.Requests, 1)
 				answers, failed := 0, 0
 				for _, tally := range report.Tallies {
@@ -310,9 +311,9 @@
 	}
 }
 
-// TestAStreamGoesOnAtTheNewVersion: old targets stop without draining at the end of a
-// roll-out, and what may be resumed goes on behind the last event.
-func TestAStreamGoesOnAtTheNewVersion(t *testing.T) {
+// TestStreamResumesAtNewVersion covers old targets that stop without draining at the end of a
+// rollout: resumable streams continue behind the last event.
+func TestStreamResumesAtNewVersion(t *testing.T) {
 	cases := map[string]struct {
 		path, body string
 		halted     bool
@@ -329,7 +330,7 @@
 				is := is.New(t)
 				ends := make(chan struct{})
 				goesOn := stream(two, io.EOF)
-				w := newRolloutWorld(t, map[string]script{newVersion: goesOn})
+				w := newRolloutGateway(t, map[string]script{newVersion: goesOn})
 				defer w.close()
 				w.sender.play(oldVersion, func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if out.LastEventID != "" {
@@ -361,7 +362,7 @@
 	}
 }
 
-// endingBody gives its text, and breaks off when end is closed.
+// endingBody returns its text, and breaks off when end is closed.
 type endingBody struct {
 	text io.Reader
 	end  chan struct{}
@@ -378,11 +379,11 @@
 
 func (e *endingBody) Close() error { return nil }
 
-// TestWhoWaitsObeysAHalt: neither those in the queue of a full service nor those that wait
-// for a reading of their prompt go to a version that was halted meanwhile.
-func TestWhoWaitsObeysAHalt(t *testing.T) {
-	cases := map[string]func(t *testing.T, w *rolloutWorld) (release func()){
-		"a turn": func(t *testing.T, w *rolloutWorld) func() {
+// TestHaltAppliesToWaitingRequests checks that requests that wait in the queue of a full service or
+// for a prefill don't go to a version that was halted meanwhile.
+func TestHaltAppliesToWaitingRequests(t *testing.T) {
+	cases := map[string]func(t *testing.T, w *rolloutGateway) (release func()){
+		"queue": func(t *testing.T, w *rolloutGateway) func() {
 			w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 			full := []balance.Count{{Target: hashOf("a"), Count: 20}, {Target: hashOf("b"), Count: 20}, {Target: hashOf("c"), Count: 20}, {Target: hashOf("d"), Count: 20}}
 			w.gateway.Balancer.Observe("other", full, time.Now())
@@ -391,21 +392,21 @@
 				w.gateway.AdmitWaiting()
 			}
 		},
-		"a reading": func(t *testing.T, w *rolloutWorld) func() {
+		"prefill": func(t *testing.T, w *rolloutGateway) func() {
 			w.gateway.Apply(engineConfig())
 			fill := balance.Placement{Part: uint32(hashOf("m/long") >> 32), Target: uint32(hashOf("c") >> 32)}
 			w.gateway.Balancer.LearnFills([]balance.Placement{fill}, time.Now())
 			return func() { w.gateway.Balancer.Learn([]balance.Placement{fill}) }
 		},
 	}
-	for name, fill := range cases {
+	for name, block := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: stream(one, io.EOF), newVersion: stream(one, io.EOF)})
+				w := newRolloutGateway(t, map[string]script{oldVersion: stream(one, io.EOF), newVersion: stream(one, io.EOF)})
 				defer w.close()
 				w.grant(rollout.Move)
-				release := fill(t, w)
+				release := block(t, w)
 				done := make(chan *recorder)
 				go func() {
 					caller := new(recorder)
@@ -426,9 +427,9 @@
 	}
 }
 
-// TestRoomIsThatOfTheVersionsInUse: empty targets of a version that takes nothing are no
-// room for requests that may not go there, at the first attempt or at a further one.
-func TestRoomIsThatOfTheVersionsInUse(t *testing.T) {
+// TestCapacityOfAdmittedVersions checks that idle targets of a version that takes nothing don't
+// count as capacity for requests that may not go there, at the first attempt or a later one.
+func TestCapacityOfAdmittedVersions(t *testing.T) {
 	full := func(ids ...string) []balance.Count {
 		var counts []balance.Count
 		for _, id := range ids {
@@ -450,7 +451,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: stream(one, io.EOF), newVersion: stream(one, io.EOF)})
+				w := newRolloutGateway(t, map[string]script{oldVersion: stream(one, io.EOF), newVersion: stream(one, io.EOF)})
 				defer w.close()
 				w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 				w.grant(tc.stage)
@@ -461,35 +462,35 @@
 				synctest.Wait()
 				w.gateway.Balancer.Observe("other", tc.full, time.Now())
 				w.gateway.AdmitWaiting()
-				is.Equal((<-done).status == http.StatusOK, tc.served)                            // who waited
-				is.Equal(w.serveAs(t.Context(), "/stream/x").status == http.StatusOK, tc.served) // who comes now
+				is.Equal((<-done).status == http.StatusOK, tc.served)                            // the waiting request
+				is.Equal(w.serveAs(t.Context(), "/stream/x").status == http.StatusOK, tc.served) // a new request
 				w.gateway.Balancer.Observe("other", nil, time.Now())
 				failing := func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					w.gateway.Balancer.Observe("other", tc.full, time.Now())
-					return broken(ctx, out)
+					return answerFailure(ctx, out)
 				}
 				w.sender.play(oldVersion, failing)
 				w.sender.play(newVersion, failing)
 				w.serveAs(t.Context(), "/get/x")
 				last := w.caller.records[len(w.caller.records)-1]
-				is.Equal(len(last.Attempts) == 2, tc.served) // a further attempt
+				is.Equal(len(last.Attempts) == 2, tc.served) // a second attempt
 			})
 		})
 	}
 }
 
-// TestWhatIsNotUsedIsGivenBack: a share that requests were assigned to but did not use
-// is there for later ones.
-func TestWhatIsNotUsedIsGivenBack(t *testing.T) {
-	cases := map[string]func(t *testing.T, w *rolloutWorld){
-		"no new target was open": func(*testing.T, *rolloutWorld) {},
-		"none at all was open": func(t *testing.T, w *rolloutWorld) {
+// TestUnusedAssignmentsAreReturned checks that a share that was assigned to requests but not used
+// is available to later ones.
+func TestUnusedAssignmentsAreReturned(t *testing.T) {
+	cases := map[string]func(t *testing.T, w *rolloutGateway){
+		"no new target was open": func(*testing.T, *rolloutGateway) {},
+		"none at all was open": func(t *testing.T, w *rolloutGateway) {
 			for id, version := range map[string]string{"a": oldVersion, "b": oldVersion, "c": newVersion, "d": newVersion} {
 				w.put(id, version, true)
 			}
 			w.serveMany(t.Context(), "/get/x", 20)
 		},
-		"the callers left while they waited": func(t *testing.T, w *rolloutWorld) {
+		"the callers left while they waited": func(t *testing.T, w *rolloutGateway) {
 			w.put("c", newVersion, false)
 			w.gateway.Apply(engineConfig())
 			fill := balance.Placement{Part: uint32(hashOf("m/long") >> 32), Target: uint32(hashOf("c") >> 32)}
@@ -501,7 +502,7 @@
 			}
 			w.gateway.Balancer.Learn([]balance.Placement{fill})
 		},
-		"they were assigned anew": func(t *testing.T, w *rolloutWorld) {
+		"they were assigned again": func(t *testing.T, w *rolloutGateway) {
 			w.put("c", newVersion, false)
 			w.gateway.Apply(engineConfig())
 			fill := balance.Placement{Part: uint32(hashOf("m/long") >> 32), Target: uint32(hashOf("c") >> 32)}
@@ -513,18 +514,18 @@
 			}
 		},
 	}
-	for name, waste := range cases {
+	for name, takeShares := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newRolloutWorld(t, map[string]script{oldVersion: yes, newVersion: yes})
+				w := newRolloutGateway(t, map[string]script{oldVersion: answerYes, newVersion: answerYes})
 				defer w.close()
 				w.grant(rollout.Canary)
 				w.put("c", newVersion, true)
 				w.put("d", newVersion, true)
 				w.serveMany(t.Context(), "/get/x", 400)
 				is.Equal(w.report(t).Exposed, 0)
-				waste(t, w)
+				takeShares(t, w)
 				is.Equal(w.report(t).Exposed, w.sender.count(newVersion))
 				for _, id := range []string{"a", "b"} {
 					w.put(id, oldVersion, false)
@@ -538,7 +539,7 @@
 	}
 }
 
-// longRequest is one whose prompt has a long shared part.
+// longRequest returns a request whose prompt has a long shared part.
 func longRequest(path string) *gateway.Request {
 	return &gateway.Request{
 		ID: "r", Method: "POST", Host: "h", URI: path, Path: path, Key: "key", Arrived: time.Now(),
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -14,26 +14,26 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// suspendedFor is longer than keys are vouched for and any route waits.
-const suspendedFor = 20 * time.Second
+// suspension is longer than keys are trusted and than any route waits.
+const suspension = 20 * time.Second
 
-// suspendingSender is on a host that is suspended between the choice and the sending.
+// suspendingSender simulates a suspension of the host between the choice of a target and the send.
 type suspendingSender struct {
 	*fakeSender
 	back func()
 }
 
 func (s *suspendingSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
-	s.back = clock.Simulate(suspendedFor)
+	s.back = clock.Simulate(suspension)
 	return s.fakeSender.Send(ctx, out, admit)
 }
 
-// TestASuspendedHostVouchesForNoKey: the steady clock stood still, and a key that may have been
-// taken away meanwhile was served by a proof that seemed new.
-func TestASuspendedHostVouchesForNoKey(t *testing.T) {
-	cases := map[string]func(w *world) (back func()){
-		"before the request": func(*world) func() { return clock.Simulate(suspendedFor) },
-		"before the sending": func(w *world) func() {
+// TestSuspendedHostAcceptsNoKeys guards against trusting a key that may have been revoked during a
+// suspension: the monotonic clock stood still, so that the proof seemed new.
+func TestSuspendedHostAcceptsNoKeys(t *testing.T) {
+	cases := map[string]func(w *testGateway) (back func()){
+		"before the request": func(*testGateway) func() { return clock.Simulate(suspension) },
+		"before the sending": func(w *testGateway) func() {
 			sender := &suspendingSender{fakeSender: w.sender}
 			w.gateway.Sender = sender
 			return func() { sender.back() }
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(whole(200, "yes"))
+				w := newTestGateway(respond(200, "yes"))
 				back := suspend(w)
 				defer func() { back() }()
 				w.serve(t.Context(), "/once/x")
@@ -55,40 +55,41 @@
 	}
 }
 
-// TestASuspendedHostDeniesNothing: nor is it known any more that a route is not there.
-func TestASuspendedHostDeniesNothing(t *testing.T) {
+// TestSuspendedHostDeniesNoRoutes checks that after a suspension a missing route isn't denied,
+// since the configuration may be outdated.
+func TestSuspendedHostDeniesNoRoutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(whole(200, "yes"))
-		defer clock.Simulate(suspendedFor)()
+		w := newTestGateway(respond(200, "yes"))
+		defer clock.Simulate(suspension)()
 		w.serve(t.Context(), "/none/x")
 		is.Equal(w.caller.refusal.Kind, fault.StoreAway)
 	})
 }
 
-// TestTimeOfASuspensionIsGone: a target gets no more time than the caller still has.
-func TestTimeOfASuspensionIsGone(t *testing.T) {
+// TestSuspensionReducesTimeLeft checks that a target gets no more time than the caller still has.
+func TestSuspensionReducesTimeLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(lost, whole(200, "yes"))
+		w := newTestGateway(lost, respond(200, "yes"))
 		w.gateway.Options.KeyFreshness = time.Hour
-		w.gateway.Sender = &firstThen{w.sender, 400 * time.Millisecond, nil}
+		w.gateway.Sender = &suspendAfterSend{w.sender, 400 * time.Millisecond, nil}
 		w.serve(t.Context(), "/get/x")
 		is.Equal(len(w.sender.sent), 2)
 		is.Equal(w.sender.sent[0].TimeLeft, time.Second)
 		is.True(w.sender.sent[1].TimeLeft <= 600*time.Millisecond)
-		w.gateway.Sender.(*firstThen).back()
+		w.gateway.Sender.(*suspendAfterSend).back()
 	})
 }
 
-// firstThen is on a host that is suspended after the first sending.
-type firstThen struct {
+// suspendAfterSend simulates a suspension of the host after the first send.
+type suspendAfterSend struct {
 	*fakeSender
 	away time.Duration
 	back func()
 }
 
-func (f *firstThen) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
+func (f *suspendAfterSend) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
 	answer, err := f.fakeSender.Send(ctx, out, admit)
 	if f.back == nil {
 		f.back = clock.Simulate(f.away)
@@ -96,17 +97,18 @@
 	return answer, err
 }
 
-// TestASuspensionEndsATerm: what is held back for a while is so by the time that went by.
-func TestASuspensionEndsATerm(t *testing.T) {
+// TestSuspensionCountsForQuarantineTerm checks that the term for which a request is held back
+// includes the time of a suspension.
+func TestSuspensionCountsForQuarantineTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := quarantine.New()
-		const print = 7
-		for life := range quarantine.Limit {
-			table.Crashed(print, quarantine.Life(life), clock.Now())
+		const fingerprint = 7
+		for incarnation := range quarantine.Limit {
+			table.Crashed(fingerprint, quarantine.Life(incarnation), clock.Now())
 		}
-		is.True(table.Held(print, clock.Check()))
+		is.True(table.Held(fingerprint, clock.Check()))
 		defer clock.Simulate(quarantine.FirstTerm)()
-		is.True(!table.Held(print, clock.Check()))
+		is.True(!table.Held(fingerprint, clock.Check()))
 	})
 }
--- a/internal/gateway/unresponsive_test.go
+++ b/internal/gateway/unresponsive_test.go
@@ -16,13 +16,13 @@
 	"github.com/capersaddle/capersaddle/internal/gateway"
 )
 
-// darkBody gives its text and then nothing until the attempt is ended.
-type darkBody struct {
+// silentBody returns its text and then nothing until the attempt is ended.
+type silentBody struct {
 	text io.Reader
 	ctx  context.Context
 }
 
-func (d *darkBody) Read(data []byte) (int, error) {
+func (d *silentBody) Read(data []byte) (int, error) {
 	n, err := d.text.Read(data)
 	if err == io.EOF {
 		<-d.ctx.Done()
@@ -31,18 +31,17 @@
 	return n, err
 }
 
-func (d *darkBody) Close() error { return nil }
+func (d *silentBody) Close() error { return nil }
 
-// goesDark is a target that is gone after some text, without a trace.
-func goesDark(text string) script {
+// streamThenSilence is a target that disappears after some text without closing its connections.
+func streamThenSilence(text string) script {
 	return func(ctx context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-		return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &darkBody{strings.NewReader(text), ctx}}, nil
+		return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &silentBody{strings.NewReader(text), ctx}}, nil
 	}
 }
 
-// suspect has other gateways say that they lost requests at the target of the only
-// request under way.
-func suspect(w *world, gateways ...string) {
+// reportSuspects makes other gateways report lost requests at the targets with requests in flight.
+func reportSuspects(w *testGateway, gateways ...string) {
 	var targets []uint32
 	for _, count := range w.gateway.Balancer.InFlight() {
 		targets = append(targets, uint32(count.Target>>32))
@@ -52,43 +51,43 @@
 	}
 }
 
-// TestStreamsOnADarkTarget: a stream that can't go on elsewhere waited for its deadline
-// where its target was gone, as several gateways knew.
-func TestStreamsOnADarkTarget(t *testing.T) {
+// TestStreamsOnUnresponsiveTarget guards against streams that can't continue elsewhere and wait for
+// their deadline although several gateways know that their target is gone.
+func TestStreamsOnUnresponsiveTarget(t *testing.T) {
 	const timeout = 10 * time.Second
 	two := []string{"one", "two"}
 	cases := map[string]struct {
 		answer   script
 		path     string
 		suspects []string
-		// at is when they report it; alive has the target answer after that.
+		// at is when the suspects are reported; alive makes the target answer after that.
 		at    time.Duration
-		alive func(ctx context.Context, w *world)
+		alive func(ctx context.Context, w *testGateway)
 		took  time.Duration
 		kind  fault.Kind
 		sends int
 	}{
 		"no event yet":                        {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: time.Second, kind: fault.TargetFailed, sends: 1},
-		"a head, but no event":                {answer: goesDark(""), path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: time.Second, kind: fault.TargetFailed, sends: 1},
-		"known late":                          {answer: silent, path: "/stream/x", suspects: two, at: 3100 * time.Millisecond, took: 3200 * time.Millisecond, kind: fault.TargetFailed, sends: 1},
-		"halted after an event":               {answer: goesDark(one), path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: 1400 * time.Millisecond, sends: 1},
-		"one gateway alone says so":           {answer: silent, path: "/stream/x", suspects: two[:1], at: 300 * time.Millisecond, took: timeout, kind: fault.Deadline, sends: 1},
-		"nobody says so":                      {answer: silent, path: "/stream/x", took: timeout, kind: fault.Deadline, sends: 1},
-		"said before it was sent":             {answer: silent, path: "/stream/x", at: -1, suspects: two, took: timeout, kind: fault.Deadline, sends: 1},
-		"one that goes on elsewhere":          {answer: silent, path: "/resumable/x", suspects: two, at: 300 * time.Millisecond, took: timeout, kind: fault.Deadline, sends: 2},
+		"headers, but no event":               {answer: streamThenSilence(""), path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: time.Second, kind: fault.TargetFailed, sends: 1},
+		"suspected late":                      {answer: silent, path: "/stream/x", suspects: two, at: 3100 * time.Millisecond, took: 3200 * time.Millisecond, kind: fault.TargetFailed, sends: 1},
+		"silent after an event":               {answer: streamThenSilence(one), path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: 1400 * time.Millisecond, sends: 1},
+		"one gateway suspects it":             {answer: silent, path: "/stream/x", suspects: two[:1], at: 300 * time.Millisecond, took: timeout, kind: fault.Deadline, sends: 1},
+		"no gateway suspects it":              {answer: silent, path: "/stream/x", took: timeout, kind: fault.Deadline, sends: 1},
+		"suspected before it was sent":        {answer: silent, path: "/stream/x", at: -1, suspects: two, took: timeout, kind: fault.Deadline, sends: 1},
+		"resumable elsewhere":                 {answer: silent, path: "/resumable/x", suspects: two, at: 300 * time.Millisecond, took: timeout, kind: fault.Deadline, sends: 2},
 		"one without a retry left":            {answer: silent, path: "/resumable/x", suspects: two, at: 300 * time.Millisecond, took: 1200 * time.Millisecond, kind: fault.TargetFailed, sends: 1},
 		"this process is late":                {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: timeout, kind: fault.Deadline, sends: 1},
 		"a plain request":                     {answer: silent, path: "/once/x", suspects: two, at: 300 * time.Millisecond, took: time.Second, kind: fault.Deadline, sends: 1},
-		"the target has answered since":       {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: answerElsewhere, took: timeout, kind: fault.Deadline, sends: 2},
-		"another stream has heard from it":    {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: streamElsewhere, took: timeout, kind: fault.Deadline, sends: 2},
-		"another stream has heard once":       {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: eventElsewhere, took: timeout, kind: fault.Deadline, sends: 2},
+		"the target has answered since":       {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: answerOtherRequest, took: timeout, kind: fault.Deadline, sends: 2},
+		"another stream gets events":          {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: streamOtherEvents, took: timeout, kind: fault.Deadline, sends: 2},
+		"another stream gets one event":       {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, alive: sendOneOtherEvent, took: timeout, kind: fault.Deadline, sends: 2},
 		"streams of the route usually take 4": {answer: silent, path: "/stream/x", suspects: two, at: 300 * time.Millisecond, took: 4200 * time.Millisecond, kind: fault.TargetFailed, sends: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(tc.answer)
+				w := newTestGateway(tc.answer)
 				for _, id := range []string{"b", "c"} {
 					w.gateway.Balancer.Put(balance.Target{ID: id, Service: "s", Address: id, Leaving: tc.path != "/resumable/x"}, time.Now())
 				}
@@ -114,7 +113,7 @@
 				go func() { done <- w.serveAs(t.Context(), tc.path) }()
 				if tc.at > 0 {
 					time.Sleep(tc.at)
-					suspect(w, tc.suspects...)
+					reportSuspects(w, tc.suspects...)
 				}
 				if tc.alive != nil {
 					time.Sleep(300 * time.Millisecond)
@@ -135,16 +134,16 @@
 	}
 }
 
-// spendRetries uses the retries up.
-func (w *world) spendRetries() {
+// spendRetries uses up the retry budget.
+func (w *testGateway) spendRetries() {
 	for w.gateway.Budgets.Spend("s", time.Now()) {
 	}
 }
 
-// slowStreams has streams of the route take 4 s to their first event.
-func (w *world) slowStreams(t *testing.T) {
+// slowStreams makes streams of the route take 4 s to their first event.
+func (w *testGateway) slowStreams(t *testing.T) {
 	t.Helper()
-	slow := after(4*time.Second, http.StatusOK, one)
+	slow := respondAfter(4*time.Second, http.StatusOK, one)
 	w.sender.scripts = []script{slow}
 	for range 200 {
 		w.gateway.Proof.Note(time.Now())
@@ -153,17 +152,17 @@
 	w.sender.scripts = []script{silent}
 }
 
-// answerElsewhere has the target answer another request.
-func answerElsewhere(ctx context.Context, w *world) {
+// answerOtherRequest makes the target answer another request.
+func answerOtherRequest(ctx context.Context, w *testGateway) {
 	w.sender.mu.Lock()
-	w.sender.scripts = []script{whole(http.StatusOK, "yes")}
+	w.sender.scripts = []script{respond(http.StatusOK, "yes")}
 	w.sender.mu.Unlock()
 	w.serveAs(ctx, "/once/other")
 }
 
-// eventElsewhere has one event of another stream come from the target, when nobody
-// suspects it any more.
-func eventElsewhere(ctx context.Context, w *world) {
+// sendOneOtherEvent makes the target send one event of another stream, after the last report of
+// suspects.
+func sendOneOtherEvent(ctx context.Context, w *testGateway) {
 	w.sender.mu.Lock()
 	w.sender.scripts = []script{func(attempt context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		reader, writer := io.Pipe()
@@ -179,42 +178,42 @@
 	go w.serveAs(ctx, "/stream/other")
 }
 
-// endedBody gives an event a time, until the attempt is ended.
-type endedBody struct {
+// eventPerReadBody returns one event per read until the attempt is ended.
+type eventPerReadBody struct {
 	text io.Reader
 	ctx  context.Context
 }
 
-func (e *endedBody) Read(data []byte) (int, error) {
+func (e *eventPerReadBody) Read(data []byte) (int, error) {
 	if err := e.ctx.Err(); err != nil {
 		return 0, err
 	}
 	return e.text.Read(data[:min(len(data), len(one))])
 }
 
-func (e *endedBody) Close() error { return nil }
+func (e *eventPerReadBody) Close() error { return nil }
 
-// blockedCaller reads nothing for a while after the first event.
-type blockedCaller struct {
+// delayedCaller reads nothing for a while after the first event.
+type delayedCaller struct {
 	*recorder
 	block time.Duration
 }
 
-func (b *blockedCaller) Write(data []byte) error {
+func (b *delayedCaller) Write(data []byte) error {
 	time.Sleep(b.block)
 	b.block = 0
 	return b.recorder.Write(data)
 }
 
-// TestACallerWhoReadsSlowly: while an event can't be passed on, nothing is received from a
-// target that works.
-func TestACallerWhoReadsSlowly(t *testing.T) {
+// TestSlowCallerIsNotUnresponsiveTarget checks that a working target isn't considered unresponsive
+// while an event can't be passed on, although nothing is read from it meanwhile.
+func TestSlowCallerIsNotUnresponsiveTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(func(ctx context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
-			return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &endedBody{strings.NewReader(one + two), ctx}}, nil
+		w := newTestGateway(func(ctx context.Context, _ *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
+			return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &eventPerReadBody{strings.NewReader(one + two), ctx}}, nil
 		})
-		caller := &blockedCaller{recorder: new(recorder), block: 3 * time.Second}
+		caller := &delayedCaller{recorder: new(recorder), block: 3 * time.Second}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
@@ -222,7 +221,7 @@
 		}()
 		for range 10 {
 			time.Sleep(300 * time.Millisecond)
-			suspect(w, "one", "two")
+			reportSuspects(w, "one", "two")
 		}
 		<-done
 		is.Equal(caller.body.String(), one+two)
@@ -230,9 +229,9 @@
 	})
 }
 
-// streamElsewhere has an event of another stream come from the target now and then, while
-// others go on to suspect it.
-func streamElsewhere(ctx context.Context, w *world) {
+// streamOtherEvents makes the target send events of another stream at intervals while other
+// gateways continue to suspect it.
+func streamOtherEvents(ctx context.Context, w *testGateway) {
 	w.sender.mu.Lock()
 	w.sender.scripts = []script{func(context.Context, *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		reader, writer := io.Pipe()
@@ -240,7 +239,7 @@
 			for range 30 {
 				_, _ = io.WriteString(writer, one)
 				time.Sleep(200 * time.Millisecond)
-				suspect(w, "one", "two")
+				reportSuspects(w, "one", "two")
 				time.Sleep(100 * time.Millisecond)
 			}
 			_ = writer.Close()
--- a/internal/process/notices_test.go
+++ b/internal/process/notices_test.go
@@ -151,8 +151,8 @@
 }
 
 // logServed says how callers were served. How many are depends on what else the machine does;
-// that all are is checked in virtual time (gateway.TestARestIsKept,
-// TestCallersAreServedWhileATargetLeaves).
+// that all are is checked in virtual time (gateway.TestRestingTargetGetsOneProbe,
+// TestServiceDuringTargetLeave).
 func logServed(t *testing.T, c *steadyCallers) {
 	t.Helper()
 	t.Logf("served: %.3f of %d at engines, %.3f of %d at plain targets; not served:%s%s", c.engines.share(), c.engines.sent.Load(), c.plain.share(), c.plain.sent.Load(), &c.engines.unserved, &c.plain.unserved)
