--- a/internal/delivery/delivery.go
+++ b/internal/delivery/delivery.go
@@ -1,6 +1,5 @@
-// Package delivery decides, without I/O, what becomes of one request after
-// each attempt to have a target answer it: another attempt, a resumed stream,
-// or the end, and what may then be said of it to the caller.
+// Package delivery decides, without I/O, what follows each attempt at a target to answer a request:
+// another attempt, a resumed stream, or the end, and what the caller may then be told.
 //
 // Source: docs/design/platform.md, "Delivery".
 package delivery
@@ -14,51 +13,51 @@
 const (
 	// Unsent: no byte of the request reached the target.
 	Unsent Outcome = iota
-	// Rejected: the target said that it did not run the request and will not.
+	// Rejected: the target reported that it did not run the request and will not.
 	Rejected
-	// Lost: the request was sent and no usable answer came; it may have run.
+	// Lost: the request was sent and no usable answer arrived; it may have run.
 	Lost
 	// Failed: the target ran the request and answered with a failure.
 	Failed
-	// Silent: the request was sent and the attempt's time ran out; the
-	// connection to the target was closed.
+	// Silent: the request was sent and the attempt timed out; the connection to the target was
+	// closed.
 	Silent
 	// Cut: the answer broke off after a part of it was passed on.
 	Cut
 )
 
-// Repeat says how often a request may run.
+// RepeatPolicy is how often a request may run.
 type RepeatPolicy int
 
-// How often a request may run.
+// The repeat policies.
 const (
-	// AtMostOnce: never a second run.
+	// AtMostOnce never allows a second run.
 	AtMostOnce RepeatPolicy = iota
-	// Repeatable: a second run before any of the answer was passed on.
+	// Repeatable allows a second run until a part of the answer has been passed on.
 	Repeatable
-	// Resumable: as Repeatable, and after a part was passed on a run may go on
-	// behind the last whole event.
+	// Resumable is Repeatable, and after a part has been passed on, another run may continue after
+	// the last complete event.
 	Resumable
 )
 
-// Step is what to do next.
+// Step is the next step of a delivery.
 type Step int
 
-// The steps.
+// The steps of a delivery.
 const (
 	// Again sends the request to another target.
 	Again Step = iota
-	// Resume sends it to another target, to go on behind the last event.
+	// Resume sends the request to another target that continues after the last event.
 	Resume
 	// Relay passes the target's failure on to the caller.
 	Relay
-	// GiveUp ends the request with the verdict's kind.
+	// GiveUp ends the request with the kind of the verdict.
 	GiveUp
-	// Abort ends an answer that was begun, so that it can't look complete.
+	// Abort ends an answer that has begun in a way that can't look complete.
 	Abort
 )
 
-// Verdict is a step and, for GiveUp, what to say.
+// Verdict is a step and, for GiveUp, the error for the caller.
 type Verdict struct {
 	Step Step
 	// Kind and State are set with GiveUp.
@@ -68,53 +67,53 @@
 
 // Delivery is the state of one request. It is used by one goroutine.
 type Delivery struct {
-	repeat RepeatPolicy
-	// most is how many targets may run the request.
-	most int
-	// ran counts the targets that may have run it.
+	policy RepeatPolicy
+	// maxRuns limits how many targets may run the request.
+	maxRuns int
+	// ran counts the targets that may have run the request.
 	ran int
-	// sent counts all attempts that reached a target, rejected ones included.
+	// sent counts all attempts that reached a target, including rejected ones.
 	sent int
-	// begun says that a part of an answer was passed on.
+	// begun means that a part of an answer was passed on.
 	begun bool
 }
 
-// mostRejected bounds how often a request is offered in all, so that a
-// service that turns everything away isn't asked without end.
-const mostRejected = 3
+// maxRejected limits the attempts beyond maxRuns, so that a service that rejects everything isn't
+// tried endlessly.
+const maxRejected = 3
 
-// New begins a delivery that may run on so many targets, at least one.
-func New(repeat RepeatPolicy, most int) *Delivery {
-	return &Delivery{repeat: repeat, most: max(1, most)}
+// New returns a delivery that may run at up to maxRuns targets, at least one.
+func New(policy RepeatPolicy, maxRuns int) *Delivery {
+	return &Delivery{policy: policy, maxRuns: max(1, maxRuns)}
 }
 
-// Begin notes that a part of an answer was passed on to the caller.
+// Begin records that a part of an answer was passed on to the caller.
 func (d *Delivery) Begin() {
 	d.begun = true
 }
 
-// Begun says whether a part of an answer was passed on.
+// Begun reports whether a part of an answer was passed on.
 func (d *Delivery) Begun() bool {
 	return d.begun
 }
 
-// MayHaveRun says whether a target may have run the request.
+// MayHaveRun reports whether a target may have run the request.
 func (d *Delivery) MayHaveRun() bool {
 	return d.ran > 0
 }
 
-// After decides what follows an attempt's outcome. spare is asked only when a
-// further attempt is allowed: it says, and takes, whether there is time, a
-// further target and room in the retry budget. Without it the request ends.
-func (d *Delivery) After(outcome Outcome, spare func() bool) Verdict {
+// After decides what follows an attempt with the given outcome. It calls takeRetry only if another
+// attempt is allowed. takeRetry reports whether there is time, another target and a retry in the
+// budget, and takes the retry. If it returns false the request ends.
+func (d *Delivery) After(outcome Outcome, takeRetry func() bool) Verdict {
 	d.count(outcome)
 	if d.begun {
-		if d.mayGoOn() && spare() {
+		if d.mayResume() && takeRetry() {
 			return Verdict{Step: Resume}
 		}
 		return Verdict{Step: Abort}
 	}
-	if d.mayTryAgain() && spare() {
+	if d.mayRetry() && takeRetry() {
 		return Verdict{Step: Again}
 	}
 	if outcome == Failed {
@@ -134,33 +133,33 @@
 	}
 }
 
-// mayTryAgain holds before any of the answer was passed on.
-func (d *Delivery) mayTryAgain() bool {
-	if d.sent >= d.most+mostRejected {
+// mayRetry reports whether another attempt is allowed before any of the answer was passed on.
+func (d *Delivery) mayRetry() bool {
+	if d.sent >= d.maxRuns+maxRejected {
 		return false
 	}
 	if d.ran == 0 {
 		return true
 	}
-	if d.repeat == AtMostOnce {
+	if d.policy == AtMostOnce {
 		return false
 	}
-	return d.ran < d.most
+	return d.ran < d.maxRuns
 }
 
-// mayGoOn holds after a part of the answer was passed on.
-func (d *Delivery) mayGoOn() bool {
-	return d.repeat == Resumable && d.ran < d.most && d.sent < d.most+mostRejected
+// mayResume reports whether another attempt is allowed after a part of the answer was passed on.
+func (d *Delivery) mayResume() bool {
+	return d.policy == Resumable && d.ran < d.maxRuns && d.sent < d.maxRuns+maxRejected
 }
 
-// MayAbandon says whether an attempt under way may be ended, because its target
-// is silent, for one at another target.
+// MayAbandon reports whether an attempt in flight may be ended, because its target is silent, in
+// favor of an attempt at another target.
 func (d *Delivery) MayAbandon() bool {
-	return d.repeat != AtMostOnce && d.ran+1 < d.most
+	return d.policy != AtMostOnce && d.ran+1 < d.maxRuns
 }
 
-// giveUp names the end of a request whose answer was not begun. Only a request
-// that no target can have run is said not to have run.
+// giveUp returns the end of a request whose answer has not begun. NotRun is reported only if no
+// target can have run the request.
 func (d *Delivery) giveUp(outcome Outcome) Verdict {
 	switch {
 	case d.ran == 0 && outcome == Rejected:
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -11,44 +11,44 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-func yes() bool { return true }
-func no() bool  { return false }
+func retryAvailable() bool { return true }
+func noRetry() bool        { return false }
 
 func TestAfter(t *testing.T) {
 	cases := map[string]struct {
-		repeat  delivery.RepeatPolicy
-		most    int
-		begun   bool
-		spare   func() bool
-		outcome delivery.Outcome
-		step    delivery.Step
-		kind    fault.Kind
-		state   fault.RunState
+		policy    delivery.RepeatPolicy
+		maxRuns   int
+		begun     bool
+		takeRetry func() bool
+		outcome   delivery.Outcome
+		step      delivery.Step
+		kind      fault.Kind
+		state     fault.RunState
 	}{
-		"not sent goes elsewhere":               {delivery.AtMostOnce, 1, false, yes, delivery.Unsent, delivery.Again, "", ""},
-		"rejected goes elsewhere":               {delivery.AtMostOnce, 1, false, yes, delivery.Rejected, delivery.Again, "", ""},
-		"rejected without spare was not run":    {delivery.AtMostOnce, 1, false, no, delivery.Rejected, delivery.GiveUp, fault.Overloaded, fault.NotRun},
-		"not sent without spare was not run":    {delivery.AtMostOnce, 1, false, no, delivery.Unsent, delivery.GiveUp, fault.NoTarget, fault.NotRun},
-		"lost at most once may have run":        {delivery.AtMostOnce, 2, false, yes, delivery.Lost, delivery.GiveUp, fault.TargetFailed, fault.Unknown},
-		"silent at most once may have run":      {delivery.AtMostOnce, 2, false, yes, delivery.Silent, delivery.GiveUp, fault.Deadline, fault.Unknown},
-		"failed at most once is relayed":        {delivery.AtMostOnce, 2, false, yes, delivery.Failed, delivery.Relay, "", ""},
-		"lost repeatable goes elsewhere":        {delivery.Repeatable, 2, false, yes, delivery.Lost, delivery.Again, "", ""},
-		"failed repeatable goes elsewhere":      {delivery.Repeatable, 2, false, yes, delivery.Failed, delivery.Again, "", ""},
-		"failed without spare is relayed":       {delivery.Repeatable, 2, false, no, delivery.Failed, delivery.Relay, "", ""},
-		"one target only":                       {delivery.Repeatable, 1, false, yes, delivery.Lost, delivery.GiveUp, fault.TargetFailed, fault.Unknown},
-		"cut resumable goes on":                 {delivery.Resumable, 2, true, yes, delivery.Cut, delivery.Resume, "", ""},
-		"cut resumable without spare is broken": {delivery.Resumable, 2, true, no, delivery.Cut, delivery.Abort, "", ""},
-		"cut repeatable is broken":              {delivery.Repeatable, 2, true, yes, delivery.Cut, delivery.Abort, "", ""},
-		"cut at most once is broken":            {delivery.AtMostOnce, 2, true, yes, delivery.Cut, delivery.Abort, "", ""},
+		"unsent is retried":                      {delivery.AtMostOnce, 1, false, retryAvailable, delivery.Unsent, delivery.Again, "", ""},
+		"rejected is retried":                    {delivery.AtMostOnce, 1, false, retryAvailable, delivery.Rejected, delivery.Again, "", ""},
+		"rejected without retry was not run":     {delivery.AtMostOnce, 1, false, noRetry, delivery.Rejected, delivery.GiveUp, fault.Overloaded, fault.NotRun},
+		"unsent without retry was not run":       {delivery.AtMostOnce, 1, false, noRetry, delivery.Unsent, delivery.GiveUp, fault.NoTarget, fault.NotRun},
+		"lost at most once may have run":         {delivery.AtMostOnce, 2, false, retryAvailable, delivery.Lost, delivery.GiveUp, fault.TargetFailed, fault.Unknown},
+		"silent at most once may have run":       {delivery.AtMostOnce, 2, false, retryAvailable, delivery.Silent, delivery.GiveUp, fault.Deadline, fault.Unknown},
+		"failed at most once is relayed":         {delivery.AtMostOnce, 2, false, retryAvailable, delivery.Failed, delivery.Relay, "", ""},
+		"lost repeatable is retried":             {delivery.Repeatable, 2, false, retryAvailable, delivery.Lost, delivery.Again, "", ""},
+		"failed repeatable is retried":           {delivery.Repeatable, 2, false, retryAvailable, delivery.Failed, delivery.Again, "", ""},
+		"failed without retry is relayed":        {delivery.Repeatable, 2, false, noRetry, delivery.Failed, delivery.Relay, "", ""},
+		"one target only":                        {delivery.Repeatable, 1, false, retryAvailable, delivery.Lost, delivery.GiveUp, fault.TargetFailed, fault.Unknown},
+		"cut resumable is resumed":               {delivery.Resumable, 2, true, retryAvailable, delivery.Cut, delivery.Resume, "", ""},
+		"cut resumable without retry is aborted": {delivery.Resumable, 2, true, noRetry, delivery.Cut, delivery.Abort, "", ""},
+		"cut repeatable is aborted":              {delivery.Repeatable, 2, true, retryAvailable, delivery.Cut, delivery.Abort, "", ""},
+		"cut at most once is aborted":            {delivery.AtMostOnce, 2, true, retryAvailable, delivery.Cut, delivery.Abort, "", ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			made := delivery.New(tc.repeat, tc.most)
+			d := delivery.New(tc.policy, tc.maxRuns)
 			if tc.begun {
-				made.Begin()
+				d.Begin()
 			}
-			verdict := made.After(tc.outcome, tc.spare)
+			verdict := d.After(tc.outcome, tc.takeRetry)
 			is.Equal(verdict.Step, tc.step)
 			is.Equal(verdict.Kind, tc.kind)
 			is.Equal(verdict.State, tc.state)
@@ -56,18 +56,18 @@
 	}
 }
 
-// promises are the statuses that say a request did not and will not run.
-var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+// notRunStatuses are the statuses that promise that a request did not run and will not.
+var notRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-// TestPromises plays any outcomes: at most once is kept, targets are bounded,
-// nothing is repeated behind the begin of an answer but a resumable stream,
-// and whoever is told that a request has not run is told the truth.
-func TestPromises(t *testing.T) {
+// TestDeliveryInvariants plays random outcomes and checks that at-most-once requests don't run
+// twice, that the number of targets is limited, that only a resumable stream is sent again after
+// its answer has begun, and that a request reported as not run has not run.
+func TestDeliveryInvariants(t *testing.T) {
 	outcomes := []delivery.Outcome{delivery.Unsent, delivery.Rejected, delivery.Lost, delivery.Failed, delivery.Silent, delivery.Cut}
 	rapid.Check(t, func(t *rapid.T) {
-		repeat := rapid.SampledFrom([]delivery.RepeatPolicy{delivery.AtMostOnce, delivery.Repeatable, delivery.Resumable}).Draw(t, "repeat")
-		most := rapid.IntRange(1, 4).Draw(t, "most")
-		made := delivery.New(repeat, most)
+		policy := rapid.SampledFrom([]delivery.RepeatPolicy{delivery.AtMostOnce, delivery.Repeatable, delivery.Resumable}).Draw(t, "repeat")
+		maxRuns := rapid.IntRange(1, 4).Draw(t, "most")
+		d := delivery.New(policy, maxRuns)
 		ran, begun := 0, false
 		for step := 0; ; step++ {
 			if step > 30 {
@@ -75,7 +75,7 @@
 			}
 			outcome := rapid.SampledFrom(outcomes).Draw(t, "outcome")
 			if !begun && rapid.Bool().Draw(t, "begin") && outcome == delivery.Cut {
-				made.Begin()
+				d.Begin()
 				begun = true
 			}
 			if outcome == delivery.Cut && !begun {
@@ -84,21 +84,21 @@
 			if outcome != delivery.Unsent && outcome != delivery.Rejected {
 				ran++
 			}
-			spare := rapid.Bool().Draw(t, "spare")
-			verdict := made.After(outcome, func() bool { return spare })
+			retry := rapid.Bool().Draw(t, "spare")
+			verdict := d.After(outcome, func() bool { return retry })
 			switch verdict.Step {
 			case delivery.Again:
 				if begun {
-					t.Fatal("sent again behind the begin of an answer")
+					t.Fatal("sent again after the answer had begun")
 				}
 			case delivery.Resume:
-				if !begun || repeat != delivery.Resumable {
-					t.Fatal("resumed what can't be")
+				if !begun || policy != delivery.Resumable {
+					t.Fatal("resumed a request that can't be resumed")
 				}
 			case delivery.GiveUp:
 				status := fault.AnswerOf(verdict.Kind).Status
-				for _, promise := range promises {
-					if status == promise && ran > 0 {
+				for _, notRun := range notRunStatuses {
+					if status == notRun && ran > 0 {
 						t.Fatalf("status %d after %d runs", status, ran)
 					}
 				}
@@ -109,17 +109,17 @@
 			default:
 				return
 			}
-			if repeat == delivery.AtMostOnce && ran > 0 {
+			if policy == delivery.AtMostOnce && ran > 0 {
 				t.Fatal("a request that may not be repeated is sent again after it may have run")
 			}
-			if ran >= most {
-				t.Fatalf("a further target after %d of %d", ran, most)
+			if ran >= maxRuns {
+				t.Fatalf("another target after %d of %d runs", ran, maxRuns)
 			}
 		}
 	})
 }
 
-func TestMayLeaveOnlyWhereASecondRunIsAllowed(t *testing.T) {
+func TestMayAbandon(t *testing.T) {
 	is := is.New(t)
 	is.True(!delivery.New(delivery.AtMostOnce, 3).MayAbandon())
 	is.True(!delivery.New(delivery.Repeatable, 1).MayAbandon())
--- a/internal/inbound/inbound.go
+++ b/internal/inbound/inbound.go
@@ -1,9 +1,8 @@
-// Package inbound ends connections that callers have made, without losing a
-// request that is on its way: a connection on which any byte of a request has
-// been received is never ended as a resting one, and once a connection has
-// been ended no byte of it reaches the server any more. http.Server's own ways
-// of ending resting connections take a connection for one until the head of
-// its next request has been read whole.
+// Package inbound ends connections of callers without losing a request that is being received. A
+// connection on which any byte of a request has been received is never closed as idle, and once a
+// connection has been closed, no byte of it reaches the server. http.Server can't be used for this:
+// when it closes idle connections, it considers a connection idle until the headers of its next
+// request have been read completely.
 package inbound
 
 import (
@@ -18,32 +17,32 @@
 	"github.com/capersaddle/capersaddle/internal/socket"
 )
 
-// Listener hands out connections that it can end while they rest. Its
-// ConnState must be that of the server that serves it.
+// Listener returns connections that it can close while they are idle. Its ConnState method must be
+// the ConnState hook of the server that uses it.
 type Listener struct {
 	net.Listener
 	limits Limits
 
 	mu    sync.Mutex
 	conns map[*conn]struct{}
-	// draining has connections ended as soon as they rest.
+	// draining makes connections end as soon as they are idle.
 	draining bool
-	// empty is closed when a draining listener has no connections any more.
+	// empty is closed when a draining listener has no connections left.
 	empty chan struct{}
 
 	closeOnce sync.Once
 	closeErr  error
 }
 
-// Limits bound connections; zero is without bound. They may change at any time.
+// Limits holds the time limits of connections; zero means no limit. They may change at any time.
 type Limits struct {
-	// Rest is how long a connection may rest.
+	// IdleTimeout returns how long a connection may be idle.
 	IdleTimeout func() time.Duration
-	// Head is how long the head of a request may take from its first byte.
+	// HeaderTimeout returns how long the headers of a request may take from their first byte.
 	HeaderTimeout func() time.Duration
 }
 
-// Listen watches the connections of a listener, which it owns.
+// Listen returns a Listener that tracks the connections of listener, which it owns.
 func Listen(listener net.Listener, limits Limits) *Listener {
 	return &Listener{Listener: listener, limits: limits, conns: make(map[*conn]struct{}), empty: make(chan struct{})}
 }
@@ -54,11 +53,11 @@
 	listener *Listener
 
 	mu sync.Mutex
-	// resting says that nothing of a request has been read since the last one
-	// was answered; ended that the listener has ended the connection.
-	resting bool
-	ended   bool
-	// timer ends a rest, or a head that takes too long.
+	// idle means that nothing of a request has been read since the last one was answered; closed
+	// means that the listener has closed the connection.
+	idle   bool
+	closed bool
+	// timer ends an idle connection, or one whose headers take too long.
 	timer *time.Timer
 }
 
@@ -68,20 +67,20 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: accepted, listener: l, resting: true}
+	c := &conn{Conn: accepted, listener: l, idle: true}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 	return c, nil
 }
 
-// Close takes no further connections; those that were taken stay open.
+// Close stops accepting connections; those already accepted stay open.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { l.closeErr = l.Listener.Close() })
 	return l.closeErr
 }
 
-// ConnState follows the states that the server tells of its connections.
+// ConnState tracks the connection states that the server reports.
 func (l *Listener) ConnState(served net.Conn, state http.ConnState) {
 	c, ok := served.(*conn)
 	if !ok {
@@ -89,18 +88,18 @@
 	}
 	switch state {
 	case http.StateIdle:
-		c.rest(l.restFor())
+		c.beginIdle(l.idleLimit())
 	case http.StateClosed, http.StateHijacked:
-		l.forget(c)
+		l.remove(c)
 	case http.StateActive:
-		c.headRead()
+		c.headerRead()
 	case http.StateNew:
 	}
 }
 
-// restFor is how long a connection may rest from now on, and whether there is
-// a bound at all.
-func (l *Listener) restFor() (time.Duration, bool) {
+// idleLimit returns how long a connection may be idle from now on, and whether there is a limit at
+// all.
+func (l *Listener) idleLimit() (time.Duration, bool) {
 	l.mu.Lock()
 	draining := l.draining
 	l.mu.Unlock()
@@ -111,18 +110,18 @@
 	return limit, limit > 0
 }
 
-// forget drops a connection that the server has closed.
-func (l *Listener) forget(c *conn) {
+// remove removes a connection that the server has closed.
+func (l *Listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 	if l.draining && len(l.conns) == 0 {
-		l.closeEmpty()
+		l.signalEmpty()
 	}
 }
 
-// closeEmpty tells that there are no connections any more; l.mu is held.
-func (l *Listener) closeEmpty() {
+// signalEmpty signals that there are no connections left; l.mu must be held.
+func (l *Listener) signalEmpty() {
 	select {
 	case <-l.empty:
 	default:
@@ -130,8 +129,8 @@
 	}
 }
 
-// Drain takes no further connections, ends those that rest, the others as soon
-// as they do, and waits until none is left or the context ends.
+// Drain stops accepting connections, closes idle ones at once and the others as soon as they are
+// idle, and waits until none is left or the context ends.
 func (l *Listener) Drain(ctx context.Context) error {
 	err := l.Close()
 	l.mu.Lock()
@@ -141,11 +140,11 @@
 		open = append(open, c)
 	}
 	if len(open) == 0 {
-		l.closeEmpty()
+		l.signalEmpty()
 	}
 	l.mu.Unlock()
 	for _, c := range open {
-		c.end()
+		c.closeIfIdle()
 	}
 	select {
 	case <-l.empty:
@@ -155,68 +154,68 @@
 	}
 }
 
-// rest begins a rest, at most so long if it is bounded.
-func (c *conn) rest(limit time.Duration, bounded bool) {
+// beginIdle marks the connection as idle, for at most limit if bounded is true.
+func (c *conn) beginIdle(limit time.Duration, bounded bool) {
 	c.mu.Lock()
-	c.resting = true
+	c.idle = true
 	if bounded && limit > 0 {
-		c.timer = time.AfterFunc(limit, c.end)
+		c.timer = time.AfterFunc(limit, c.closeIfIdle)
 	}
 	c.mu.Unlock()
 	if bounded && limit == 0 {
-		c.end()
+		c.closeIfIdle()
 	}
 }
 
-// end closes the connection if it rests and nothing has been received on it.
-// What is received later is lost with the connection, unread.
-func (c *conn) end() {
+// closeIfIdle closes the connection if it is idle and nothing has been received on it. What is
+// received later is lost with the connection, unread.
+func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.resting || c.ended || socket.Look(c.Conn) == socket.Bytes {
+	if !c.idle || c.closed || socket.Look(c.Conn) == socket.Bytes {
 		return
 	}
-	c.ended = true
+	c.closed = true
 	_ = c.Conn.Close()
 }
 
-// Read reads what the caller sends; nothing once the connection was ended.
+// Read reads from the caller; it returns nothing once the connection was closed by the listener.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return 0, net.ErrClosed
 	}
-	if n > 0 && c.resting {
-		c.resting = false
+	if n > 0 && c.idle {
+		c.idle = false
 		c.stopTimer()
 		if limit := c.listener.limits.HeaderTimeout(); limit > 0 {
-			c.timer = time.AfterFunc(limit, c.endHead)
+			c.timer = time.AfterFunc(limit, c.closeSlowHeader)
 		}
 	}
 	return n, err
 }
 
-// headRead notes that the head of a request has been read whole.
-func (c *conn) headRead() {
+// headerRead records that the headers of a request have been read completely.
+func (c *conn) headerRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.resting {
+	if !c.idle {
 		c.stopTimer()
 	}
 }
 
-// endHead closes the connection on which the head of a request took too long. A head
-// that has been read whole meanwhile has stopped the timer, or is about to; it is then
-// cut as one that came too late.
-func (c *conn) endHead() {
+// closeSlowHeader closes a connection on which the headers of a request took too long. If they have
+// been read completely meanwhile, the timer is stopped or about to be; the request is then cut off
+// as too late.
+func (c *conn) closeSlowHeader() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.resting || c.ended || c.timer == nil {
+	if c.idle || c.closed || c.timer == nil {
 		return
 	}
-	c.ended = true
+	c.closed = true
 	_ = c.Conn.Close()
 }
 
@@ -225,13 +224,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopTimer()
-	if c.ended {
+	if c.closed {
 		return nil
 	}
 	return c.Conn.Close()
 }
 
-// stopTimer ends the bound on a rest; c.mu is held.
+// stopTimer stops the timer; c.mu must be held.
 func (c *conn) stopTimer() {
 	if c.timer != nil {
 		c.timer.Stop()
--- a/internal/inbound/inbound_test.go
+++ b/internal/inbound/inbound_test.go
@@ -17,17 +17,17 @@
 	"github.com/capersaddle/capersaddle/internal/inbound"
 )
 
-// pipes is a listener whose connections are pipes.
-type pipes struct {
+// pipeListener is a listener whose connections are pipes.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func newPipes() *pipes {
-	return &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-p.conns:
 		return conn, nil
@@ -36,55 +36,55 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	close(p.closed)
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial() net.Conn {
+func (p *pipeListener) dial() net.Conn {
 	ours, theirs := net.Pipe()
 	p.conns <- theirs
 	return ours
 }
 
-// site is a server behind a watched listener.
-type site struct {
-	pipes    *pipes
+// testServer is a server behind an inbound.Listener.
+type testServer struct {
+	pipes    *pipeListener
 	listener *inbound.Listener
 	server   *http.Server
 	served   chan struct{}
-	// limit is a time.Duration that the server reads at any moment.
-	limit atomic.Int64
-	// head is another one; zero is without bound.
-	head atomic.Int64
+	// idleLimit is a time.Duration that the server may read at any time.
+	idleLimit atomic.Int64
+	// headerLimit is a time.Duration like idleLimit; zero means no limit.
+	headerLimit atomic.Int64
 }
 
-// setLimit changes the bound on rests that begin from now on.
-func (s *site) setLimit(limit time.Duration) {
-	synctest.Wait() // until the rests that are due have begun
-	s.limit.Store(int64(limit))
+// setIdleLimit changes the limit of idle periods that begin from now on.
+func (s *testServer) setIdleLimit(limit time.Duration) {
+	synctest.Wait() // until the idle periods that are due have begun
+	s.idleLimit.Store(int64(limit))
 }
 
 const (
-	slowly     = 2 * time.Second
-	usualLimit = 4 * time.Second
-	headLimit  = 1500 * time.Millisecond
+	slowAnswer    = 2 * time.Second
+	idleTimeout   = 4 * time.Second
+	headerTimeout = 1500 * time.Millisecond
 )
 
-func newSite() *site {
-	s := &site{pipes: newPipes(), served: make(chan struct{})}
-	s.limit.Store(int64(usualLimit))
+func newTestServer() *testServer {
+	s := &testServer{pipes: newPipeListener(), served: make(chan struct{})}
+	s.idleLimit.Store(int64(idleTimeout))
 	s.listener = inbound.Listen(s.pipes, inbound.Limits{
-		IdleTimeout:   func() time.Duration { return time.Duration(s.limit.Load()) },
-		HeaderTimeout: func() time.Duration { return time.Duration(s.head.Load()) },
+		IdleTimeout:   func() time.Duration { return time.Duration(s.idleLimit.Load()) },
+		HeaderTimeout: func() time.Duration { return time.Duration(s.headerLimit.Load()) },
 	})
 	s.server = &http.Server{
 		ConnState: s.listener.ConnState,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/slow" {
-				time.Sleep(slowly)
+				time.Sleep(slowAnswer)
 			}
 			if r.Context().Err() != nil {
 				return
@@ -99,9 +99,9 @@
 	return s
 }
 
-func (s *site) close() {
+func (s *testServer) close() {
 	_ = s.server.Close()
-	time.Sleep(slowly) // until the slowest handler has seen it
+	time.Sleep(slowAnswer) // until the slowest handler has seen it
 	<-s.served
 }
 
@@ -111,21 +111,21 @@
 	reader *bufio.Reader
 }
 
-func (s *site) caller() *caller {
+func (s *testServer) caller() *caller {
 	conn := s.pipes.dial()
 	return &caller{conn: conn, reader: bufio.NewReader(conn)}
 }
 
 const request = "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
 
-var errOtherAnswer = errors.New("another answer than was due")
+var errUnexpectedAnswer = errors.New("unexpected answer")
 
 func (c *caller) send(text string) error {
 	_, err := io.WriteString(c.conn, text)
 	return err
 }
 
-// answer reads one whole answer.
+// answer reads one complete answer.
 func (c *caller) answer() error {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err == nil && string(body) != "yes" {
-		return errOtherAnswer
+		return errUnexpectedAnswer
 	}
 	return err
 }
@@ -145,22 +145,22 @@
 	return c.answer()
 }
 
-// TestARequestUnderWayIsServed: a part of a request is here when its
-// connection's rest would be over. Found by a hunt (LOST on hunt-089e-119 of
-// vmt-grid): the connection was closed, and the request passed on all the same.
-func TestARequestUnderWayIsServed(t *testing.T) {
-	drain := func(s *site) { go func() { _ = s.listener.Drain(context.Background()) }() }
-	cases := map[string]func(s *site){
-		"the rest ends":                func(*site) { time.Sleep(usualLimit) },
-		"the process is to end":        drain,
-		"the rest ends, then a drain":  func(s *site) { time.Sleep(usualLimit); drain(s) },
-		"a drain, and the rest's time": func(s *site) { drain(s); time.Sleep(usualLimit) },
+// TestPartialRequestIsServed covers a request of which a part has arrived when its connection's
+// idle time would be over. The connection was closed although the request was passed on, so the
+// request was lost.
+func TestPartialRequestIsServed(t *testing.T) {
+	drain := func(s *testServer) { go func() { _ = s.listener.Drain(context.Background()) }() }
+	cases := map[string]func(s *testServer){
+		"the idle time ends":             func(*testServer) { time.Sleep(idleTimeout) },
+		"drain":                          drain,
+		"the idle time ends, then drain": func(s *testServer) { time.Sleep(idleTimeout); drain(s) },
+		"drain, then the idle time ends": func(s *testServer) { drain(s); time.Sleep(idleTimeout) },
 	}
 	for name, meanwhile := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newSite()
+				s := newTestServer()
 				defer s.close()
 				c := s.caller()
 				is.NoErr(c.ask())
@@ -175,107 +175,108 @@
 	}
 }
 
-func TestRestingConnections(t *testing.T) {
+func TestIdleConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite()
+		s := newTestServer()
 		defer s.close()
-		resting, busy := s.caller(), s.caller()
-		is.NoErr(resting.ask())
+		idle, busy := s.caller(), s.caller()
+		is.NoErr(idle.ask())
 		is.NoErr(busy.ask())
 		time.Sleep(3 * time.Second)
-		is.NoErr(busy.ask())         // taken up again in time
-		s.setLimit(10 * time.Second) // a later configuration
-		time.Sleep(2 * time.Second)  // the first one's rest is over
-		is.True(resting.ask() != nil)
+		is.NoErr(busy.ask())             // reused in time
+		s.setIdleLimit(10 * time.Second) // a later configuration
+		time.Sleep(2 * time.Second)      // the idle time of the first connection is over
+		is.True(idle.ask() != nil)
 		is.NoErr(busy.ask())
 		time.Sleep(9 * time.Second)
-		is.NoErr(busy.ask()) // rests under the later one
-		s.setLimit(0)
+		is.NoErr(busy.ask()) // idle under the later limit
+		s.setIdleLimit(0)
 		is.NoErr(busy.ask())
 		time.Sleep(time.Hour)
-		is.NoErr(busy.ask()) // no bound
+		is.NoErr(busy.ask()) // no limit
 	})
 }
 
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite()
+		s := newTestServer()
 		defer s.close()
-		resting, busy, fresh := s.caller(), s.caller(), s.caller()
-		is.NoErr(resting.ask())
+		idle, busy, fresh := s.caller(), s.caller(), s.caller()
+		is.NoErr(idle.ask())
 		is.NoErr(busy.send(request))
 		synctest.Wait()
 		began := time.Now()
 		drained := make(chan error, 1)
 		go func() { drained <- s.listener.Drain(context.Background()) }()
-		is.NoErr(busy.answer()) // what was under way is served
+		is.NoErr(busy.answer()) // the request in flight is served
 		is.NoErr(<-drained)
-		is.Equal(time.Since(began), slowly)
-		for _, c := range []*caller{resting, busy, fresh} {
+		is.Equal(time.Since(began), slowAnswer)
+		for _, c := range []*caller{idle, busy, fresh} {
 			is.True(c.ask() != nil) // all are closed
 		}
 	})
 }
 
-func TestADrainWithoutConnections(t *testing.T) {
+func TestDrainWithoutConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite()
+		s := newTestServer()
 		defer s.close()
 		is.New(t).NoErr(s.listener.Drain(context.Background()))
 	})
 }
 
-func TestADrainIsBounded(t *testing.T) {
+func TestDrainDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := newSite()
+		s := newTestServer()
 		defer s.close()
 		c := s.caller()
 		is.NoErr(c.send(request))
 		synctest.Wait()
-		ctx, cancel := context.WithTimeout(context.Background(), slowly/2)
+		ctx, cancel := context.WithTimeout(context.Background(), slowAnswer/2)
 		defer cancel()
 		is.True(errors.Is(s.listener.Drain(ctx), context.DeadlineExceeded))
 	})
 }
 
-// late is a connection whose reading goes on after its close, as when bytes
-// have arrived in the same moment.
-type late struct {
+// lateReadConn is a connection whose pending Read returns data after its close, as when bytes
+// arrive at the same moment.
+type lateReadConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (l *late) Read(data []byte) (int, error) {
+func (l *lateReadConn) Read(data []byte) (int, error) {
 	<-l.release
 	return copy(data, request), nil
 }
 
-func (l *late) Close() error { return nil }
+func (l *lateReadConn) Close() error { return nil }
 
 func unbounded() time.Duration { return 0 }
 
-// TestAHeadHasItsTime: the operators' bound on it was read and used nowhere.
-func TestAHeadHasItsTime(t *testing.T) {
+// TestHeaderTimeout guards against ignoring the configured limit, which was read from the settings
+// but not applied.
+func TestHeaderTimeout(t *testing.T) {
 	cases := map[string]struct {
 		pause    time.Duration
 		path     string
 		answered bool
 	}{
 		"at once":                  {0, "/", true},
-		"in time":                  {headLimit / 2, "/", true},
-		"too late":                 {headLimit + time.Millisecond, "/", false},
-		"in time, a slow answer":   {headLimit / 2, "/slow", true},
+		"in time":                  {headerTimeout / 2, "/", true},
+		"too late":                 {headerTimeout + time.Millisecond, "/", false},
+		"in time, a slow answer":   {headerTimeout / 2, "/slow", true},
 		"at once, a second answer": {0, "/slow", true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := newSite()
-				s.head.Store(int64(headLimit))
+				s := newTestServer()
+				s.headerLimit.Store(int64(headerTimeout))
 				defer s.close()
 				c := s.caller()
 				for range 2 {
@@ -294,15 +295,15 @@
 	}
 }
 
-// TestNothingIsReadAfterTheEnd: bytes that come in while the connection is
-// being ended don't reach the server, who would serve nobody.
-func TestNothingIsReadAfterTheEnd(t *testing.T) {
+// TestNoReadAfterClose checks that bytes that arrive while the connection is being closed don't
+// reach the server, which could no longer answer.
+func TestNoReadAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		inner := newPipes()
+		inner := newPipeListener()
 		listener := inbound.Listen(inner, inbound.Limits{IdleTimeout: func() time.Duration { return time.Second }, HeaderTimeout: unbounded})
 		ours, _ := net.Pipe()
-		raw := &late{Conn: ours, release: make(chan struct{})}
+		raw := &lateReadConn{Conn: ours, release: make(chan struct{})}
 		go func() { inner.conns <- raw }()
 		conn, err := listener.Accept()
 		is.NoErr(err)
@@ -314,9 +315,9 @@
 	})
 }
 
-// TestBytesThatWaitAreNoRest: on a real socket, bytes that were not read yet
-// keep their connection open.
-func TestBytesThatWaitAreNoRest(t *testing.T) {
+// TestUnreadBytesAreNotIdle checks on a real socket that bytes that have not been read yet keep
+// their connection open.
+func TestUnreadBytesAreNotIdle(t *testing.T) {
 	is := is.New(t)
 	raw, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -329,12 +330,12 @@
 	_, err = io.WriteString(theirs, request)
 	is.NoErr(err)
 	buffer := make([]byte, 1)
-	_, err = conn.Read(buffer) // the rest of the bytes is here too
+	_, err = conn.Read(buffer) // the remaining bytes have arrived too
 	is.NoErr(err)
 	listener.ConnState(conn, http.StateIdle)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.True(listener.Drain(ctx) != nil) // not ended
+	is.True(listener.Drain(ctx) != nil) // not closed
 	left := make([]byte, len(request)-1)
 	_, err = io.ReadFull(conn, left)
 	is.NoErr(err)
--- a/internal/spool/budget.go
+++ b/internal/spool/budget.go
@@ -2,32 +2,32 @@
 
 import "sync/atomic"
 
-// Budget is how many bytes a process holds for its callers. It is safe for concurrent use.
+// Budget limits the bytes that a process holds for its callers. It is safe for concurrent use.
 type Budget struct {
-	most int64
-	held atomic.Int64
+	limit int64
+	held  atomic.Int64
 }
 
-// NewBudget returns a budget of so many bytes; zero is without bound.
-func NewBudget(most int64) *Budget {
-	return &Budget{most: most}
+// NewBudget returns a budget of limit bytes; zero means no limit.
+func NewBudget(limit int64) *Budget {
+	return &Budget{limit: limit}
 }
 
-// Take takes bytes; false, and nothing is taken, if there are not as many.
+// Acquire takes size bytes. It returns false and takes nothing if fewer are left.
 func (b *Budget) Acquire(size int) bool {
-	if held := b.held.Add(int64(size)); b.most == 0 || held <= b.most {
+	if held := b.held.Add(int64(size)); b.limit == 0 || held <= b.limit {
 		return true
 	}
 	b.held.Add(-int64(size))
 	return false
 }
 
-// Give gives bytes back.
+// Release returns size bytes.
 func (b *Budget) Release(size int) {
 	b.held.Add(-int64(size))
 }
 
-// Held is how many bytes are taken.
+// Held returns the number of bytes taken.
 func (b *Budget) Held() int64 {
 	return b.held.Load()
 }
--- a/internal/spool/spool.go
+++ b/internal/spool/spool.go
@@ -1,7 +1,7 @@
-// Package spool holds what callers have not read yet of their answers, so that the targets'
-// answers are read on meanwhile: a target cuts off an answer that is left unread for some
-// seconds, and keeps a place for it until then. What is held is bounded for one caller and
-// for all; where all hold too much, the callers that read slowest are ended first.
+// Package spool buffers what callers have not read yet of their answers, so that the targets'
+// answers continue to be read: a target cuts off an answer that is left unread for some seconds,
+// and keeps a slot for it until then. The buffers are limited per caller and in total. If the total
+// limit is reached, the slowest callers are ended first.
 package spool
 
 import (
@@ -13,47 +13,48 @@
 
 // The reasons for which a caller is ended.
 var (
-	// ErrSlowest: all callers together hold too much, and this one has read nothing for the
-	// longest time.
+	// ErrSlowest means that all callers together hold too much and that this one has read nothing
+	// for the longest time.
 	ErrSlowest = errors.New("the caller reads too slowly while memory for answers is short")
-	// ErrWriteTimeout: it has read nothing for too long.
-	ErrWriteTimeout = errors.New("the caller has stopped to read")
+	// ErrWriteTimeout means that the caller has read nothing for too long.
+	ErrWriteTimeout = errors.New("the caller has stopped reading")
 )
 
-var errDropped = errors.New("the caller is gone")
+var errDropped = errors.New("the caller has disconnected")
 
-// Options bound what is held.
+// Options holds the limits of spools.
 type Options struct {
-	// Each is how many bytes are held for one caller before its target's answer is read no
-	// further.
+	// MaxPerCaller is how many bytes are held for one caller before reading of its target's answer
+	// stops.
 	MaxPerCaller int
-	// Stuck is how long one write to a caller may take.
+	// WriteTimeout is how long one write to a caller may take.
 	WriteTimeout time.Duration
-	// Ended is called for each caller that is ended, with the bytes that it had not read.
+	// CallerEnded is called for each caller that is ended, with the number of bytes that it had not
+	// read.
 	CallerEnded func(unread int, reason error)
 }
 
 const (
-	// DefaultMaxPerCaller holds a streamed answer of usual length whole.
+	// DefaultMaxPerCaller holds a complete streamed answer of usual length.
 	DefaultMaxPerCaller = 256 << 10
-	// DefaultWriteTimeout is far longer than any network stalls that is still there.
+	// DefaultWriteTimeout is far longer than a network that still works stalls.
 	DefaultWriteTimeout = 30 * time.Second
-	// mostWrite bounds one write to a caller, in bytes: one that reads slowly makes progress
-	// within Stuck.
-	mostWrite = 16 << 10
+	// maxWrite limits one write to a caller, in bytes, so that a slow caller completes a write
+	// within WriteTimeout.
+	maxWrite = 16 << 10
 )
 
-// Spools are those of all callers of a process. It is safe for concurrent use.
+// Spools holds the spools of all callers of a process. It is safe for concurrent use.
 type Spools struct {
 	options Options
 	budget  *Budget
 
 	mu sync.Mutex
-	// open are the spools that have not ended.
+	// open holds the spools that have not ended.
 	open map[*Spool]struct{}
 }
 
-// New returns no spools, which share a budget with whatever else takes of it.
+// New returns an empty Spools that shares the budget with its other users.
 func New(options Options, budget *Budget) *Spools {
 	return &Spools{options: options, budget: budget, open: make(map[*Spool]struct{})}
 }
@@ -62,36 +63,35 @@
 type Caller interface {
 	// Write sends a part of the answer.
 	Write(data []byte) error
-	// Interrupt makes a Write that is under way, and all later ones, fail. It may be called
-	// at any time.
+	// Interrupt makes a running Write and all later ones fail. It may be called at any time.
 	Interrupt()
 }
 
-// Spool holds what one caller has not read yet. One goroutine at a time calls Write and Close.
+// Spool buffers what one caller has not read yet. Write and Close must not be called concurrently.
 type Spool struct {
 	spools *Spools
 	caller Caller
-	// window is the least time between the beginnings of two writes to the caller; what comes
-	// meanwhile goes in one write.
+	// window is the minimum time between the starts of two writes to the caller; what arrives
+	// meanwhile is sent in one write.
 	window time.Duration
 
 	mu sync.Mutex
 	// changed wakes both sides.
 	changed *sync.Cond
-	// pending is what has not been handed to the caller's connection, and writing how many
+	// pending holds what has not been written to the caller's connection, and writing is how many
 	// bytes are being written to it.
 	pending []byte
 	writing int
-	// since is when the present write began, or the last one ended.
-	since  time.Time
-	closed bool
-	err    error
-	done   chan struct{}
+	// lastProgress is when the present write began, or the last one ended.
+	lastProgress time.Time
+	closed       bool
+	err          error
+	done         chan struct{}
 }
 
-// Open begins a spool for a caller. Close ends it.
+// Open starts a spool for a caller. Close ends it.
 func (s *Spools) Open(caller Caller, window time.Duration) *Spool {
-	p := &Spool{spools: s, caller: caller, window: window, since: time.Now().Add(-window), done: make(chan struct{})}
+	p := &Spool{spools: s, caller: caller, window: window, lastProgress: time.Now().Add(-window), done: make(chan struct{})}
 	p.changed = sync.NewCond(&p.mu)
 	s.mu.Lock()
 	s.open[p] = struct{}{}
@@ -100,14 +100,14 @@
 	return p
 }
 
-// Write takes a part of the answer. It waits while the caller has so much to read that no
-// more is held for it, and returns an error once the caller is gone or was ended.
+// Write adds a part of the answer. It waits while the spool of the caller is full, and returns an
+// error once the caller is gone or was ended.
 func (p *Spool) Write(data []byte) error {
-	if err := p.await(len(data)); err != nil {
+	if err := p.awaitCapacity(len(data)); err != nil {
 		return err
 	}
-	if !p.spools.take(p, len(data)) {
-		return p.failure()
+	if !p.spools.acquire(p, len(data)) {
+		return p.failed()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,9 +120,9 @@
 	return nil
 }
 
-// await waits until there is room for more of the caller's own; whatever its size, a part is
-// taken when nothing is held.
-func (p *Spool) await(more int) error {
+// awaitCapacity waits until the spool of the caller has capacity for more bytes. An empty spool
+// takes a part of any size.
+func (p *Spool) awaitCapacity(more int) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for p.err == nil && p.held() > 0 && p.held()+more > p.spools.options.MaxPerCaller {
@@ -131,13 +131,12 @@
 	return p.err
 }
 
-// held is how many bytes the caller has not read, as far as this process holds them; p.mu is
-// held.
+// held returns how many bytes of this process the caller has not read; p.mu must be held.
 func (p *Spool) held() int {
 	return len(p.pending) + p.writing
 }
 
-func (p *Spool) failure() error {
+func (p *Spool) failed() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
@@ -153,61 +152,61 @@
 	p.caller.Interrupt()
 }
 
-// Close waits until the caller has been sent everything, and returns how that ended.
+// Close waits until everything has been sent to the caller, and returns how that ended.
 func (p *Spool) Close() error {
 	p.mu.Lock()
 	p.closed = true
 	p.changed.Broadcast()
 	p.mu.Unlock()
 	<-p.done
-	p.spools.forget(p)
-	return p.failure()
+	p.spools.remove(p)
+	return p.failed()
 }
 
-// run writes to the caller what is there.
+// run writes the buffered parts to the caller.
 func (p *Spool) run() {
 	defer close(p.done)
 	for {
-		part := p.next()
+		part := p.nextPart()
 		if part == nil {
 			return
 		}
-		stuck := time.AfterFunc(p.spools.options.WriteTimeout, func() { p.end(ErrWriteTimeout) })
+		timer := time.AfterFunc(p.spools.options.WriteTimeout, func() { p.endEarly(ErrWriteTimeout) })
 		err := p.caller.Write(part)
-		stuck.Stop()
-		p.written(len(part), err)
+		timer.Stop()
+		p.recordWrite(len(part), err)
 	}
 }
 
-// next waits for what is to be written next; nil if there is nothing more.
-func (p *Spool) next() []byte {
+// nextPart waits for the next part to write; it returns nil if there is nothing more.
+func (p *Spool) nextPart() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for p.err == nil && len(p.pending) == 0 && !p.closed {
 		p.changed.Wait()
 	}
-	p.pause()
+	p.awaitWindow()
 	if p.err != nil || len(p.pending) == 0 {
 		return nil
 	}
-	part := p.pending[:min(len(p.pending), mostWrite)]
+	part := p.pending[:min(len(p.pending), maxWrite)]
 	p.pending = p.pending[len(part):]
 	if len(p.pending) == 0 {
 		p.pending = nil
 	}
-	p.writing, p.since = len(part), time.Now()
+	p.writing, p.lastProgress = len(part), time.Now()
 	return part
 }
 
-// pause waits for the window to pass, unless the answer has ended; p.mu is held.
-func (p *Spool) pause() {
-	left := p.window - time.Since(p.since)
+// awaitWindow waits for the window to pass, unless the answer has ended; p.mu must be held.
+func (p *Spool) awaitWindow() {
+	left := p.window - time.Since(p.lastProgress)
 	if left <= 0 || p.closed || p.err != nil {
 		return
 	}
 	timer := time.AfterFunc(left, p.wake)
 	defer timer.Stop()
-	for p.err == nil && !p.closed && time.Since(p.since) < p.window {
+	for p.err == nil && !p.closed && time.Since(p.lastProgress) < p.window {
 		p.changed.Wait()
 	}
 }
@@ -218,8 +217,8 @@
 	p.changed.Broadcast()
 }
 
-// written notes the end of a write.
-func (p *Spool) written(size int, err error) {
+// recordWrite records the end of a write.
+func (p *Spool) recordWrite(size int, err error) {
 	p.spools.budget.Release(size)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -228,12 +227,12 @@
 		p.fail(err)
 	}
 	if p.window == 0 {
-		p.since = time.Now()
+		p.lastProgress = time.Now()
 	}
 	p.changed.Broadcast()
 }
 
-// fail drops what is pending; p.mu is held.
+// fail drops what is pending; p.mu must be held.
 func (p *Spool) fail(err error) {
 	p.err = err
 	p.spools.budget.Release(len(p.pending))
@@ -241,8 +240,8 @@
 	p.changed.Broadcast()
 }
 
-// end ends the caller's answer early.
-func (p *Spool) end(reason error) {
+// endEarly ends the caller's answer early.
+func (p *Spool) endEarly(reason error) {
 	p.mu.Lock()
 	ended := p.err == nil
 	unread := p.held()
@@ -259,41 +258,41 @@
 	p.caller.Interrupt()
 }
 
-// take takes bytes of the budget for a spool, and ends the slowest callers until there are
-// enough; false if that one was ended itself.
-func (s *Spools) take(asking *Spool, size int) bool {
+// acquire takes bytes of the budget for a spool and ends the slowest callers until there are
+// enough; it returns false if the requesting spool was ended itself.
+func (s *Spools) acquire(requester *Spool, size int) bool {
 	for !s.budget.Acquire(size) {
 		slowest := s.slowest()
 		if slowest == nil {
-			slowest = asking
+			slowest = requester
 		}
-		slowest.end(ErrSlowest)
-		if slowest == asking {
+		slowest.endEarly(ErrSlowest)
+		if slowest == requester {
 			return false
 		}
 	}
 	return true
 }
 
-// slowest is the spool with something to read whose caller has read nothing for the longest
-// time; nil if none has.
+// slowest returns the spool with pending bytes whose caller has read nothing for the longest time,
+// or nil if there is none.
 func (s *Spools) slowest() *Spool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var slowest *Spool
-	var since time.Time
+	var oldest time.Time
 	for p := range s.open {
 		p.mu.Lock()
-		holds, at := p.err == nil && len(p.pending) > 0, p.since
+		waiting, lastProgress := p.err == nil && len(p.pending) > 0, p.lastProgress
 		p.mu.Unlock()
-		if holds && (slowest == nil || at.Before(since)) {
-			slowest, since = p, at
+		if waiting && (slowest == nil || lastProgress.Before(oldest)) {
+			slowest, oldest = p, lastProgress
 		}
 	}
 	return slowest
 }
 
-func (s *Spools) forget(p *Spool) {
+func (s *Spools) remove(p *Spool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, p)
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -15,96 +15,96 @@
 	"pgregory.net/rapid"
 )
 
-// reader is a caller's connection that holds what it has not read up to a size.
-type reader struct {
-	mu     sync.Mutex
-	wake   *sync.Cond
-	room   int
-	got    bytes.Buffer
-	writes int
-	broken error
+// slowReader is a caller's connection that accepts a limited number of bytes.
+type slowReader struct {
+	mu       sync.Mutex
+	wake     *sync.Cond
+	capacity int
+	got      bytes.Buffer
+	writes   int
+	broken   error
 }
 
-func newReader(room int) *reader {
-	r := &reader{room: room}
+func newSlowReader(capacity int) *slowReader {
+	r := &slowReader{capacity: capacity}
 	r.wake = sync.NewCond(&r.mu)
 	return r
 }
 
-func (r *reader) Write(data []byte) error {
+func (r *slowReader) Write(data []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.writes++
 	for len(data) > 0 {
-		for r.room == 0 && r.broken == nil {
+		for r.capacity == 0 && r.broken == nil {
 			r.wake.Wait()
 		}
 		if r.broken != nil {
 			return r.broken
 		}
-		n := min(r.room, len(data))
+		n := min(r.capacity, len(data))
 		r.got.Write(data[:n])
-		r.room -= n
+		r.capacity -= n
 		data = data[n:]
 	}
 	return nil
 }
 
-// read makes room for so many bytes.
-func (r *reader) read(bytes int) {
+// read adds capacity for more bytes.
+func (r *slowReader) read(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.room += bytes
+	r.capacity += bytes
 	r.wake.Broadcast()
 }
 
-func (r *reader) Interrupt() {
+func (r *slowReader) Interrupt() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.broken = errors.New("interrupted")
 	r.wake.Broadcast()
 }
 
-func (r *reader) text() string {
+func (r *slowReader) text() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.got.String()
 }
 
-const plenty = 1 << 30
+const unlimited = 1 << 30
 
-// ends notes the callers that were ended.
-type ends struct {
+// endRecorder records the callers that were ended.
+type endRecorder struct {
 	mu      sync.Mutex
 	reasons []error
 }
 
-func (e *ends) note(_ int, reason error) {
+func (e *endRecorder) record(_ int, reason error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reasons = append(e.reasons, reason)
 }
 
-func (e *ends) all() []error {
+func (e *endRecorder) all() []error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.reasons)
 }
 
-func newSpools(each int, most int64) (*Spools, *Budget, *ends) {
-	ended := new(ends)
-	budget := NewBudget(most)
-	return New(Options{MaxPerCaller: each, WriteTimeout: DefaultWriteTimeout, CallerEnded: ended.note}, budget), budget, ended
+func newSpools(maxPerCaller int, limit int64) (*Spools, *Budget, *endRecorder) {
+	ended := new(endRecorder)
+	budget := NewBudget(limit)
+	return New(Options{MaxPerCaller: maxPerCaller, WriteTimeout: DefaultWriteTimeout, CallerEnded: ended.record}, budget), budget, ended
 }
 
-// TestACallerThatStopsToReadStallsNobody: its target's answer is read to its end, the others
-// get theirs, and it gets all of its own once it reads on.
-func TestACallerThatStopsToReadStallsNobody(t *testing.T) {
+// TestBlockedCallerDelaysNoOther covers a caller that stops reading: its target's answer is read to
+// its end, the other callers get theirs, and it gets its complete answer once it reads again.
+func TestBlockedCallerDelaysNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, budget, ended := newSpools(DefaultMaxPerCaller, plenty)
-		stopped, sound := newReader(0), newReader(plenty)
-		slow, quick := spools.Open(stopped, 0), spools.Open(sound, 0)
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, unlimited)
+		stopped, unblocked := newSlowReader(0), newSlowReader(unlimited)
+		slow, quick := spools.Open(stopped, 0), spools.Open(unblocked, 0)
 		want := ""
 		for i := range 80 {
 			event := fmt.Sprintf("id: %d\n\n", i)
@@ -113,11 +113,11 @@
 			is.NoErr(quick.Write([]byte(event)))
 		}
 		is.NoErr(quick.Close())
-		is.Equal(sound.text(), want)
+		is.Equal(unblocked.text(), want)
 		is.Equal(int(budget.Held()), len(want))
 		go func() {
 			time.Sleep(10 * time.Second)
-			stopped.read(plenty)
+			stopped.read(unlimited)
 		}()
 		is.NoErr(slow.Close())
 		is.Equal(stopped.text(), want)
@@ -126,13 +126,13 @@
 	})
 }
 
-// TestACallerThatReadsAByteASecond gets its answer: it makes progress, and others' memory is
-// not short.
-func TestACallerThatReadsAByteASecond(t *testing.T) {
+// TestCallerReadingOneBytePerSecond checks that such a caller gets its answer, since it makes
+// progress and memory isn't short.
+func TestCallerReadingOneBytePerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, _, _ := newSpools(DefaultMaxPerCaller, plenty)
-		caller := newReader(0)
+		spools, _, _ := newSpools(DefaultMaxPerCaller, unlimited)
+		caller := newSlowReader(0)
 		p := spools.Open(caller, 0)
 		for range 25 {
 			is.NoErr(p.Write([]byte("x")))
@@ -148,13 +148,13 @@
 	})
 }
 
-// TestAStuckCallerIsEnded: one that reads nothing for long, and does not leave, is ended, and
-// nothing of it stays.
-func TestAStuckCallerIsEnded(t *testing.T) {
+// TestWriteTimeoutEndsCaller checks that a caller that reads nothing for long without disconnecting
+// is ended and that nothing is held for it any more.
+func TestWriteTimeoutEndsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, budget, ended := newSpools(DefaultMaxPerCaller, plenty)
-		p := spools.Open(newReader(3), 0)
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, unlimited)
+		p := spools.Open(newSlowReader(3), 0)
 		is.NoErr(p.Write([]byte("more than three")))
 		began := time.Now()
 		is.Equal(p.Close(), ErrWriteTimeout)
@@ -165,13 +165,13 @@
 	})
 }
 
-// TestOneCallersBoundStopsItsTarget: beyond it the answer is read no further until the caller
-// has read some.
-func TestOneCallersBoundStopsItsTarget(t *testing.T) {
+// TestMaxPerCallerBlocksWrites checks that beyond the limit the answer is read no further until the
+// caller has read some of it.
+func TestMaxPerCallerBlocksWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		spools, budget, _ := newSpools(1000, plenty)
-		caller := newReader(0)
+		spools, budget, _ := newSpools(1000, unlimited)
+		caller := newSlowReader(0)
 		p := spools.Open(caller, 0)
 		passed := 0
 		go func() {
@@ -188,29 +188,30 @@
 		caller.read(1000)
 		synctest.Wait()
 		is.True(passed >= 1900)
-		caller.read(plenty)
+		caller.read(unlimited)
 		synctest.Wait()
 		is.NoErr(p.Close())
 		is.Equal(len(caller.text()), 5000)
 	})
 }
 
-// TestAThousandCallersThatStopToRead hold no more than the bound, the first to stop are the
-// first to be ended, and one that reads gets its whole answer all the while.
-func TestAThousandCallersThatStopToRead(t *testing.T) {
+// TestThousandBlockedCallers checks that callers that stop reading hold no more than the limit,
+// that the first to stop are ended first, and that a caller that reads gets its complete answer
+// meanwhile.
+func TestThousandBlockedCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const most, part = 100_000, 1000
-		spools, budget, ended := newSpools(DefaultMaxPerCaller, most)
-		sound := newReader(plenty)
+		const limit, part = 100_000, 1000
+		spools, budget, ended := newSpools(DefaultMaxPerCaller, limit)
+		sound := newSlowReader(unlimited)
 		good := spools.Open(sound, 0)
 		stopped := make([]*Spool, 1000)
 		for i := range stopped {
-			stopped[i] = spools.Open(newReader(0), 0)
+			stopped[i] = spools.Open(newSlowReader(0), 0)
 			is.NoErr(stopped[i].Write(make([]byte, part)))
 			time.Sleep(time.Millisecond)
 			is.NoErr(stopped[i].Write(make([]byte, part)))
-			is.True(budget.Held() <= most)
+			is.True(budget.Held() <= limit)
 			is.NoErr(good.Write([]byte("x")))
 			time.Sleep(time.Millisecond)
 		}
@@ -227,24 +228,24 @@
 	})
 }
 
-// TestAWindowJoinsEvents: the first event goes at once, those that come within the window go in
-// one write, none waits longer, and the end waits for nothing.
-func TestAWindowJoinsEvents(t *testing.T) {
+// TestWindowJoinsEvents checks that the first event is sent at once, that events within the window
+// are sent in one write, that none waits longer than the window, and that the end doesn't wait.
+func TestWindowJoinsEvents(t *testing.T) {
 	cases := map[string]struct {
 		window, gap time.Duration
 		writes      int
 		longest     time.Duration
 	}{
-		"none":           {0, 30 * time.Millisecond, 10, 0},
-		"some in one":    {80 * time.Millisecond, 30 * time.Millisecond, 5, 80 * time.Millisecond},
-		"slower than it": {80 * time.Millisecond, 100 * time.Millisecond, 10, 0},
+		"none":                   {0, 30 * time.Millisecond, 10, 0},
+		"some in one":            {80 * time.Millisecond, 30 * time.Millisecond, 5, 80 * time.Millisecond},
+		"slower than the window": {80 * time.Millisecond, 100 * time.Millisecond, 10, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				spools, _, _ := newSpools(DefaultMaxPerCaller, plenty)
-				caller := newReader(plenty)
+				spools, _, _ := newSpools(DefaultMaxPerCaller, unlimited)
+				caller := newSlowReader(unlimited)
 				p := spools.Open(caller, tc.window)
 				var longest atomic.Int64
 				for i := range 10 {
@@ -273,12 +274,12 @@
 	}
 }
 
-// TestWhatACallerGets is a whole prefix of what was written to its spool, all of it if the
-// spool ended well, whatever the callers do; and nothing stays held.
-func TestWhatACallerGets(t *testing.T) {
+// TestCallerGetsPrefix checks that a caller gets a prefix of what was written to its spool, and all
+// of it if the spool ended without an error, whatever the callers do, and that nothing stays held.
+func TestCallerGetsPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		callers := rapid.IntRange(1, 6).Draw(rt, "callers")
-		most := rapid.Int64Range(200, 4000).Draw(rt, "most")
+		limit := rapid.Int64Range(200, 4000).Draw(rt, "most")
 		type step struct {
 			caller, write, read int
 			drop                bool
@@ -290,10 +291,10 @@
 			}
 		}), 1, 60).Draw(rt, "steps")
 		synctest.Test(t, func(t *testing.T) {
-			spools, budget, _ := newSpools(plenty, most)
-			readers, open, written := make([]*reader, callers), make([]*Spool, callers), make([]string, callers)
+			spools, budget, _ := newSpools(unlimited, limit)
+			readers, open, written := make([]*slowReader, callers), make([]*Spool, callers), make([]string, callers)
 			for i := range callers {
-				readers[i] = newReader(0)
+				readers[i] = newSlowReader(0)
 				open[i] = spools.Open(readers[i], time.Duration(i)*time.Millisecond)
 			}
 			for n, s := range steps {
@@ -304,13 +305,13 @@
 				if s.drop {
 					open[s.caller].Drop()
 				}
-				if budget.Held() > most {
-					t.Fatalf("%d bytes held of %d", budget.Held(), most)
+				if budget.Held() > limit {
+					t.Fatalf("%d bytes held of %d", budget.Held(), limit)
 				}
 				time.Sleep(time.Millisecond)
 			}
 			for i, p := range open {
-				readers[i].read(plenty)
+				readers[i].read(unlimited)
 				err := p.Close()
 				got := readers[i].text()
 				if err == nil && got != written[i] || got != written[i][:len(got)] {
@@ -318,7 +319,7 @@
 				}
 			}
 			if budget.Held() != 0 {
-				t.Fatalf("%d bytes stay held", budget.Held())
+				t.Fatalf("%d bytes are still held", budget.Held())
 			}
 		})
 	})
