--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -66,7 +66,7 @@
 	outcomes := []delivery.Outcome{delivery.Unsent, delivery.Rejected, delivery.Lost, delivery.Failed, delivery.Silent, delivery.Cut}
 	rapid.Check(t, func(t *rapid.T) {
 		policy := rapid.SampledFrom([]delivery.RepeatPolicy{delivery.AtMostOnce, delivery.Repeatable, delivery.Resumable}).Draw(t, "repeat")
-		maxRuns := rapid.IntRange(1, 4).Draw(t, "most")
+		maxRuns := rapid.IntRange(1, 4).Draw(t, "maxRuns")
 		d := delivery.New(policy, maxRuns)
 		ran, begun := 0, false
 		for step := 0; ; step++ {
@@ -84,7 +84,7 @@
 			if outcome != delivery.Unsent && outcome != delivery.Rejected {
 				ran++
 			}
-			retry := rapid.Bool().Draw(t, "spare")
+			retry := rapid.Bool().Draw(t, "retry")
 			verdict := d.After(outcome, func() bool { return retry })
 			switch verdict.Step {
 			case delivery.Again:
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -103,8 +103,8 @@
 
 // lostRequest is a request that was lost.
 type lostRequest struct {
-	fingerprint quarantine.Fingerprint
-	began, at   time.Time
+	fingerprint    quarantine.Fingerprint
+	sentAt, lostAt time.Time
 	// disconnected means that its connection ended.
 	disconnected bool
 }
@@ -113,15 +113,15 @@
 // membership entry was removed before its connections ended, the target went on serving, as one
 // does that leaves as planned.
 func (l lostRequest) inFlightAt(end balance.End) bool {
-	if end.Unlisted && l.disconnected && !l.at.Before(end.At) {
+	if end.Unlisted && l.disconnected && !l.lostAt.Before(end.At) {
 		return false
 	}
-	return l.began.Before(end.At)
+	return l.sentAt.Before(end.At)
 }
 
 // NewCrashes returns a Crashes that begins to work with Start.
-func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, knocker PortProber, watcher CrashWatcher) *Crashes {
-	return &Crashes{Table: table, Balancer: balancer, Prober: knocker, Watcher: watcher, losses: make(map[string]*incarnationLosses), wake: make(chan struct{}, 1)}
+func NewCrashes(table *quarantine.Table, balancer *balance.Balancer, prober PortProber, watcher CrashWatcher) *Crashes {
+	return &Crashes{Table: table, Balancer: balancer, Prober: prober, Watcher: watcher, losses: make(map[string]*incarnationLosses), wake: make(chan struct{}, 1)}
 }
 
 // Start begins to check the targets of lost requests.
@@ -200,7 +200,7 @@
 		c.incarnations.Add(1)
 	}
 	if len(known.requests) < maxLosses {
-		known.requests = append(known.requests, lostRequest{fingerprint: a.call.fingerprint, began: a.started, at: now, disconnected: disconnected})
+		known.requests = append(known.requests, lostRequest{fingerprint: a.call.fingerprint, sentAt: a.started, lostAt: now, disconnected: disconnected})
 	}
 	if disconnected && known.probes > 0 {
 		known.probes, known.nextProbe = 0, now.Add(firstProbeDelay)
@@ -223,7 +223,7 @@
 	}
 	kept := known.requests[:0]
 	for _, lost := range known.requests {
-		if !lost.at.Before(sent) {
+		if !lost.lostAt.Before(sent) {
 			kept = append(kept, lost)
 		}
 	}
@@ -243,7 +243,8 @@
 }
 
 // Merge takes in what another process has stored about a request. Other gateways read the store
-// too, so only evidence against the request is sent on to them.
+// too, so they are sent a change only if this process objects to the record: if it clears what
+// others hold against the request.
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
 	if change.Objects() {
@@ -295,7 +296,7 @@
 func (l *incarnationLosses) dropExpired(now time.Time) {
 	kept := l.requests[:0]
 	for _, lost := range l.requests {
-		if now.Sub(lost.at) < lossTTL {
+		if now.Sub(lost.lostAt) < lossTTL {
 			kept = append(kept, lost)
 		}
 	}
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -124,7 +124,7 @@
 		"silence alone":                              {answer: silent, after: nothing},
 		"a failure that was answered":                {answer: respond(500, "no"), during: refuses, after: drops},
 		"rejected":                                   {answer: rejected, during: refuses, after: drops},
-		"a whole answer":                             {answer: respond(200, "yes"), during: refuses, after: drops},
+		"a complete answer":                          {answer: respond(200, "yes"), during: refuses, after: drops},
 		"a planned stop":                             {answer: lost, during: leaves, after: drops},
 		"a planned stop after the entry was removed": {answer: lost, during: drops, after: refusedElsewhere},
 		"stopped by plan after the loss":             {answer: lost, after: leaves, at: time.Second},
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -30,7 +30,7 @@
 			is := is.New(t)
 			source := newEventReader(iotest.OneByteReader(strings.NewReader(tc.text)))
 			var ids []string
-			var whole bytes.Buffer
+			var read bytes.Buffer
 			for {
 				event, id, err := source.next()
 				if err != nil {
@@ -38,10 +38,10 @@
 					break
 				}
 				ids = append(ids, id)
-				whole.Write(event)
+				read.Write(event)
 			}
 			is.Equal(ids, tc.ids)
-			is.True(strings.HasPrefix(tc.text, whole.String())) // byte for byte
+			is.True(strings.HasPrefix(tc.text, read.String())) // byte for byte
 		})
 	}
 }
@@ -53,22 +53,22 @@
 	f.Add([]byte("\n\r\n\r\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		source := newEventReader(bytes.NewReader(data))
-		var whole []byte
+		var read []byte
 		for {
 			event, _, err := source.next()
 			if errors.Is(err, io.EOF) {
-				if !bytes.Equal(whole, data) {
-					t.Fatalf("a clean end after %d of %d bytes", len(whole), len(data))
+				if !bytes.Equal(read, data) {
+					t.Fatalf("a clean end after %d of %d bytes", len(read), len(data))
 				}
 				return
 			}
 			if err != nil {
-				if !bytes.HasPrefix(data, whole) || len(whole) == len(data) {
-					t.Fatalf("%v after %q of %q", err, whole, data)
+				if !bytes.HasPrefix(data, read) || len(read) == len(data) {
+					t.Fatalf("%v after %q of %q", err, read, data)
 				}
 				return
 			}
-			whole = append(whole, event...)
+			read = append(read, event...)
 		}
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,7 +24,7 @@
 	// DenyFreshness is the maximum age of that proof when a request is denied for an unknown route
 	// or key. With an older proof the request is refused as retryable instead.
 	DenyFreshness time.Duration
-	// PeersReachable reports whether other gateways are heard; nil means never.
+	// PeersReachable reports whether heartbeats of other gateways arrive; nil means never.
 	PeersReachable func() bool
 	// ProcessLate reports whether this process is short of CPU time now, so that its own time
 	// limits pass before it has read what a target sent; nil means never.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -213,7 +213,7 @@
 		state   fault.RunState
 		aborted bool
 	}{
-		"a whole answer":                        {[]script{respond(200, "yes")}, "/once/x", 1, 200, "yes", "", "", false},
+		"a complete answer":                     {[]script{respond(200, "yes")}, "/once/x", 1, 200, "yes", "", "", false},
 		"the target's own refusal":              {[]script{respond(404, "no")}, "/get/x", 1, 404, "no", "", "", false},
 		"not run is retried elsewhere":          {[]script{rejected, respond(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
 		"unreachable is retried elsewhere":      {[]script{unreachable, respond(200, "yes")}, "/once/x", 2, 200, "yes", "", "", false},
@@ -227,7 +227,7 @@
 		"no signature is retried":               {[]script{unsigned, respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
 		"no signature at most once":             {[]script{unsigned, respond(200, "yes")}, "/once/x", 1, 502, "", fault.TargetFailed, fault.Unknown, false},
 		"broken body is retried":                {[]script{stream("half", io.ErrUnexpectedEOF), respond(200, "yes")}, "/get/x", 2, 200, "yes", "", "", false},
-		"a whole stream":                        {[]script{stream(one+two, io.EOF)}, "/stream/x", 1, 200, one + two, "", "", false},
+		"a complete stream":                     {[]script{stream(one+two, io.EOF)}, "/stream/x", 1, 200, one + two, "", "", false},
 		"an empty stream":                       {[]script{stream("", io.EOF)}, "/stream/x", 1, 200, "", "", "", false},
 		"a cut stream is broken off":            {[]script{stream(one+two[:5], io.ErrUnexpectedEOF)}, "/stream/x", 1, 200, one, "", "", true},
 		"an end inside an event is a cut":       {[]script{stream(one+two[:5], io.EOF)}, "/stream/x", 1, 200, one, "", "", true},
@@ -453,10 +453,10 @@
 
 // engineConfig returns config with a service that caches prompts.
 func engineConfig() *routing.Config {
-	made := config()
-	made.Version++
-	made.Services[0].Engine = true
-	return made
+	engine := config()
+	engine.Version++
+	engine.Services[0].Engine = true
+	return engine
 }
 
 // TestRetryAfterWithStaleProof checks that the caller is told to retry at another gateway at once
@@ -570,11 +570,11 @@
 // available, because the next attempt needed a retry from the budget that a hundred gateways share.
 func TestRefusedConnectionsAndRetryBudget(t *testing.T) {
 	cases := map[string]struct {
-		scripts []script
-		targets int
-		status  int
-		sends   int
-		told    int
+		scripts  []script
+		targets  int
+		status   int
+		sends    int
+		reported int
 	}{
 		"refused, then served":       {[]script{refused, respond(200, "yes")}, 5, 200, 2, 1},
 		"refused three times":        {[]script{refused, refused, refused, respond(200, "yes")}, 5, 200, 4, 3},
@@ -598,7 +598,7 @@
 				w.serve(t.Context(), "/once/x")
 				is.Equal(w.caller.status, tc.status)
 				is.Equal(len(w.sender.sent), tc.sends)
-				is.Equal(len(directory.refused), tc.told)
+				is.Equal(len(directory.refused), tc.reported)
 			})
 		})
 	}
--- a/internal/gateway/misdirected_test.go
+++ b/internal/gateway/misdirected_test.go
@@ -52,13 +52,13 @@
 			is.Equal(w.caller.status, http.StatusOK)
 			time.Sleep(10 * time.Millisecond)
 		}
-		asked := 0
+		sends := 0
 		for _, out := range w.sender.sent {
 			if out.Target.ID == "a" {
-				asked++
+				sends++
 			}
 		}
-		is.Equal(asked, 1)
+		is.Equal(sends, 1)
 		is.Equal(directory.refused, []string{"a"})
 		is.True(w.gateway.Balancer.EndOf("a").Known()) // its losses count as losses to its end
 	})
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -33,8 +33,8 @@
 	if notice == (balance.Notice{}) {
 		return
 	}
-	news := a.call.gateway.Balancer.Heed(a.incarnation, notice, clock.Check())
-	if news == (balance.News{}) {
+	changes := a.call.gateway.Balancer.Heed(a.incarnation, notice, clock.Check())
+	if changes == (balance.News{}) {
 		return
 	}
 	a.call.gateway.Events.Notice(&NoticeRecord{
@@ -44,7 +44,7 @@
 		Incarnation: a.incarnation,
 		Request:     a.call.request.ID,
 		Notice:      notice,
-		News:        news,
+		News:        changes,
 	})
 }
 
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	for number := 0; w.sentTo("a") == 0; number++ {
 		if number == 100 {
-			t.Fatal("the target was never asked")
+			t.Fatal("the target never received a request")
 		}
 		w.serve(t.Context(), fmt.Sprintf("%s%d", path, number))
 	}
@@ -73,7 +73,7 @@
 		path    string
 		answers script
 	}{
-		"a whole answer":                    {"/once/", respond(http.StatusOK, "yes")},
+		"a complete answer":                 {"/once/", respond(http.StatusOK, "yes")},
 		"a failure of its own":              {"/get/", respond(http.StatusInternalServerError, "broken")},
 		"a denial of its own":               {"/get/", respond(http.StatusNotFound, "no")},
 		"one that was not run":              {"/once/", rejected},
--- a/internal/gateway/output_test.go
+++ b/internal/gateway/output_test.go
@@ -123,9 +123,9 @@
 func TestTooSlowCallerIsAborted(t *testing.T) {
 	large := strings.Repeat("x", 2<<20)
 	cases := map[string]script{
-		"stream":       respondBody(steadyStream(60, 20*time.Millisecond), -1),
-		"whole answer": respondBody(io.NopCloser(strings.NewReader(large[:1<<19])), 1<<19),
-		"large answer": respondBody(io.NopCloser(strings.NewReader(large)), int64(len(large))),
+		"stream":          respondBody(steadyStream(60, 20*time.Millisecond), -1),
+		"buffered answer": respondBody(io.NopCloser(strings.NewReader(large[:1<<19])), 1<<19),
+		"large answer":    respondBody(io.NopCloser(strings.NewReader(large)), int64(len(large))),
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -92,10 +92,10 @@
 // whether it did.
 func (c *Crashes) startTrial(a *attempt, now time.Time) bool {
 	fingerprint := a.call.fingerprint
-	change, begun := c.Table.Try(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
-	if begun {
+	change, started := c.Table.Try(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
+	if started {
 		c.Watcher.TrialBegan(a.pick.Target.ID, change)
 		c.publish(change)
 	}
-	return begun
+	return started
 }
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -176,17 +176,17 @@
 		before func(w *rolloutGateway)
 		answer script
 		path   string
-		// least and most limit the requests sent to the new version; others is the number sent to
+		// minSent and maxSent limit the requests sent to the new version; others is the number sent to
 		// the old one.
-		least, most, others int
-		status              int
+		minSent, maxSent, others int
+		status                   int
 	}{
 		"nothing allowed yet":              {answer: answerYes, path: "/get/x", others: requests, status: 200},
-		"a share of all":                   {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerYes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
-		"a share that fails":               {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerFailure, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that is full":             {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: rejected, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that refuses connections": {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: refused, path: "/once/x", least: 20, most: requests / 10, others: requests, status: 200},
-		"a share that is silent":           {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: silent, path: "/get/x", least: 20, most: requests / 10, others: requests, status: 200},
+		"a share of all":                   {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerYes, path: "/get/x", minSent: 20, maxSent: requests / 10, others: requests * 9 / 10, status: 200},
+		"a share that fails":               {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: answerFailure, path: "/get/x", minSent: 20, maxSent: requests / 10, others: requests, status: 200},
+		"a share that rejects":             {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: rejected, path: "/once/x", minSent: 20, maxSent: requests / 10, others: requests, status: 200},
+		"a share that refuses connections": {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: refused, path: "/once/x", minSent: 20, maxSent: requests / 10, others: requests, status: 200},
+		"a share that is silent":           {before: func(w *rolloutGateway) { w.grant(rollout.Canary) }, answer: silent, path: "/get/x", minSent: 20, maxSent: requests / 10, others: requests, status: 200},
 		"no new target is open": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.put("c", newVersion, true)
@@ -197,8 +197,8 @@
 			for _, id := range []string{"a", "b", "c", "d"} {
 				w.gateway.Balancer.Drop(id, time.Now())
 			}
-		}, answer: answerYes, path: "/get/x", least: 20, most: requests / 10, others: requests * 9 / 10, status: 200},
-		"all": {before: func(w *rolloutGateway) { w.grant(rollout.Move) }, answer: answerYes, path: "/get/x", least: requests, most: requests, status: 200},
+		}, answer: answerYes, path: "/get/x", minSent: 20, maxSent: requests / 10, others: requests * 9 / 10, status: 200},
+		"all": {before: func(w *rolloutGateway) { w.grant(rollout.Move) }, answer: answerYes, path: "/get/x", minSent: requests, maxSent: requests, status: 200},
 		"halted in the canary": {before: func(w *rolloutGateway) {
 			w.grant(rollout.Canary)
 			w.halt()
@@ -234,7 +234,7 @@
 				}
 				sent := w.sender.count(newVersion)
 				t.Logf("%d of %d", sent, requests)
-				is.True(tc.least <= sent && sent <= tc.most)
+				is.True(tc.minSent <= sent && sent <= tc.maxSent)
 				is.True(w.sender.count(oldVersion) >= tc.others)
 				is.Equal(len(w.gateway.Balancer.InFlight()), 0)
 			})
@@ -261,7 +261,7 @@
 		patience        time.Duration
 		answers, failed int
 	}{
-		"a whole answer":                      {answer: answerYes, path: "/once/x", answers: 1},
+		"a complete answer":                   {answer: answerYes, path: "/once/x", answers: 1},
 		"a refusal of its own":                {answer: respond(404, "no"), path: "/once/x", answers: 1},
 		"a failure":                           {answer: answerFailure, path: "/once/x", answers: 1, failed: 1},
 		"a failure, twice":                    {answer: answerFailure, path: "/get/x", answers: 2, failed: 2},
@@ -272,7 +272,7 @@
 		"unsigned":                            {answer: unsigned, path: "/once/x", answers: 1, failed: 1},
 		"silent to the end":                   {answer: silent, path: "/once/x", answers: 1, failed: 1},
 		"silent, retried elsewhere":           {answer: silent, path: "/get/x", answers: 2, failed: 2},
-		"a whole stream":                      {answer: stream(one+two, io.EOF), path: "/stream/x", answers: 1},
+		"a complete stream":                   {answer: stream(one+two, io.EOF), path: "/stream/x", answers: 1},
 		"a stream without events":             {answer: stream("", io.EOF), path: "/stream/x", answers: 1},
 		"a stream cut":                        {answer: stream(one+two[:5], io.ErrUnexpectedEOF), path: "/stream/x", answers: 1, failed: 1},
 		"a stream cut, and resumed":           {answer: cutOnce(), path: "/resumable/x", answers: 2, failed: 1},
@@ -329,12 +329,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ends := make(chan struct{})
-				goesOn := stream(two, io.EOF)
-				w := newRolloutGateway(t, map[string]script{newVersion: goesOn})
+				resumed := stream(two, io.EOF)
+				w := newRolloutGateway(t, map[string]script{newVersion: resumed})
 				defer w.close()
 				w.sender.play(oldVersion, func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if out.LastEventID != "" {
-						return goesOn(ctx, out)
+						return resumed(ctx, out)
 					}
 					return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: &endingBody{text: strings.NewReader(one), end: ends}}, nil
 				})
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -35,17 +35,17 @@
 // contact records when something last arrived from a target, in any attempt since the first of
 // those in flight there.
 type contact struct {
-	began time.Time
-	// sinceBegan is the time from began to the last arrival, in nanoseconds.
-	sinceBegan atomic.Int64
-	attempts   int
+	createdAt time.Time
+	// lastAfter is the time from began to the last arrival, in nanoseconds.
+	lastAfter atomic.Int64
+	attempts  int
 }
 
-func (c *contact) record(now time.Time) { c.sinceBegan.Store(int64(now.Sub(c.began))) }
+func (c *contact) record(now time.Time) { c.lastAfter.Store(int64(now.Sub(c.createdAt))) }
 
 // last returns when something last arrived, or from if that is later.
 func (c *contact) last(from time.Time) time.Time {
-	if at := c.began.Add(time.Duration(c.sinceBegan.Load())); at.After(from) {
+	if at := c.createdAt.Add(time.Duration(c.lastAfter.Load())); at.After(from) {
 		return at
 	}
 	return from
@@ -65,7 +65,7 @@
 	}
 	known, ok := c.targets[target]
 	if !ok {
-		known = &contact{began: clock.Now()}
+		known = &contact{createdAt: clock.Now()}
 		c.targets[target] = known
 	}
 	known.attempts++
--- a/internal/spool/spool_test.go
+++ b/internal/spool/spool_test.go
@@ -203,8 +203,8 @@
 		is := is.New(t)
 		const limit, part = 100_000, 1000
 		spools, budget, ended := newSpools(DefaultMaxPerCaller, limit)
-		sound := newSlowReader(unlimited)
-		good := spools.Open(sound, 0)
+		unblocked := newSlowReader(unlimited)
+		good := spools.Open(unblocked, 0)
 		stopped := make([]*Spool, 1000)
 		for i := range stopped {
 			stopped[i] = spools.Open(newSlowReader(0), 0)
@@ -216,7 +216,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		is.NoErr(good.Close())
-		is.Equal(len(sound.text()), 1000)
+		is.Equal(len(unblocked.text()), 1000)
 		is.True(len(ended.all()) >= 900)
 		is.Equal(stopped[0].Write(nil), ErrSlowest)
 		is.NoErr(stopped[999].Write(nil))
@@ -250,12 +250,12 @@
 				var longest atomic.Int64
 				for i := range 10 {
 					is.NoErr(p.Write([]byte("x")))
-					made := time.Now()
+					written := time.Now()
 					go func() {
 						for len(caller.text()) <= i {
 							time.Sleep(time.Millisecond)
 						}
-						if took := int64(time.Since(made)); took > longest.Load() {
+						if took := int64(time.Since(written)); took > longest.Load() {
 							longest.Store(took)
 						}
 					}()
@@ -279,7 +279,7 @@
 func TestCallerGetsPrefix(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		callers := rapid.IntRange(1, 6).Draw(rt, "callers")
-		limit := rapid.Int64Range(200, 4000).Draw(rt, "most")
+		limit := rapid.Int64Range(200, 4000).Draw(rt, "limit")
 		type step struct {
 			caller, write, read int
 			drop                bool
