--- a/internal/gateway/buffered.go
+++ b/internal/gateway/buffered.go
@@ -29,12 +29,12 @@
 }
 
 // send passes the answer on.
-func (w *bufferedAnswer) send(c *call) error {
-	if err := c.responder.Begin(w.status, w.header, int64(len(w.body))); err != nil {
+func (b *bufferedAnswer) send(c *call) error {
+	if err := c.responder.Begin(b.status, b.header, int64(len(b.body))); err != nil {
 		return err
 	}
-	if len(w.body) == 0 {
+	if len(b.body) == 0 {
 		return nil
 	}
-	return c.writeBuffered(w.body)
+	return c.writeBuffered(b.body)
 }
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -32,45 +32,45 @@
 	heldBack    []string
 }
 
-func (k *fakeProber) ProbePort(context.Context, balance.Target) bool {
-	k.probes.Add(1)
-	return k.refuses.Load()
+func (prober *fakeProber) ProbePort(context.Context, balance.Target) bool {
+	prober.probes.Add(1)
+	return prober.refuses.Load()
 }
 
-func (k *fakeProber) Refused(string) {}
+func (prober *fakeProber) Refused(string) {}
 
-func (k *fakeProber) Spread(change quarantine.Change) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.sentToPeers = append(k.sentToPeers, change)
+func (prober *fakeProber) Spread(change quarantine.Change) {
+	prober.mu.Lock()
+	defer prober.mu.Unlock()
+	prober.sentToPeers = append(prober.sentToPeers, change)
 }
 
-func (k *fakeProber) TrialPlace(quarantine.Fingerprint) int { return 0 }
+func (prober *fakeProber) TrialPlace(quarantine.Fingerprint) int { return 0 }
 
-func (k *fakeProber) TrialBegan(string, quarantine.Change) {}
+func (prober *fakeProber) TrialBegan(string, quarantine.Change) {}
 
-func (k *fakeProber) CrashNoted(target string, _ quarantine.Change) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.crashed = append(k.crashed, target)
+func (prober *fakeProber) CrashNoted(target string, _ quarantine.Change) {
+	prober.mu.Lock()
+	defer prober.mu.Unlock()
+	prober.crashed = append(prober.crashed, target)
 }
 
-func (k *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.heldBack = append(k.heldBack, peer+change.Print.String())
+func (prober *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
+	prober.mu.Lock()
+	defer prober.mu.Unlock()
+	prober.heldBack = append(prober.heldBack, peer+change.Print.String())
 }
 
 // startCrashes gives the gateway a running Crashes.
 func startCrashes(t *testing.T, w *testGateway) *fakeProber {
 	t.Helper()
-	k := new(fakeProber)
-	crashes := gateway.NewCrashes(quarantine.New(), w.gateway.Balancer, k, k)
-	crashes.Peers = k
+	prober := new(fakeProber)
+	crashes := gateway.NewCrashes(quarantine.New(), w.gateway.Balancer, prober, prober)
+	crashes.Peers = prober
 	w.gateway.Crashes = crashes
 	is.New(t).NoErr(crashes.Start(t.Context()))
 	t.Cleanup(func() { _ = crashes.Close() })
-	return k
+	return prober
 }
 
 // keepOneTarget leaves a single target, with the given start time.
@@ -87,7 +87,7 @@
 // unplanned while the request was in flight there.
 func TestCrashDetection(t *testing.T) {
 	nothing := func(*testGateway, *fakeProber, balance.Target) {}
-	refuses := func(_ *testGateway, k *fakeProber, _ balance.Target) { k.refuses.Store(true) }
+	refuses := func(_ *testGateway, prober *fakeProber, _ balance.Target) { prober.refuses.Store(true) }
 	drops := func(w *testGateway, _ *fakeProber, target balance.Target) {
 		w.gateway.Balancer.Drop(target.ID, time.Now())
 	}
@@ -102,7 +102,7 @@
 	refusedElsewhere := func(w *testGateway, _ *fakeProber, target balance.Target) {
 		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Life())>>32), time.Now())
 	}
-	type step = func(w *testGateway, k *fakeProber, target balance.Target)
+	type step = func(w *testGateway, prober *fakeProber, target balance.Target)
 	cases := map[string]struct {
 		answer script
 		path   string
@@ -134,12 +134,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newTestGateway(nil)
-				k := startCrashes(t, w)
+				prober := startCrashes(t, w)
 				target := keepOneTarget(w, 1000)
 				w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					time.Sleep(20 * time.Millisecond)
 					if tc.during != nil {
-						tc.during(w, k, target)
+						tc.during(w, prober, target)
 					}
 					return tc.answer(ctx, out)
 				}}
@@ -150,10 +150,10 @@
 				time.Sleep(time.Second)
 				w.serve(t.Context(), path)
 				time.Sleep(tc.at)
-				tc.after(w, k, target)
+				tc.after(w, prober, target)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				is.Equal(len(k.crashed) == 1, tc.counts)
+				is.Equal(len(prober.crashed) == 1, tc.counts)
 				is.Equal(len(w.gateway.Crashes.Table.Records(time.Now())) == 1, tc.counts)
 			})
 		})
@@ -166,8 +166,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(silent)
-		k := startCrashes(t, w)
-		k.refuses.Store(true)
+		prober := startCrashes(t, w)
+		prober.refuses.Store(true)
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, cancel)
 		w.serve(ctx, "/once/x")
@@ -175,8 +175,8 @@
 			w.gateway.Balancer.Drop(id, time.Now())
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(len(k.crashed), 0)
-		is.Equal(k.probes.Load(), int32(0))
+		is.Equal(len(prober.crashed), 0)
+		is.Equal(prober.probes.Load(), int32(0))
 	})
 }
 
@@ -186,15 +186,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(lost, respond(200, "yes"))
-		k := startCrashes(t, w)
+		prober := startCrashes(t, w)
 		target := keepOneTarget(w, 1000)
 		w.serve(t.Context(), "/once/x")
 		time.Sleep(time.Second)
 		w.serve(t.Context(), "/once/y")
 		w.gateway.Balancer.Drop(target.ID, time.Now())
 		time.Sleep(10 * time.Second)
-		is.Equal(len(k.crashed), 0)
-		is.True(k.probes.Load() <= 2) // probed twice and not again
+		is.Equal(len(prober.crashed), 0)
+		is.True(prober.probes.Load() <= 2) // probed twice and not again
 	})
 }
 
@@ -352,8 +352,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(lost, respond(200, "yes"))
-		k := startCrashes(t, w)
-		k.refuses.Store(true)
+		prober := startCrashes(t, w)
+		prober.refuses.Store(true)
 		w.gateway.Crashes.Merge(quarantine.Record{Print: subjectOf("/get/x").Fingerprint(), Lives: []quarantine.Life{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
 		is.Equal(w.caller.status, http.StatusOK)
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -20,32 +20,32 @@
 }
 
 // join adds an attempt; the returned function removes it.
-func (u *inFlightAttempts) join(a *attempt) (leave func()) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.byIncarnation == nil {
-		u.byIncarnation = make(map[string]map[*attempt]struct{})
+func (f *inFlightAttempts) join(a *attempt) (leave func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byIncarnation == nil {
+		f.byIncarnation = make(map[string]map[*attempt]struct{})
 	}
-	if u.byIncarnation[a.incarnation] == nil {
-		u.byIncarnation[a.incarnation] = make(map[*attempt]struct{})
+	if f.byIncarnation[a.incarnation] == nil {
+		f.byIncarnation[a.incarnation] = make(map[*attempt]struct{})
 	}
-	u.byIncarnation[a.incarnation][a] = struct{}{}
+	f.byIncarnation[a.incarnation][a] = struct{}{}
 	return func() {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		delete(u.byIncarnation[a.incarnation], a)
-		if len(u.byIncarnation[a.incarnation]) == 0 {
-			delete(u.byIncarnation, a.incarnation)
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		delete(f.byIncarnation[a.incarnation], a)
+		if len(f.byIncarnation[a.incarnation]) == 0 {
+			delete(f.byIncarnation, a.incarnation)
 		}
 	}
 }
 
 // attempts returns the attempts at an incarnation.
-func (u *inFlightAttempts) attempts(incarnation string) []*attempt {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	attempts := make([]*attempt, 0, len(u.byIncarnation[incarnation]))
-	for a := range u.byIncarnation[incarnation] {
+func (f *inFlightAttempts) attempts(incarnation string) []*attempt {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	attempts := make([]*attempt, 0, len(f.byIncarnation[incarnation]))
+	for a := range f.byIncarnation[incarnation] {
 		attempts = append(attempts, a)
 	}
 	return attempts
--- a/internal/gateway/record.go
+++ b/internal/gateway/record.go
@@ -121,7 +121,7 @@
 		Took:             now.Sub(c.request.Arrived),
 		ProofAge:         -1,
 	}
-	if age, known := c.gateway.Proof.Age(now); known {
+	if age, hasProof := c.gateway.Proof.Age(now); hasProof {
 		record.ProofAge = age
 	}
 	if c.table != nil {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,7 +21,7 @@
 	defer func() { a.call.gateway.Balancer.NoteStream(a.incarnation, paused, clock.Now()) }()
 	for {
 		a.startSilenceTimer(ctx, a.maxSilenceBetweenEvents())
-		asked := clock.Now()
+		waitStart := clock.Now()
 		event, id, err := source.next()
 		if errors.Is(err, io.EOF) {
 			return a.endStream(answer)
@@ -30,10 +30,10 @@
 			a.failStream(err)
 			return false
 		}
-		a.recordEvent(asked)
-		a.recordStall(clock.Since(asked), source)
-		// A pause before the end of a stream that broke off is attributed to its target.
-		paused = paused || a.events > 0 && a.isLongPause(clock.Since(asked))
+		a.recordEvent(waitStart)
+		a.recordStall(clock.Since(waitStart), source)
+		// A pause before a stream breaks off is attributed to its target, not to the path.
+		paused = paused || a.events > 0 && a.isLongPause(clock.Since(waitStart))
 		if err := a.passEventUnwatched(answer, event); err != nil {
 			a.failWriting(err)
 			return false
@@ -47,7 +47,7 @@
 
 // recordEvent records the arrival of an event that was awaited since the given time. The time taken
 // to pass events on is the caller's, not the target's, and doesn't count.
-func (a *attempt) recordEvent(asked time.Time) {
+func (a *attempt) recordEvent(waitStart time.Time) {
 	a.recordContact(clock.Now())
 	a.liveness.eventSeen.Store(true)
 	if a.events == 0 {
@@ -55,7 +55,7 @@
 		a.call.gateway.firstEventTimes.record(a.call.route.Name, a.timeToHead)
 		return
 	}
-	a.eventSpan += clock.Since(asked)
+	a.eventSpan += clock.Since(waitStart)
 }
 
 // recordStall records whether an event arrived late together with others. A delay of this process
@@ -88,7 +88,7 @@
 	return err
 }
 
-// passEvent sends the headers before the first event.
+// passEvent passes an event on, after the headers if it is the first one.
 func (a *attempt) passEvent(answer *Answer, event []byte) error {
 	if err := a.beginStream(answer); err != nil {
 		return err
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -102,28 +102,28 @@
 	mean, spread float64
 }
 
-func (u *firstEventTimes) record(route string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.routes == nil {
-		u.routes = make(map[string]firstEventTime)
+func (f *firstEventTimes) record(route string, took time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.routes == nil {
+		f.routes = make(map[string]firstEventTime)
 	}
-	known, ok := u.routes[route]
+	known, ok := f.routes[route]
 	if !ok {
-		u.routes[route] = firstEventTime{mean: took.Seconds(), spread: took.Seconds() / 2}
+		f.routes[route] = firstEventTime{mean: took.Seconds(), spread: took.Seconds() / 2}
 		return
 	}
 	deviation := took.Seconds() - known.mean
 	known.mean += meanWeight * deviation
 	known.spread += meanWeight * (max(deviation, -deviation) - known.spread)
-	u.routes[route] = known
+	f.routes[route] = known
 }
 
 // maxUsual returns the longest usual time, or zero if nothing is known.
-func (u *firstEventTimes) maxUsual(route string) time.Duration {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	known := u.routes[route]
+func (f *firstEventTimes) maxUsual(route string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	known := f.routes[route]
 	return time.Duration((known.mean + maxDeviations*known.spread) * float64(time.Second))
 }
 
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -17,8 +17,8 @@
 		return
 	}
 	c.returnAssignment()
-	left := func(versions balance.Versions) bool { return c.gateway.Balancer.Left(c.service, versions) }
-	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.triedIncarnations) > 0, Left: left}
+	haveLeft := func(versions balance.Versions) bool { return c.gateway.Balancer.Left(c.service, versions) }
+	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.triedIncarnations) > 0, Left: haveLeft}
 	c.assignment, c.assignmentUnused, c.assignedAt = gate.Assign(ask, now), true, now
 	c.versions = c.assignment.Versions
 	if c.assignment.Otherwise != nil && !c.gateway.Balancer.Has(c.attemptQuery(), now) {
