--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -143,7 +143,7 @@
 	}
 	c.route = route
 	if maxBytes := table.Limits().BodyBytes; maxBytes > 0 && int64(len(c.request.Body)) > maxBytes {
-		return fault.New(fault.TooLarge, fault.NotRun, "the body exceeds %d bytes", maxBytes)
+		return fault.New(fault.TooLarge, fault.NotRun, "the body is over %d bytes", maxBytes)
 	}
 	if !route.Public {
 		workspace, ok := table.Workspace(c.request.Key)
