--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestEvents(t *testing.T) {
+func TestEventReader(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		ids  []string
@@ -23,14 +23,14 @@
 		"nothing":             {"", nil, io.EOF},
 		"end inside an event": {"id: 1\n\nid: 2\nda", []string{"1"}, io.ErrUnexpectedEOF},
 		"no empty line":       {"id: 1\n\nid: 2\n", []string{"1"}, io.ErrUnexpectedEOF},
-		"a long line":         {"id: 1\ndata: " + strings.Repeat("x", 3*eventBuffer) + "\n\n", []string{"1"}, io.EOF},
+		"a long line":         {"id: 1\ndata: " + strings.Repeat("x", 3*readBufferSize) + "\n\n", []string{"1"}, io.EOF},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			source := newEvents(iotest.OneByteReader(strings.NewReader(tc.text)))
+			source := newEventReader(iotest.OneByteReader(strings.NewReader(tc.text)))
 			var ids []string
-			var whole bytes.Buffer
+			var read bytes.Buffer
 			for {
 				event, id, err := source.next()
 				if err != nil {
@@ -38,37 +38,37 @@
 					break
 				}
 				ids = append(ids, id)
-				whole.Write(event)
+				read.Write(event)
 			}
 			is.Equal(ids, tc.ids)
-			is.True(strings.HasPrefix(tc.text, whole.String())) // byte for byte
+			is.True(strings.HasPrefix(tc.text, read.String())) // byte for byte
 		})
 	}
 }
 
-// FuzzEvents: whole events come out byte for byte in order, and what is left
-// is no whole event.
+// FuzzEvents checks that complete events are returned byte for byte in order, and that the
+// remainder is not a complete event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\nrest"))
 	f.Add([]byte("\n\r\n\r\n\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		source := newEvents(bytes.NewReader(data))
-		var whole []byte
+		source := newEventReader(bytes.NewReader(data))
+		var read []byte
 		for {
 			event, _, err := source.next()
 			if errors.Is(err, io.EOF) {
-				if !bytes.Equal(whole, data) {
-					t.Fatalf("a clean end after %d of %d bytes", len(whole), len(data))
+				if !bytes.Equal(read, data) {
+					t.Fatalf("a clean end after %d of %d bytes", len(read), len(data))
 				}
 				return
 			}
 			if err != nil {
-				if !bytes.HasPrefix(data, whole) || len(whole) == len(data) {
-					t.Fatalf("%v after %q of %q", err, whole, data)
+				if !bytes.HasPrefix(data, read) || len(read) == len(data) {
+					t.Fatalf("%v after %q of %q", err, read, data)
 				}
 				return
 			}
-			whole = append(whole, event...)
+			read = append(read, event...)
 		}
 	})
 }
--- a/internal/gateway/output.go
+++ b/internal/gateway/output.go
@@ -9,37 +9,37 @@
 	"github.com/capersaddle/capersaddle/internal/spool"
 )
 
-// spooledFrom is the size from which a whole answer is handed to the caller's spool, in bytes:
-// a smaller one fits into the buffers of a connection, however slowly its caller reads.
-const spooledFrom = 16 << 10
+// minSpooled is the size from which a buffered answer is written to the caller's spool, in bytes. A
+// smaller answer fits into the buffers of a connection, however slowly its caller reads.
+const minSpooled = 16 << 10
 
-// write passes a part of an answer on. It doesn't wait for the caller to read, unless much is
-// held for it already.
+// write passes on a part of an answer. It doesn't wait for the caller to read, unless much is
+// buffered for the caller already.
 func (c *call) write(data []byte) error {
 	if c.gateway.Spools == nil {
 		return c.responder.Write(data)
 	}
 	if c.output == nil {
-		c.output = c.gateway.Spools.Open(c.responder, c.gateway.window(clock.Now()))
+		c.output = c.gateway.Spools.Open(c.responder, c.gateway.writeWindow(clock.Now()))
 	}
 	return c.output.Write(data)
 }
 
-// writeWhole passes the body of a whole answer on.
-func (c *call) writeWhole(body []byte) error {
-	if len(body) < spooledFrom {
+// writeBuffered passes on the body of a buffered answer.
+func (c *call) writeBuffered(body []byte) error {
+	if len(body) < minSpooled {
 		return c.responder.Write(body)
 	}
 	return c.write(body)
 }
 
-// endOutput waits until the caller has been sent what it is to get. If that fails, the answer
-// must not look complete.
+// endOutput waits until everything has been sent to the caller. If that fails, it makes sure that
+// the answer can't look complete.
 func (c *call) endOutput(ctx context.Context) {
 	if c.output == nil {
 		return
 	}
-	if c.gone || c.callerLeft(ctx) {
+	if c.writeFailed || c.callerLeft(ctx) {
 		c.output.Drop()
 	}
 	err := c.output.Close()
@@ -47,30 +47,30 @@
 		return
 	}
 	c.responder.Abort()
-	if reason := endingOf(err); reason != "" {
-		c.ending = reason
+	if ending := spoolEnding(err); ending != "" {
+		c.ending = ending
 	} else if c.ending == EndingAnswered {
 		c.ending = EndingCallerLeft
 	}
 }
 
-// endingOf is the ending of a request whose caller's spool was ended; empty if the caller
-// ended it.
-func endingOf(err error) string {
-	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrStuck) {
+// spoolEnding returns the ending of a request whose caller's spool was ended, or an empty string if
+// the caller ended it.
+func spoolEnding(err error) string {
+	if errors.Is(err, spool.ErrSlowest) || errors.Is(err, spool.ErrWriteTimeout) {
 		return EndingCallerSlow
 	}
 	return ""
 }
 
-// outputWriter makes a call's output an io.Writer, and keeps what went wrong with it: a
-// caller that can't be written to is no fault of the target.
+// outputWriter makes the output of a call an io.Writer and keeps its write error: a caller that
+// can't be written to is no fault of the target.
 type outputWriter struct {
 	call *call
 	err  error
 }
 
-// Write passes all of data on.
+// Write passes on all of data.
 func (w *outputWriter) Write(data []byte) (int, error) {
 	if w.err = w.call.write(data); w.err != nil {
 		return 0, w.err
--- /dev/null
+++ b/internal/gateway/quarantine.go
@@ -0,0 +1,101 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/capersaddle/capersaddle/internal/balance"
+	"github.com/capersaddle/capersaddle/internal/delivery"
+	"github.com/capersaddle/capersaddle/internal/fault"
+	"github.com/capersaddle/capersaddle/internal/quarantine"
+)
+
+// retryAfterDoubtful is the Retry-After for requests that are in doubt; most trials have begun by
+// then.
+const retryAfterDoubtful = time.Second
+
+// isHeldBack reports whether the call must not be sent to any target.
+func (c *call) isHeldBack(now time.Time) bool {
+	crashes := c.gateway.Crashes
+	return crashes != nil && crashes.Table.Held(c.fingerprint, now)
+}
+
+// mayRunTrial reports whether the call, which is held back, may be the single trial of its request
+// now. A call that was already sent may not, since that was its attempt.
+func (c *call) mayRunTrial(now time.Time) bool {
+	return len(c.triedIncarnations) == 0 && c.gateway.Crashes.mayRunTrial(c.fingerprint, now)
+}
+
+// checkQuarantine returns the refusal of a call that is held back, right before it is sent, or nil
+// if it may be sent. It starts the trial of the request if the attempt may be one.
+func (a *attempt) checkQuarantine(now time.Time) *fault.Error {
+	c := a.call
+	if a.trial || !c.isHeldBack(now) {
+		return nil
+	}
+	a.trial = len(c.triedIncarnations) <= 1 && c.gateway.Crashes.startTrial(a, now)
+	if a.trial {
+		return nil
+	}
+	return c.heldBackError(fault.NotRun, now)
+}
+
+// endTrial records that the target did not run the attempt, if it was a trial.
+func (a *attempt) endTrial(now time.Time) {
+	answered := a.err == nil || a.result == balance.Good
+	if a.trial && !answered && (a.outcome == delivery.Unsent || a.outcome == delivery.Rejected) {
+		crashes := a.call.gateway.Crashes
+		crashes.publish(crashes.Table.Unrun(a.call.fingerprint, quarantineLife(a.incarnation), now))
+	}
+}
+
+// heldBackError returns the answer to a request that is held back. If other requests may have
+// caused the crashes, its caller is told to retry. Otherwise there is no time after which to retry:
+// the request itself has to change.
+func (c *call) heldBackError(state fault.RunState, now time.Time) *fault.Error {
+	if c.gateway.Crashes.Table.Standing(c.fingerprint, now) != quarantine.Doubtful {
+		return fault.New(fault.Quarantined, state, "several targets ended while running this request; it is not sent to another one")
+	}
+	if state != fault.NotRun {
+		return fault.New(fault.TargetFailed, state, "a target ended while running this request and others")
+	}
+	refusal := fault.New(fault.Suspected, state, "several targets ended while running this request and others; which request caused this is not known yet")
+	return refusal.After(retryAfterDoubtful)
+}
+
+// endHeldBack ends a call whose request was held back after the call began.
+func (c *call) endHeldBack(now time.Time) {
+	switch {
+	case c.delivery.Begun():
+		c.ending = EndingCut
+		c.responder.Abort()
+	case c.delivery.MayHaveRun():
+		c.refuse(c.heldBackError(fault.Unknown, now))
+	default:
+		c.refuse(c.heldBackError(fault.NotRun, now))
+	}
+}
+
+// trialPlace returns the position of this process among those that may run the trial of a request.
+func (c *Crashes) trialPlace(fingerprint quarantine.Fingerprint) int {
+	if c.Peers == nil {
+		return 0
+	}
+	return c.Peers.TrialPlace(fingerprint)
+}
+
+// mayRunTrial reports whether this process may send a request that is held back once.
+func (c *Crashes) mayRunTrial(fingerprint quarantine.Fingerprint, now time.Time) bool {
+	return c.Table.Standing(fingerprint, now) == quarantine.Doubtful && c.Table.MayTry(fingerprint, c.trialPlace(fingerprint), now)
+}
+
+// startTrial makes an attempt the trial of its request if this process may begin one, and reports
+// whether it did.
+func (c *Crashes) startTrial(a *attempt, now time.Time) bool {
+	fingerprint := a.call.fingerprint
+	change, started := c.Table.Try(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
+	if started {
+		c.Watcher.TrialBegan(a.pick.Target.ID, change)
+		c.publish(change)
+	}
+	return started
+}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -12,82 +12,83 @@
 	"github.com/capersaddle/capersaddle/internal/delivery"
 )
 
-// passStream passes whole events on as they come. A resumed stream goes on
-// under the head that the caller already has.
+// passStream passes on complete events as they arrive. A resumed stream continues under the headers
+// that the caller already has.
 func (a *attempt) passStream(ctx context.Context, answer *Answer) bool {
-	source := newEvents(answer.Body)
-	halted := false
-	a.head = 0
-	defer func() { a.call.gateway.Balancer.NoteStream(a.life, halted, clock.Now()) }()
+	source := newEventReader(answer.Body)
+	paused := false
+	a.timeToHead = 0
+	defer func() { a.call.gateway.Balancer.NoteStream(a.incarnation, paused, clock.Now()) }()
 	for {
-		a.watch(ctx, a.silenceBetween())
-		asked := clock.Now()
+		a.startSilenceTimer(ctx, a.maxSilenceBetweenEvents())
+		waitStart := clock.Now()
 		event, id, err := source.next()
 		if errors.Is(err, io.EOF) {
 			return a.endStream(answer)
 		}
 		if err != nil {
-			a.cut(err)
+			a.failStream(err)
 			return false
 		}
-		a.noteEvent(asked)
-		a.noteStall(clock.Since(asked), source)
-		// A pause before the end of a stream that broke off is its target's.
-		halted = halted || a.events > 0 && a.isHalt(clock.Since(asked))
-		if err := a.passListening(answer, event); err != nil {
-			a.callerGone(err)
+		a.recordEvent(waitStart)
+		a.recordStall(clock.Since(waitStart), source)
+		// A pause before a stream breaks off is attributed to its target, not to the path.
+		paused = paused || a.events > 0 && a.isLongPause(clock.Since(waitStart))
+		if err := a.passEventUnwatched(answer, event); err != nil {
+			a.failWriting(err)
 			return false
 		}
 		a.events++
 		if id != "" {
-			a.call.after = id
+			a.call.lastEventID = id
 		}
 	}
 }
 
-// noteEvent notes the arrival of an event that was waited for from a moment on. The time
-// that it takes to pass events on is the caller's, not the target's.
-func (a *attempt) noteEvent(asked time.Time) {
-	a.noteContact(clock.Now())
-	a.dark.begun.Store(true)
+// recordEvent records the arrival of an event that was awaited since the given time. The time taken
+// to pass events on is the caller's, not the target's, and doesn't count.
+func (a *attempt) recordEvent(waitStart time.Time) {
+	a.recordContact(clock.Now())
+	a.liveness.eventSeen.Store(true)
 	if a.events == 0 {
-		a.head = clock.Since(a.started)
-		a.call.gateway.firstEventTimes.note(a.call.route.Name, a.head)
+		a.timeToHead = clock.Since(a.started)
+		a.call.gateway.firstEventTimes.record(a.call.route.Name, a.timeToHead)
 		return
 	}
-	a.span += clock.Since(asked)
+	a.eventSpan += clock.Since(waitStart)
 }
 
-// noteStall notes whether an event came late together with others. A delay of this process
-// itself looks alike, and is none.
-func (a *attempt) noteStall(waited time.Duration, source *events) {
-	if a.events == 0 || a.isLate() {
+// recordStall records whether an event arrived late together with others. A delay of this process
+// looks the same and isn't counted.
+func (a *attempt) recordStall(waited time.Duration, source *eventReader) {
+	if a.events == 0 || a.isProcessLate() {
 		return
 	}
-	a.call.gateway.stalls.note(waited, source.ready(), clock.Now())
+	a.call.gateway.stalls.record(waited, source.bufferedEvents(), clock.Now())
 }
 
-// haltShare of the longest pause that callers want is how long a pause counts
-// as a halt.
-const haltShare = 0.5
+// longPauseShare is the share of the target gap, the longest pause that callers want, from which a
+// pause counts as long.
+const longPauseShare = 0.5
 
-// isHalt says whether a pause between two events is one that a target which
-// works does not make by itself.
-func (a *attempt) isHalt(pause time.Duration) bool {
-	wanted := a.call.route.TargetGap
-	return wanted > 0 && pause > time.Duration(haltShare*float64(wanted))
+// isLongPause reports whether a pause between two events is longer than a working target makes by
+// itself.
+func (a *attempt) isLongPause(pause time.Duration) bool {
+	maxGap := a.call.route.TargetGap
+	return maxGap > 0 && pause > time.Duration(longPauseShare*float64(maxGap))
 }
 
-// passListening passes an event on. As long as that takes, the target is not heard.
-func (a *attempt) passListening(answer *Answer, event []byte) error {
-	a.dark.passing.Store(true)
-	defer a.dark.passing.Store(false)
+// passEventUnwatched passes an event on. Nothing is read from the target meanwhile, so its silence
+// doesn't count.
+func (a *attempt) passEventUnwatched(answer *Answer, event []byte) error {
+	a.liveness.passing.Store(true)
+	defer a.liveness.passing.Store(false)
 	err := a.passEvent(answer, event)
-	a.noteContact(clock.Now())
+	a.recordContact(clock.Now())
 	return err
 }
 
-// passEvent sends the head before the first event.
+// passEvent passes an event on, after the headers if it is the first one.
 func (a *attempt) passEvent(answer *Answer, event []byte) error {
 	if err := a.beginStream(answer); err != nil {
 		return err
@@ -99,36 +100,36 @@
 	if a.call.delivery.Begun() {
 		return nil
 	}
-	a.answered(answer)
+	a.recordAnswer(answer)
 	a.call.delivery.Begin()
 	return a.call.responder.Begin(answer.Status, answer.Header, -1)
 }
 
-// endStream ends a stream whose target ended it whole.
+// endStream ends a stream that its target ended completely.
 func (a *attempt) endStream(answer *Answer) bool {
 	if err := a.beginStream(answer); err != nil {
-		a.callerGone(err)
+		a.failWriting(err)
 		return false
 	}
 	a.result = balance.Good
 	return true
 }
 
-// cut notes a stream that broke off.
-func (a *attempt) cut(err error) {
+// failStream records that a stream broke off.
+func (a *attempt) failStream(err error) {
 	a.err = errors.Wrapf(err, "after %d events", a.events)
-	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, brokeOff
+	a.outcome, a.result, a.loss = delivery.Lost, balance.Lost, lossDisconnected
 	if a.call.delivery.Begun() {
 		a.outcome = delivery.Cut
 	}
-	if a.isSpent() || errors.Is(err, context.DeadlineExceeded) {
-		a.result, a.loss = balance.Bad, wentSilent
+	if a.isAbandoned() || errors.Is(err, context.DeadlineExceeded) {
+		a.result, a.loss = balance.Bad, lossSilent
 	}
-	if a.endedDark() {
-		a.loss = wentSilent
-		a.result, a.err = balance.Bad, errors.Wrapf(errDark, "after %d events", a.events)
+	if a.endedUnresponsive() {
+		a.loss = lossSilent
+		a.result, a.err = balance.Bad, errors.Wrapf(errUnresponsive, "after %d events", a.events)
 	}
-	if a.isSpent() && !a.call.delivery.Begun() {
+	if a.isAbandoned() && !a.call.delivery.Begun() {
 		a.outcome = delivery.Silent
 	}
 }
