--- a/internal/crashstore/saver.go
+++ b/internal/crashstore/saver.go
@@ -137,8 +137,8 @@
 // have been cleared since.
 func (s *Saver) choose(turn Turn) []quarantine.Record {
 	records := slices.DeleteFunc(s.options.Table.Records(clock.Now()), func(record quarantine.Record) bool {
-		wanted := record.Suspicious() || turn == All && len(record.Lives) > 0
-		return !wanted && !s.prints[record.Print]
+		wanted := record.Suspicious() || turn == All && len(record.Instances) > 0
+		return !wanted && !s.prints[record.Fingerprint]
 	})
 	return records[:min(len(records), mostRecords)]
 }
@@ -146,7 +146,7 @@
 func printsOf(records []quarantine.Record) map[quarantine.Fingerprint]bool {
 	prints := make(map[quarantine.Fingerprint]bool, len(records))
 	for _, record := range records {
-		prints[record.Print] = true
+		prints[record.Fingerprint] = true
 	}
 	return prints
 }
--- a/internal/crashstore/saver_test.go
+++ b/internal/crashstore/saver_test.go
@@ -55,7 +55,7 @@
 }
 
 // crash has a life of a target end under a request.
-func (w *world) crash(print quarantine.Fingerprint, life quarantine.Life) {
+func (w *world) crash(print quarantine.Fingerprint, life quarantine.Instance) {
 	w.table.Crashed(print, life, time.Now())
 }
 
@@ -63,7 +63,7 @@
 func (w *world) saved() map[quarantine.Fingerprint]int {
 	ends := make(map[quarantine.Fingerprint]int)
 	for _, record := range w.store.records {
-		ends[record.Print] = len(record.Lives)
+		ends[record.Fingerprint] = len(record.Instances)
 	}
 	return ends
 }
@@ -111,7 +111,7 @@
 	w.saver.save(t.Context())
 	w.table.Answered(twice, time.Now())
 	w.saver.save(t.Context())
-	is.Equal(w.store.records, []quarantine.Record{{Print: twice, Epoch: 1}})
+	is.Equal(w.store.records, []quarantine.Record{{Fingerprint: twice, Epoch: 1}})
 }
 
 // TestAFailedSaveIsMadeUpFor by the next look.
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -237,28 +237,28 @@
 func (c *Crashes) Lift(print quarantine.Fingerprint, now time.Time) bool {
 	change := c.Table.Lift(print, now)
 	c.changed(change)
-	return change.News
+	return change.Changed
 }
 
 // Merge takes what another process has kept in the store of a request. Other gateways read it
 // there too, and get only what is held against it.
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
-	if change.Objects() {
+	if change.ClearedOnMerge() {
 		c.changed(change)
 		return
 	}
-	if change.Begins() || change.Ends() {
+	if change.HoldStarted() || change.HoldEnded() {
 		c.Watcher.QuarantineChanged(change, "")
 	}
 }
 
 // changed passes on what is new.
 func (c *Crashes) changed(change quarantine.Change) {
-	if !change.News {
+	if !change.Changed {
 		return
 	}
-	if change.Begins() || change.Ends() {
+	if change.HoldStarted() || change.HoldEnded() {
 		c.Watcher.QuarantineChanged(change, "")
 	}
 	if c.Spreader != nil {
@@ -308,7 +308,7 @@
 			continue
 		}
 		change := c.Table.Crashed(lost.print, name, now)
-		if change.News {
+		if change.Changed {
 			c.Watcher.CrashNoted(known.target.ID, change)
 		}
 		c.changed(change)
@@ -316,8 +316,8 @@
 }
 
 // lifeName names a life of a target in records.
-func lifeName(life string) quarantine.Life {
-	return quarantine.Life(policy.HashName(life) >> 32)
+func lifeName(life string) quarantine.Instance {
+	return quarantine.Instance(policy.HashName(life) >> 32)
 }
 
 // knock tries a target's address; c.mu is held.
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -58,7 +58,7 @@
 func (k *knocks) QuarantineChanged(change quarantine.Change, peer string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.held = append(k.held, peer+change.Print.String())
+	k.held = append(k.held, peer+change.Fingerprint.String())
 }
 
 // watched has a world find out which requests were under way when targets ended.
@@ -235,7 +235,7 @@
 
 // hold has a request held back, as other gateways found out.
 func hold(w *world, subject quarantine.Subject) {
-	record := quarantine.Record{Print: subject.Fingerprint(), Lives: []quarantine.Life{1, 2, 3}}
+	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Instances: []quarantine.Instance{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
 
@@ -349,7 +349,7 @@
 		w := newWorld(lost, whole(200, "yes"))
 		k := watched(t, w)
 		k.refuses.Store(true)
-		w.gateway.Crashes.Merge(quarantine.Record{Print: subjectOf("/get/x").Fingerprint(), Lives: []quarantine.Life{1}}, time.Now())
+		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Instances: []quarantine.Instance{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
 		is.Equal(w.caller.status, http.StatusOK)
 		is.Equal(len(w.sender.sent), 2)
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -44,7 +44,7 @@
 	answered := a.err == nil || a.result == balance.Good
 	if a.trial && !answered && (a.outcome == delivery.Unsent || a.outcome == delivery.Rejected) {
 		crashes := a.call.gateway.Crashes
-		crashes.changed(crashes.Table.Unrun(a.call.print, lifeName(a.life), now))
+		crashes.changed(crashes.Table.TrialNotRun(a.call.print, lifeName(a.life), now))
 	}
 }
 
@@ -52,7 +52,7 @@
 // caller is to come back. Otherwise there is no time to come back after: it is the request
 // that has to change.
 func (c *call) errHeld(state fault.RunState, now time.Time) *fault.Error {
-	if c.gateway.Crashes.Table.Standing(c.print, now) != quarantine.Doubtful {
+	if c.gateway.Crashes.Table.Verdict(c.print, now) != quarantine.Doubtful {
 		return fault.New(fault.Quarantined, state, "several targets ended while they ran this request; it is sent to no other")
 	}
 	if state != fault.NotRun {
@@ -85,13 +85,13 @@
 
 // mayTry says whether this process may send a request that is held back once.
 func (c *Crashes) mayTry(print quarantine.Fingerprint, now time.Time) bool {
-	return c.Table.Standing(print, now) == quarantine.Doubtful && c.Table.MayTry(print, c.place(print), now)
+	return c.Table.Verdict(print, now) == quarantine.Doubtful && c.Table.MayStartTrial(print, c.place(print), now)
 }
 
 // try has an attempt be the trial of its request, if this process may begin one.
 func (c *Crashes) try(a *attempt, now time.Time) bool {
 	print := a.call.print
-	change, begun := c.Table.Try(print, c.place(print), lifeName(a.life), now)
+	change, begun := c.Table.StartTrial(print, c.place(print), lifeName(a.life), now)
 	if begun {
 		c.Watcher.TrialBegan(a.pick.Target.ID, change)
 		c.changed(change)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -103,7 +103,7 @@
 		table := quarantine.New()
 		const print = 7
 		for life := range quarantine.Limit {
-			table.Crashed(print, quarantine.Life(life), clock.Now())
+			table.Crashed(print, quarantine.Instance(life), clock.Now())
 		}
 		is.True(table.Held(print, clock.Check()))
 		defer clock.Simulate(quarantine.FirstTerm)()
--- a/internal/observe/quarantine.go
+++ b/internal/observe/quarantine.go
@@ -8,7 +8,7 @@
 func (o *Observer) CrashNoted(target string, change quarantine.Change) {
 	o.metrics.crashes.Inc()
 	if change.Suspicious() {
-		o.log.Warn(EventCrash, "target", target, "print", change.Print, "ends", len(change.Lives))
+		o.log.Warn(EventCrash, "target", target, "print", change.Fingerprint, "ends", len(change.Instances))
 	}
 }
 
@@ -16,13 +16,13 @@
 // the one that said so, empty for none.
 func (o *Observer) QuarantineChanged(change quarantine.Change, peer string) {
 	event := EventHeldBack
-	if change.Ends() {
+	if change.HoldEnded() {
 		event = EventCleared
 	}
-	o.log.Warn(event, "print", change.Print, "ends", len(change.Lives), "before", change.Before, "peer", peer)
+	o.log.Warn(event, "print", change.Fingerprint, "ends", len(change.Instances), "before", change.Before, "peer", peer)
 }
 
 // TrialBegan logs that one copy of a request that is held back is sent to a target.
 func (o *Observer) TrialBegan(target string, change quarantine.Change) {
-	o.log.Warn(EventTrial, "target", target, "print", change.Print, "ends", len(change.Lives), "trial", change.Trial)
+	o.log.Warn(EventTrial, "target", target, "print", change.Fingerprint, "ends", len(change.Instances), "trial", change.Trials)
 }
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -90,18 +90,18 @@
 
 // post has a record sent in the next rounds.
 func (m *crashMail) post(record quarantine.Record, wide bool, times int) {
-	if known, ok := m.out[record.Print]; ok {
+	if known, ok := m.out[record.Fingerprint]; ok {
 		wide, times = wide || known.wide, max(times, known.left)
 	} else if len(m.out) >= mostMail && !wide {
 		return // it is sent again when gateways come or go, or with its next end
 	}
-	m.out[record.Print] = &mail{record: record, wide: wide, left: times}
+	m.out[record.Fingerprint] = &mail{record: record, wide: wide, left: times}
 }
 
 // repost has a record sent once more, unless it is to be sent anyway.
 func (m *crashMail) repost(record quarantine.Record) {
-	if _, ok := m.out[record.Print]; !ok && len(m.out) < mostMail {
-		m.out[record.Print] = &mail{record: record, again: true, left: 1}
+	if _, ok := m.out[record.Fingerprint]; !ok && len(m.out) < mostMail {
+		m.out[record.Fingerprint] = &mail{record: record, again: true, left: 1}
 	}
 }
 
@@ -120,7 +120,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b mail) int {
-		return cmp.Or(cmp.Compare(len(b.record.Lives), len(a.record.Lives)), cmp.Compare(a.record.Print, b.record.Print))
+		return cmp.Or(cmp.Compare(len(b.record.Instances), len(a.record.Instances)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
 	})
 	return all
 }
@@ -128,7 +128,7 @@
 // Spread passes on what has become of a request's record, at once.
 func (s *Service) Spread(change quarantine.Change) {
 	s.mu.Lock()
-	s.crashes.post(change.Record, change.Wide(), crashSends)
+	s.crashes.post(change.Record, change.Broadcast(), crashSends)
 	s.mu.Unlock()
 	s.wake()
 }
@@ -160,7 +160,7 @@
 	if due.wide {
 		return drawn(live, crashFanOut)
 	}
-	return keepersOf(due.record.Print, live, s.hash)
+	return keepersOf(due.record.Fingerprint, live, s.hash)
 }
 
 // drawn are a few peers drawn at random.
@@ -244,16 +244,16 @@
 	var back []quarantine.Record
 	for _, message := range beat.GetCrashRecords() {
 		change := s.crashes.table.Merge(quarantine.RecordOf(message), now)
-		if change.Ahead {
+		if change.NewToSender {
 			back = append(back, change.Record)
 		}
-		if !change.News {
+		if !change.Changed {
 			continue
 		}
-		if change.Begins() || change.Ends() {
+		if change.HoldStarted() || change.HoldEnded() {
 			s.options.Watcher.QuarantineChanged(change, from.id)
 		}
-		if change.Wide() {
+		if change.Broadcast() {
 			s.crashes.post(change.Record, true, crashSends)
 			s.wake()
 		}
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -24,8 +24,8 @@
 func (n *node) table() *quarantine.Table { return n.service.crashes.table }
 
 // crashed has a gateway find that a life of a target ended under a request.
-func (n *node) crashed(print quarantine.Fingerprint, life quarantine.Life) {
-	if change := n.table().Crashed(print, life, time.Now()); change.News {
+func (n *node) crashed(print quarantine.Fingerprint, life quarantine.Instance) {
+	if change := n.table().Crashed(print, life, time.Now()); change.Changed {
 		n.service.Spread(change)
 	}
 }
@@ -99,7 +99,7 @@
 			is := is.New(t)
 			nodes := gateways(t)
 			for i := range 3 {
-				nodes[i].crashed(fatal, quarantine.Life(i))
+				nodes[i].crashed(fatal, quarantine.Instance(i))
 			}
 			nodes[3].crashed(fatal+1, 7) // another request under way at one of the ends
 			until(t, "all hold it back", func() bool { return held(nodes, fatal) })
@@ -114,7 +114,7 @@
 func TestAClearReachesAll(t *testing.T) {
 	nodes := newMany(t)
 	for life := range 3 {
-		nodes[0].crashed(fatal, quarantine.Life(life))
+		nodes[0].crashed(fatal, quarantine.Instance(life))
 	}
 	until(t, "all hold it back", func() bool { return held(nodes, fatal) })
 	nodes[many-1].service.Spread(nodes[many-1].table().Answered(fatal, time.Now()))
@@ -134,10 +134,10 @@
 	network := link.NewMemory()
 	nodes := few(t, network, 4)
 	for i := range 3 {
-		nodes[i].crashed(fatal, quarantine.Life(i))
+		nodes[i].crashed(fatal, quarantine.Instance(i))
 		until(t, "another one knows", func() bool {
 			for j, known := range nodes {
-				if records := known.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Lives) == i+1 {
+				if records := known.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
 					return true
 				}
 			}
@@ -166,7 +166,7 @@
 func TestWhoMissedItGetsItByTheHash(t *testing.T) {
 	nodes := few(t, link.NewMemory(), 2)
 	for life := range 3 {
-		nodes[0].table().Crashed(fatal, quarantine.Life(life), time.Now()) // nothing is sent
+		nodes[0].table().Crashed(fatal, quarantine.Instance(life), time.Now()) // nothing is sent
 	}
 	until(t, "the other holds it back", func() bool { return held(nodes, fatal) })
 	nodes[1].table().Lift(fatal, time.Now()) // nor here
@@ -185,15 +185,15 @@
 	service.crashes = newCrashMail(nodes[0].table(), budget)
 	for request := range 5000 {
 		change := nodes[0].table().Crashed(quarantine.Fingerprint(1000+request), 1, time.Now())
-		service.crashes.post(change.Record, change.Wide(), crashSends)
+		service.crashes.post(change.Record, change.Broadcast(), crashSends)
 	}
 	for life := range 3 {
-		change := nodes[0].table().Crashed(fatal, quarantine.Life(life), time.Now())
-		service.crashes.post(change.Record, change.Wide(), crashSends)
+		change := nodes[0].table().Crashed(fatal, quarantine.Instance(life), time.Now())
+		service.crashes.post(change.Record, change.Broadcast(), crashSends)
 	}
 	is.True(len(service.crashes.out) <= mostMail+1)
 	due := service.crashes.due()
-	is.Equal(due[0].record.Print, fatal)
+	is.Equal(due[0].record.Fingerprint, fatal)
 	sent, _ := service.Traffic()
 	for range rounds {
 		service.sendCrashes(time.Now())
@@ -244,9 +244,9 @@
 		t.Run(name, func(t *testing.T) {
 			beat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 1 << 20, Brief: true, Bare: true}
 			for request := range tc.records {
-				record := quarantine.Record{Print: quarantine.Fingerprint(1<<60 + request), Epoch: 1}
+				record := quarantine.Record{Fingerprint: quarantine.Fingerprint(1<<60 + request), Epoch: 1}
 				for life := range tc.ends {
-					record.Lives = append(record.Lives, quarantine.Life(1<<30+life))
+					record.Instances = append(record.Instances, quarantine.Instance(1<<30+life))
 				}
 				beat.CrashRecords = append(beat.CrashRecords, record.Message())
 			}
@@ -321,7 +321,7 @@
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
 	for life := range 3 {
-		first.table().Crashed(fatal, quarantine.Life(life), time.Now())
+		first.table().Crashed(fatal, quarantine.Instance(life), time.Now())
 	}
 	got := listen(t, first).next(func(beat *wire.GatewayBeat) bool { return len(beat.GetCrashRecords()) > 0 })
 	is.Equal(got.GetId(), "node-0")
@@ -356,7 +356,7 @@
 	mail := newCrashMail(quarantine.New(), budget)
 	sent := 0
 	for i := range 100_000 {
-		record := quarantine.Record{Print: quarantine.Fingerprint(i), Lives: []quarantine.Life{1}}
+		record := quarantine.Record{Fingerprint: quarantine.Fingerprint(i), Instances: []quarantine.Instance{1}}
 		if mail.mayRepost(record, CrashKeepers) {
 			sent += CrashKeepers * proto.Size(record.Message())
 		}
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -164,7 +164,7 @@
 		},
 		Lag:       func() float64 { return p.lag.Lag().Seconds() },
 		Held:      func() float64 { return float64(p.held.Held()) },
-		HeldBack:  func() float64 { return float64(len(p.crashes.Table.Cases(clock.Now()))) },
+		HeldBack:  func() float64 { return float64(len(p.crashes.Table.HeldRequests(clock.Now()))) },
 		Resting:   func() float64 { return p.countReason(balance.ReasonRest) },
 		Leaving:   func() float64 { return p.countReason(balance.ReasonAnswer) },
 		Evacuated: func() float64 { return float64(len(p.gateway.Balancer.Evacuated())) },
--- a/internal/process/gateway_quarantine_http.go
+++ b/internal/process/gateway_quarantine_http.go
@@ -29,7 +29,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method {
 		case http.MethodGet, http.MethodHead:
-			writeJSON(w, heldBack(crashes.Table.Cases(clock.Now())))
+			writeJSON(w, heldBack(crashes.Table.HeldRequests(clock.Now())))
 		case http.MethodDelete:
 			liftQuarantine(w, r, crashes)
 		default:
@@ -39,11 +39,11 @@
 	})
 }
 
-func heldBack(cases []quarantine.Case) []HeldBack {
+func heldBack(cases []quarantine.HeldRequest) []HeldBack {
 	// An empty list, not null, where there are none.
 	listed := make([]HeldBack, 0, len(cases))
 	for _, held := range cases {
-		listed = append(listed, HeldBack{Print: held.Print.String(), Ends: held.Ends, LeftMS: held.Left.Milliseconds()})
+		listed = append(listed, HeldBack{Print: held.Fingerprint.String(), Ends: held.Crashes, LeftMS: held.Remaining.Milliseconds()})
 	}
 	return listed
 }
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -10,10 +10,10 @@
 // Message is the record as gateways send it to each other, and as the checkpoint has it.
 func (r Record) Message() *wire.CrashRecord {
 	message := &wire.CrashRecord{
-		Print: uint64(r.Print), Epoch: r.Epoch,
-		Trial: r.Trial, UnrunTrials: r.Unrun, TrialLife: uint32(r.TrialLife),
+		Print: uint64(r.Fingerprint), Epoch: r.Epoch,
+		Trial: r.Trials, UnrunTrials: r.UnrunTrials, TrialLife: uint32(r.TrialInstance),
 	}
-	for _, life := range r.Lives {
+	for _, life := range r.Instances {
 		message.Lives = append(message.Lives, uint32(life))
 	}
 	return message
@@ -22,11 +22,11 @@
 // RecordOf reads what Message wrote, whatever stands in it.
 func RecordOf(message *wire.CrashRecord) Record {
 	record := Record{
-		Print: Fingerprint(message.GetPrint()), Epoch: message.GetEpoch(),
-		Trial: message.GetTrial(), Unrun: message.GetUnrunTrials(), TrialLife: Life(message.GetTrialLife()),
+		Fingerprint: Fingerprint(message.GetPrint()), Epoch: message.GetEpoch(),
+		Trials: message.GetTrial(), UnrunTrials: message.GetUnrunTrials(), TrialInstance: Instance(message.GetTrialLife()),
 	}
 	for _, life := range message.GetLives() {
-		record.Lives = append(record.Lives, Life(life))
+		record.Instances = append(record.Instances, Instance(life))
 	}
 	return record.Normal()
 }
--- a/internal/quarantine/message_test.go
+++ b/internal/quarantine/message_test.go
@@ -26,7 +26,7 @@
 
 // FuzzDecode: bytes of another writer are an error or records in their normal form.
 func FuzzDecode(f *testing.F) {
-	data, err := quarantine.Encode([]quarantine.Record{{Print: 7, Epoch: 1, Lives: []quarantine.Life{3, 4}}})
+	data, err := quarantine.Encode([]quarantine.Record{{Fingerprint: 7, Epoch: 1, Instances: []quarantine.Instance{3, 4}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -17,33 +17,33 @@
 )
 
 // Life names one life of a target that ended: the upper half of the hash of its name.
-type Life uint32
+type Instance uint32
 
 // Record is what is known of one request. Records of the same request from several
 // gateways make one, in whatever order they come, however often.
 type Record struct {
-	Print Fingerprint
+	Fingerprint Fingerprint
 	// Epoch is how often the request was cleared: of two records the one with the higher
 	// epoch holds.
 	Epoch uint32
 	// Lives are those that have ended under the request since it was last cleared, in
 	// order, without repeats, at most mostLives.
-	Lives []Life
+	Instances []Instance
 	// Trial is how many trials have begun since the request was last cleared, and Unrun how many
-	// of them no target ran. TrialLife is the life of a target that runs or ran the last one; zero
+	// of them no target ran. TrialInstance is the life of a target that runs or ran the last one; zero
 	// if none did.
-	Trial, Unrun uint32
-	TrialLife    Life
+	Trials, UnrunTrials uint32
+	TrialInstance       Instance
 }
 
 // atLimit says whether the request is to be held back, for a while at least.
 func (r Record) atLimit() bool {
-	return len(r.Lives) >= Limit
+	return len(r.Instances) >= Limit
 }
 
 // Suspicious says whether the request was under way at more ends than one.
 func (r Record) Suspicious() bool {
-	return len(r.Lives) >= Limit-1
+	return len(r.Instances) >= Limit-1
 }
 
 // join makes one of two records of the same request.
@@ -54,30 +54,30 @@
 		}
 		return r
 	}
-	r.Lives = append(slices.Clone(r.Lives), other.Lives...)
-	if cmp.Or(cmp.Compare(other.Trial, r.Trial), cmp.Compare(other.Unrun, r.Unrun), cmp.Compare(other.TrialLife, r.TrialLife)) > 0 {
-		r.Trial, r.Unrun, r.TrialLife = other.Trial, other.Unrun, other.TrialLife
+	r.Instances = append(slices.Clone(r.Instances), other.Instances...)
+	if cmp.Or(cmp.Compare(other.Trials, r.Trials), cmp.Compare(other.UnrunTrials, r.UnrunTrials), cmp.Compare(other.TrialInstance, r.TrialInstance)) > 0 {
+		r.Trials, r.UnrunTrials, r.TrialInstance = other.Trials, other.UnrunTrials, other.TrialInstance
 	}
 	return r.Normal()
 }
 
 // Normal is a record that came from elsewhere, in the form that the fields promise.
 func (r Record) Normal() Record {
-	lives := slices.Clone(r.Lives)
+	lives := slices.Clone(r.Instances)
 	slices.Sort(lives)
 	lives = slices.Compact(lives)
-	r.Lives = lives[:min(len(lives), mostLives)]
-	if r.Unrun = min(r.Unrun, r.Trial); r.Trial == r.Unrun {
-		r.TrialLife = 0
+	r.Instances = lives[:min(len(lives), mostLives)]
+	if r.UnrunTrials = min(r.UnrunTrials, r.Trials); r.Trials == r.UnrunTrials {
+		r.TrialInstance = 0
 	}
 	return r
 }
 
 // Equal says whether two records are the same.
 func (r Record) Equal(other Record) bool {
-	same := r.Print == other.Print && r.Epoch == other.Epoch
-	tried := r.Trial == other.Trial && r.Unrun == other.Unrun && r.TrialLife == other.TrialLife
-	return same && tried && slices.Equal(r.Lives, other.Lives)
+	same := r.Fingerprint == other.Fingerprint && r.Epoch == other.Epoch
+	tried := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialInstance == other.TrialInstance
+	return same && tried && slices.Equal(r.Instances, other.Instances)
 }
 
 // Change is what has become of a request's record.
@@ -88,25 +88,25 @@
 	Before int
 	// News says that the record has changed, and Ahead that it differs from the one that
 	// was taken: it would be news to whoever that came from.
-	News, Ahead bool
+	Changed, NewToSender bool
 	// objects says that this process clears what others hold against the request.
-	objects bool
+	clearedOnMerge bool
 }
 
 // Wide says whether all gateways are to have the record, and not just those that keep
 // track of the request.
-func (c Change) Wide() bool {
-	return c.Suspicious() || c.objects || c.Before >= Limit-1
+func (c Change) Broadcast() bool {
+	return c.Suspicious() || c.clearedOnMerge || c.Before >= Limit-1
 }
 
 // Objects says that this process clears what others hold against the request.
-func (c Change) Objects() bool { return c.objects }
+func (c Change) ClearedOnMerge() bool { return c.clearedOnMerge }
 
 // Begins says whether the request is held back from now on, and Ends that it is no more.
-func (c Change) Begins() bool { return c.News && c.atLimit() && c.Before < Limit }
+func (c Change) HoldStarted() bool { return c.Changed && c.atLimit() && c.Before < Limit }
 
 // Ends says whether the request was held back, and is cleared.
-func (c Change) Ends() bool { return c.News && !c.atLimit() && c.Before >= Limit }
+func (c Change) HoldEnded() bool { return c.Changed && !c.atLimit() && c.Before >= Limit }
 
 // digest is a hash of the record at the limit; zero of any other.
 func (r Record) digest() uint64 {
@@ -114,8 +114,8 @@
 		return 0
 	}
 	const prime = 0x9e3779b97f4a7c15
-	hash := uint64(r.Print) ^ uint64(r.Epoch)*prime ^ uint64(r.Trial)<<32 ^ uint64(r.Unrun)
-	for _, life := range append(slices.Clone(r.Lives), r.TrialLife) {
+	hash := uint64(r.Fingerprint) ^ uint64(r.Epoch)*prime ^ uint64(r.Trials)<<32 ^ uint64(r.UnrunTrials)
+	for _, life := range append(slices.Clone(r.Instances), r.TrialInstance) {
 		hash = (hash ^ uint64(life)) * prime
 		hash ^= hash >> 29
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -14,12 +14,12 @@
 	// may be mended meanwhile, and since holding it back may be wrong. A request that is still
 	// fatal then costs one target each time.
 	FirstTerm = 10 * time.Minute
-	// termGrowth is by how much each further end prolongs the term, up to LastTerm, the longest
+	// termGrowth is by how much each further end prolongs the term, up to MaxTerm, the longest
 	// one: 10 minutes, 2 hours, a day, so that no more than three targets end later than the
 	// third in a day. Terms that doubled let seven.
 	termGrowth = 12
-	// LastTerm is the longest a request is held back without another end.
-	LastTerm = 24 * time.Hour
+	// MaxTerm is the longest a request is held back without another end.
+	MaxTerm = 24 * time.Hour
 	// suspectLife is how long an end counts if no further one follows. A request that comes
 	// less often than that is a new one each time.
 	suspectLife = time.Hour
@@ -48,8 +48,8 @@
 // term is how long the request is held back.
 func (e *entry) term() time.Duration {
 	term := FirstTerm
-	for range len(e.Lives) - Limit {
-		term = min(termGrowth*term, LastTerm)
+	for range len(e.Instances) - Limit {
+		term = min(termGrowth*term, MaxTerm)
 	}
 	return term
 }
@@ -63,7 +63,7 @@
 func (e *entry) over(now time.Time) bool {
 	life := suspectLife
 	switch {
-	case len(e.Lives) == 0:
+	case len(e.Instances) == 0:
 		life = clearedLife
 	case e.atLimit():
 		// Behind its term it is on trial for as long again, or for an hour.
@@ -100,13 +100,13 @@
 //
 // Whoever sent a request that many send alike has just had it answered elsewhere: that
 // excuses one end. A request that ends whatever runs it is never answered.
-func (t *Table) Crashed(print Fingerprint, life Life, now time.Time) Change {
+func (t *Table) Crashed(print Fingerprint, life Instance, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.excuse(print, now) {
 		return Change{}
 	}
-	return t.take(Record{Print: print, Epoch: t.epochOf(print), Lives: []Life{life}}, now)
+	return t.take(Record{Fingerprint: print, Epoch: t.epochOf(print), Instances: []Instance{life}}, now)
 }
 
 // excuse says whether the request was answered whole here a moment ago. An answer excuses it
@@ -137,10 +137,10 @@
 // clear clears a request, if ends are held against it; t.mu is held.
 func (t *Table) clear(print Fingerprint, now time.Time) Change {
 	known, ok := t.entries[print]
-	if !ok || len(known.Lives) == 0 {
+	if !ok || len(known.Instances) == 0 {
 		return Change{}
 	}
-	return t.take(Record{Print: print, Epoch: known.Epoch + 1}, now)
+	return t.take(Record{Fingerprint: print, Epoch: known.Epoch + 1}, now)
 }
 
 // Merge takes another gateway's record. If the request is about to be held back, or is
@@ -149,17 +149,17 @@
 func (t *Table) Merge(other Record, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[other.Print]
+	known, ok := t.entries[other.Fingerprint]
 	before := 0
 	if ok {
-		before = len(known.Lives)
+		before = len(known.Instances)
 	}
 	change := t.take(other, now)
-	if !change.News || !change.Suspicious() || !t.excuse(other.Print, now) {
+	if !change.Changed || !change.Suspicious() || !t.excuse(other.Fingerprint, now) {
 		return change
 	}
-	change = t.clear(other.Print, now)
-	change.Before, change.Ahead, change.objects = before, true, true
+	change = t.clear(other.Fingerprint, now)
+	change.Before, change.NewToSender, change.clearedOnMerge = before, true, true
 	return change
 }
 
@@ -168,7 +168,7 @@
 	change := t.Merge(kept, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known, ok := t.entries[kept.Print]; ok && known.Equal(kept) {
+	if known, ok := t.entries[kept.Fingerprint]; ok && known.Equal(kept) {
 		known.settled = true
 	}
 	return change
@@ -176,22 +176,22 @@
 
 // take joins a record with what is known; t.mu is held.
 func (t *Table) take(other Record, now time.Time) Change {
-	known, ok := t.entries[other.Print]
+	known, ok := t.entries[other.Fingerprint]
 	if ok && known.over(now) {
 		t.forget(known)
 		ok = false
 	}
 	if !ok {
-		known = &entry{Record: Record{Print: other.Print}}
+		known = &entry{Record: Record{Fingerprint: other.Fingerprint}}
 	}
 	joined := known.join(other)
-	change := Change{Record: joined, Before: len(known.Lives), News: !joined.Equal(known.Record), Ahead: !joined.Equal(other)}
-	if !change.News {
+	change := Change{Record: joined, Before: len(known.Instances), Changed: !joined.Equal(known.Record), NewToSender: !joined.Equal(other)}
+	if !change.Changed {
 		return change
 	}
 	if !ok {
 		t.makeRoom(now)
-		t.entries[other.Print] = known
+		t.entries[other.Fingerprint] = known
 	}
 	t.digest ^= known.digest() ^ joined.digest()
 	known.Record, known.changedAt, known.settled = joined, now, false
@@ -223,7 +223,7 @@
 		all = append(all, known)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Lives), len(b.Lives)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Print, b.Print))
+		return cmp.Or(cmp.Compare(len(a.Instances), len(b.Instances)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	for _, known := range all[:len(all)/share] {
 		t.forget(known)
@@ -233,7 +233,7 @@
 // forget forgets a record; t.mu is held.
 func (t *Table) forget(known *entry) {
 	t.digest ^= known.digest()
-	delete(t.entries, known.Print)
+	delete(t.entries, known.Fingerprint)
 }
 
 // expire forgets records that say nothing any more; t.mu is held.
@@ -294,12 +294,12 @@
 	t.expire(now)
 	records := make([]Record, 0, len(t.entries))
 	for _, known := range t.entries {
-		if len(known.Lives) >= least {
+		if len(known.Instances) >= least {
 			records = append(records, known.Record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(len(b.Lives), len(a.Lives)), cmp.Compare(a.Print, b.Print))
+		return cmp.Or(cmp.Compare(len(b.Instances), len(a.Instances)), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return records
 }
@@ -312,26 +312,26 @@
 }
 
 // Case is a request that is held back, as operators see it.
-type Case struct {
-	Print Fingerprint
+type HeldRequest struct {
+	Fingerprint Fingerprint
 	// Ends is how many targets ended under it.
-	Ends int
+	Crashes int
 	// Left is how long it is still held back.
-	Left time.Duration
+	Remaining time.Duration
 }
 
 // Cases are the requests that are held back now, the latest first.
-func (t *Table) Cases(now time.Time) []Case {
+func (t *Table) HeldRequests(now time.Time) []HeldRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var cases []Case
+	var cases []HeldRequest
 	for _, known := range t.entries {
 		if known.held(now) {
-			cases = append(cases, Case{Print: known.Print, Ends: len(known.Lives), Left: known.term() - now.Sub(known.changedAt)})
+			cases = append(cases, HeldRequest{Fingerprint: known.Fingerprint, Crashes: len(known.Instances), Remaining: known.term() - now.Sub(known.changedAt)})
 		}
 	}
-	slices.SortFunc(cases, func(a, b Case) int {
-		return cmp.Or(cmp.Compare(b.Left, a.Left), cmp.Compare(a.Print, b.Print))
+	slices.SortFunc(cases, func(a, b HeldRequest) int {
+		return cmp.Or(cmp.Compare(b.Remaining, a.Remaining), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return cases
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,7 +17,7 @@
 func crash(table *quarantine.Table, print quarantine.Fingerprint, from, count int, now time.Time) quarantine.Change {
 	var change quarantine.Change
 	for life := range count {
-		change = table.Crashed(print, quarantine.Life(from+life), now)
+		change = table.Crashed(print, quarantine.Instance(from+life), now)
 	}
 	return change
 }
@@ -27,14 +27,14 @@
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	is.True(!crash(table, print, 1, 2, now).Begins())
-	is.True(!table.Crashed(print, 2, now).News) // two of its copies were under way there
+	is.True(!crash(table, print, 1, 2, now).HoldStarted())
+	is.True(!table.Crashed(print, 2, now).Changed) // two of its copies were under way there
 	is.True(!table.Held(print, now))
 	is.True(table.Suspicious(print))
-	is.True(crash(table, print, 3, 1, now).Begins())
+	is.True(crash(table, print, 3, 1, now).HoldStarted())
 	is.True(table.Held(print, now))
 	is.True(!table.Held(print+1, now))
-	is.Equal(table.Cases(now), []quarantine.Case{{Print: print, Ends: 3, Left: quarantine.FirstTerm}})
+	is.Equal(table.HeldRequests(now), []quarantine.HeldRequest{{Fingerprint: print, Crashes: 3, Remaining: quarantine.FirstTerm}})
 }
 
 // TestTerms: it ends, and grows with each further end, up to the last.
@@ -46,9 +46,9 @@
 	}{
 		"three":      {3, quarantine.FirstTerm},
 		"four":       {4, 2 * time.Hour},
-		"five":       {5, quarantine.LastTerm},
-		"sixteen":    {16, quarantine.LastTerm},
-		"a thousand": {1000, quarantine.LastTerm},
+		"five":       {5, quarantine.MaxTerm},
+		"sixteen":    {16, quarantine.MaxTerm},
+		"a thousand": {1000, quarantine.MaxTerm},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 					continue
 				}
 				ends++
-				table.Crashed(print, quarantine.Life(ends), now)
+				table.Crashed(print, quarantine.Instance(ends), now)
 			}
 			is.True(ends <= quarantine.Limit+mostLater)
 		})
@@ -103,17 +103,17 @@
 	one, other := quarantine.New(), quarantine.New()
 	crash(one, print, 1, 3, now)
 	stale := one.Records(now)[0]
-	is.True(other.Merge(stale, now).Begins())
+	is.True(other.Merge(stale, now).HoldStarted())
 	cleared := other.Answered(print, now)
-	is.True(cleared.Ends())
-	is.True(cleared.Wide()) // all are to know
-	is.True(one.Merge(cleared.Record, now).Ends())
+	is.True(cleared.HoldEnded())
+	is.True(cleared.Broadcast()) // all are to know
+	is.True(one.Merge(cleared.Record, now).HoldEnded())
 	is.True(!one.Held(print, now))
 	late := one.Merge(stale, now) // who has not heard of it yet
-	is.True(!late.News)
-	is.True(late.Ahead) // gets it in return
+	is.True(!late.Changed)
+	is.True(late.NewToSender) // gets it in return
 	is.True(!one.Held(print, now))
-	is.True(!other.Answered(print, now).News)
+	is.True(!other.Answered(print, now).Changed)
 }
 
 // TestManySendItAlike: a request that is answered all the time is not held back because a
@@ -123,11 +123,11 @@
 	now := time.Now()
 	table := quarantine.New()
 	table.Answered(print, now)
-	is.True(!table.Crashed(print, 1, now).News) // it has just been answered
-	is.True(table.Crashed(print, 2, now).News)
-	is.True(table.Answered(print, now).News)
+	is.True(!table.Crashed(print, 1, now).Changed) // it has just been answered
+	is.True(table.Crashed(print, 2, now).Changed)
+	is.True(table.Answered(print, now).Changed)
 	table.Answered(print, now)
-	is.True(table.Crashed(print, 3, now.Add(2*time.Minute)).News) // that was too long ago
+	is.True(table.Crashed(print, 3, now.Add(2*time.Minute)).Changed) // that was too long ago
 	is.True(!table.Held(print, now))
 }
 
@@ -136,11 +136,11 @@
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	is.True(!table.Lift(print, now).News)
+	is.True(!table.Lift(print, now).Changed)
 	crash(table, print, 1, 5, now)
-	is.True(table.Lift(print, now).Ends())
+	is.True(table.Lift(print, now).HoldEnded())
 	is.True(!table.Held(print, now))
-	is.Equal(len(table.Cases(now)), 0)
+	is.Equal(len(table.HeldRequests(now)), 0)
 }
 
 // TestRecordsAreForgotten: one that says nothing any more goes.
@@ -192,7 +192,7 @@
 			of := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				sent = append(sent, table.Crashed(of, quarantine.Life(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
+				sent = append(sent, table.Crashed(of, quarantine.Instance(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
 			case 2:
 				sent = append(sent, table.Lift(of, now).Record)
 			case 3:
@@ -253,11 +253,11 @@
 // TestWhateverAMessageHas: a record that another process wrote is in order here.
 func TestWhateverAMessageHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		message := quarantine.Record{Print: print}.Message()
+		message := quarantine.Record{Fingerprint: print}.Message()
 		message.Epoch = rapid.Uint32().Draw(t, "epoch")
 		message.Lives = rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 60).Draw(t, "lives")
 		record := quarantine.RecordOf(message)
-		if len(record.Lives) > 16 || !slices.IsSorted(record.Lives) || len(slices.Compact(slices.Clone(record.Lives))) != len(record.Lives) {
+		if len(record.Instances) > 16 || !slices.IsSorted(record.Instances) || len(slices.Compact(slices.Clone(record.Instances))) != len(record.Instances) {
 			t.Fatalf("%v", record)
 		}
 		if again := quarantine.RecordOf(record.Message()); !again.Equal(record) {
@@ -279,10 +279,10 @@
 	is.True(others.Held(print, now))
 	heard := answered.Merge(others.Records(now)[0], now)
 	is.True(!answered.Held(print, now))
-	is.True(heard.Wide())    // all are to know
-	is.True(heard.Ahead)     // the sender among them
-	is.True(!heard.Begins()) // nobody held it back here
-	is.True(others.Merge(heard.Record, now).Ends())
+	is.True(heard.Broadcast())    // all are to know
+	is.True(heard.NewToSender)    // the sender among them
+	is.True(!heard.HoldStarted()) // nobody held it back here
+	is.True(others.Merge(heard.Record, now).HoldEnded())
 	is.True(!others.Held(print, now))
 	crash(others, print, 4, 3, now)
 	answered.Merge(others.Records(now)[0], now)
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -15,9 +15,9 @@
 // others have nobody left to blame, so that a fatal request hardly ever gets a trial.
 
 const (
-	// MostTrials bounds the trials of a request that a target runs until it is cleared, over all
+	// MaxTrials bounds the trials of a request that a target runs until it is cleared, over all
 	// gateways.
-	MostTrials = 3
+	MaxTrials = 3
 	// mostUnexplained is how many ends of a request may be left that no other one explains, while
 	// others may be to blame: the one that met one of its ends may not have come again.
 	mostUnexplained = 1
@@ -41,12 +41,12 @@
 )
 
 // Standing is whether a request may be sent.
-type Standing int
+type Verdict int
 
 // The standings.
 const (
 	// Sendable: nothing forbids it.
-	Sendable Standing = iota
+	Sendable Verdict = iota
 	// Doubtful: it is held back for now, and others may be to blame for its ends.
 	Doubtful
 	// Fatal: it is held back, and nobody else explains its ends.
@@ -54,7 +54,7 @@
 )
 
 // Standing says how a request stands now.
-func (t *Table) Standing(print Fingerprint, now time.Time) Standing {
+func (t *Table) Verdict(print Fingerprint, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.entries[print]
@@ -68,18 +68,18 @@
 	return Fatal
 }
 
-// MayTry says whether this process may send one copy of a doubtful request now. The
+// MayStartTrial says whether this process may send one copy of a doubtful request now. The
 // place is that of the process among those that may, 0 for the first.
-func (t *Table) MayTry(print Fingerprint, place int, now time.Time) bool {
+func (t *Table) MayStartTrial(print Fingerprint, place int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.entries[print]
 	return ok && t.mayTry(known, place, now)
 }
 
-// Try begins a trial at a life of a target, if MayTry holds; others are to know of it before
+// Try begins a trial at a life of a target, if MayStartTrial holds; others are to know of it before
 // it ends.
-func (t *Table) Try(print Fingerprint, place int, life Life, now time.Time) (Change, bool) {
+func (t *Table) StartTrial(print Fingerprint, place int, life Instance, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.entries[print]
@@ -87,31 +87,31 @@
 		return Change{}, false
 	}
 	tried := known.Record
-	tried.Trial++
-	tried.TrialLife = life
+	tried.Trials++
+	tried.TrialInstance = life
 	return t.take(tried, now), true
 }
 
 // Unrun notes that no target ran the trial which began at a life of one; another may begin.
-func (t *Table) Unrun(print Fingerprint, life Life, now time.Time) Change {
+func (t *Table) TrialNotRun(print Fingerprint, life Instance, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known, ok := t.entries[print]
-	if !ok || known.TrialLife != life || life == 0 {
+	if !ok || known.TrialInstance != life || life == 0 {
 		return Change{}
 	}
 	ended := known.Record
-	ended.Unrun++
-	ended.TrialLife = 0
+	ended.UnrunTrials++
+	ended.TrialInstance = 0
 	return t.take(ended, now)
 }
 
-// mayTry is MayTry; t.mu is held.
+// mayTry is MayStartTrial; t.mu is held.
 func (t *Table) mayTry(known *entry, place int, now time.Time) bool {
-	if !known.held(now) || known.Trial-known.Unrun >= MostTrials {
+	if !known.held(now) || known.Trials-known.UnrunTrials >= MaxTrials {
 		return false
 	}
-	if known.TrialLife != 0 && !known.convicted() && now.Sub(known.changedAt) < trialPatience {
+	if known.TrialInstance != 0 && !known.convicted() && now.Sub(known.changedAt) < trialPatience {
 		return false
 	}
 	blame := t.blame(known)
@@ -155,7 +155,7 @@
 // blame compares a request with all others; t.mu is held.
 func (t *Table) blame(known *entry) blame {
 	found := blame{changedAt: known.changedAt}
-	own, uncovered := slices.Clone(known.Lives), slices.Clone(known.Lives)
+	own, uncovered := slices.Clone(known.Instances), slices.Clone(known.Instances)
 	for _, other := range t.entries {
 		if other == known || !other.shares(known) {
 			continue
@@ -163,7 +163,7 @@
 		if other.changedAt.After(found.changedAt) {
 			found.changedAt = other.changedAt
 		}
-		met := func(life Life) bool { return slices.Contains(other.Lives, life) }
+		met := func(life Instance) bool { return slices.Contains(other.Instances, life) }
 		if other.Suspicious() {
 			uncovered = slices.DeleteFunc(uncovered, met)
 		}
@@ -172,7 +172,7 @@
 		}
 	}
 	found.explained, found.covered = len(own) <= mostUnexplained, len(uncovered) == 0
-	if known.convicted() && slices.Contains(own, known.TrialLife) {
+	if known.convicted() && slices.Contains(own, known.TrialInstance) {
 		found.explained = false
 	}
 	return found
@@ -180,18 +180,18 @@
 
 // convicted says whether the target of its last trial ended.
 func (r Record) convicted() bool {
-	return r.TrialLife != 0 && slices.Contains(r.Lives, r.TrialLife)
+	return r.TrialInstance != 0 && slices.Contains(r.Instances, r.TrialInstance)
 }
 
 // shares says whether two requests were under way at the same end.
 func (r Record) shares(other *entry) bool {
-	return slices.ContainsFunc(r.Lives, func(life Life) bool { return slices.Contains(other.Lives, life) })
+	return slices.ContainsFunc(r.Instances, func(life Instance) bool { return slices.Contains(other.Instances, life) })
 }
 
 // before says whether a request is tried before another one: the one with the most ends first.
 func (r Record) before(other *entry) bool {
-	if len(r.Lives) != len(other.Lives) {
-		return len(r.Lives) > len(other.Lives)
+	if len(r.Instances) != len(other.Instances) {
+		return len(r.Instances) > len(other.Instances)
 	}
-	return r.Print < other.Print
+	return r.Fingerprint < other.Fingerprint
 }
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -36,7 +36,7 @@
 	cases := map[string]struct {
 		table func() *quarantine.Table
 		after time.Duration
-		want  quarantine.Standing
+		want  quarantine.Verdict
 	}{
 		"no ends": {table: quarantine.New, want: quarantine.Sendable},
 		"two": {
@@ -125,7 +125,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(tc.table().Standing(alike, now.Add(tc.after)), tc.want)
+			is.New(t).Equal(tc.table().Verdict(alike, now.Add(tc.after)), tc.want)
 		})
 	}
 }
@@ -149,27 +149,27 @@
 	is := is.New(t)
 	now := time.Now()
 	table := mixed(now)
-	is.True(!table.MayTry(alike, 0, now)) // other ends may come
+	is.True(!table.MayStartTrial(alike, 0, now)) // other ends may come
 	now = now.Add(quiet)
-	is.True(!table.MayTry(alike, 100, now)) // others may try it before
-	is.True(!table.MayTry(fatalOne, 0, now))
-	change, begun := table.Try(alike, 0, 99, now)
+	is.True(!table.MayStartTrial(alike, 100, now)) // others may try it before
+	is.True(!table.MayStartTrial(fatalOne, 0, now))
+	change, begun := table.StartTrial(alike, 0, 99, now)
 	is.True(begun)
-	is.True(change.News)
-	is.True(change.Wide()) // all are to know
-	_, again := table.Try(alike, 0, 98, now)
+	is.True(change.Changed)
+	is.True(change.Broadcast()) // all are to know
+	_, again := table.StartTrial(alike, 0, 98, now)
 	is.True(!again)
 	is.True(table.Held(alike, now)) // but for the trial
 	others := mixed(now)
 	others.Merge(change.Record, now)
-	is.True(!others.MayTry(alike, 0, now.Add(quiet)))
-	is.True(!others.MayTry(fatalOne, 0, now.Add(quiet)))
-	is.True(table.Answered(alike, now).Ends())
-	is.Equal(table.Standing(alike, now), quarantine.Sendable)
-	is.Equal(table.Standing(fatalOne, now), quarantine.Fatal)
-	is.Equal(table.Standing(fatalTwo, now), quarantine.Fatal)
+	is.True(!others.MayStartTrial(alike, 0, now.Add(quiet)))
+	is.True(!others.MayStartTrial(fatalOne, 0, now.Add(quiet)))
+	is.True(table.Answered(alike, now).HoldEnded())
+	is.Equal(table.Verdict(alike, now), quarantine.Sendable)
+	is.Equal(table.Verdict(fatalOne, now), quarantine.Fatal)
+	is.Equal(table.Verdict(fatalTwo, now), quarantine.Fatal)
 	is.True(table.Held(fatalOne, now))
-	is.True(!table.MayTry(fatalOne, 0, now.Add(quiet)))
+	is.True(!table.MayStartTrial(fatalOne, 0, now.Add(quiet)))
 }
 
 // TestATrialThatEndsItsTarget: it is fatal itself, unless another fatal one was there as well.
@@ -178,17 +178,17 @@
 	now := time.Now().Add(quiet)
 	table := mixed(now.Add(-quiet))
 	const tried, other = 99, 100
-	_, begun := table.Try(alike, 0, tried, now)
+	_, begun := table.StartTrial(alike, 0, tried, now)
 	is.True(begun)
 	table.Crashed(alike, tried, now)
-	is.Equal(table.Standing(alike, now), quarantine.Fatal)
-	is.True(!table.MayTry(alike, 0, now.Add(quiet)))
+	is.Equal(table.Verdict(alike, now), quarantine.Fatal)
+	is.True(!table.MayStartTrial(alike, 0, now.Add(quiet)))
 	const third = quarantine.Fingerprint(0xfa3)
 	table.Crashed(third, tried, now)
 	crash(table, third, other, 2, now)
 	now = now.Add(quiet)
-	is.Equal(table.Standing(alike, now), quarantine.Doubtful)
-	is.True(table.MayTry(alike, 0, now))
+	is.Equal(table.Verdict(alike, now), quarantine.Doubtful)
+	is.True(table.MayStartTrial(alike, 0, now))
 }
 
 // TestATrialWithoutOutcome: the gateway that tries may be lost; another one tries after a
@@ -197,12 +197,12 @@
 	is := is.New(t)
 	now := time.Now()
 	table := mixed(now)
-	for trial := range quarantine.MostTrials {
+	for trial := range quarantine.MaxTrials {
 		now = now.Add(time.Minute)
-		_, begun := table.Try(alike, 0, quarantine.Life(90+trial), now)
+		_, begun := table.StartTrial(alike, 0, quarantine.Instance(90+trial), now)
 		is.True(begun)
 	}
-	_, begun := table.Try(alike, 0, 80, now.Add(time.Minute))
+	_, begun := table.StartTrial(alike, 0, 80, now.Add(time.Minute))
 	is.True(!begun)
 }
 
@@ -211,23 +211,23 @@
 	is := is.New(t)
 	now := time.Now().Add(quiet)
 	table, others := mixed(now.Add(-quiet)), mixed(now.Add(-quiet))
-	for range 2 * quarantine.MostTrials {
-		change, begun := table.Try(alike, 0, 90, now)
+	for range 2 * quarantine.MaxTrials {
+		change, begun := table.StartTrial(alike, 0, 90, now)
 		is.True(begun)
 		others.Merge(change.Record, now)
-		is.True(!table.Unrun(alike, 91, now).News) // another one's
-		change = table.Unrun(alike, 90, now)
-		is.True(change.News)
+		is.True(!table.TrialNotRun(alike, 91, now).Changed) // another one's
+		change = table.TrialNotRun(alike, 90, now)
+		is.True(change.Changed)
 		others.Merge(change.Record, now)
 		now = now.Add(quiet)
-		is.True(others.MayTry(alike, 0, now))
+		is.True(others.MayStartTrial(alike, 0, now))
 	}
 	is.Equal(table.Digest(), others.Digest())
 }
 
 // TestTrialsAreBounded: whatever several gateways find and try, and however their records
 // are joined, a request that ends all its targets ends three, and one more for each trial, of
-// which there are no more than MostTrials.
+// which there are no more than MaxTrials.
 func TestTrialsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
@@ -236,7 +236,7 @@
 		for i := range tables {
 			tables[i] = quarantine.New()
 		}
-		life := quarantine.Life(0)
+		life := quarantine.Instance(0)
 		trials := make(map[quarantine.Fingerprint]int)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
@@ -245,7 +245,7 @@
 			life++
 			sent := !tables[at].Held(print, now)
 			if !sent {
-				_, sent = tables[at].Try(print, at, life, now)
+				_, sent = tables[at].StartTrial(print, at, life, now)
 				if sent {
 					trials[print]++
 				}
@@ -261,7 +261,7 @@
 					other.Merge(record, now)
 				}
 			}
-			if trials[print] > quarantine.MostTrials {
+			if trials[print] > quarantine.MaxTrials {
 				t.Fatalf("%v was tried %d times", print, trials[print])
 			}
 		}
