--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,5 +1,5 @@
-// Package quarantine finds requests that end the targets which run them, and says which are
-// not to be sent any more. It does no I/O; the clock is handed in.
+// Package quarantine detects requests that crash the targets which run them, and decides which
+// requests must not be sent again. It does no I/O; callers pass in the current time.
 //
 // Source: docs/design/quarantine.md.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// Fingerprint names what a request asks and for whom. A request that comes again has the
-// same one, whatever attempt id it carries and whichever gateway takes it.
+// Fingerprint identifies a request by its content and its workspace. A request that is sent again
+// has the same fingerprint, whatever its attempt id is and whichever gateway receives it.
 //
-// It is the begin of a SHA-256, so that no caller can find a request that is taken for
-// another one's: to meet a given fingerprint takes some 2^64 tries.
+// It is a prefix of a SHA-256 hash, so that no caller can construct a request that is mistaken for
+// another caller's request: matching a given fingerprint takes some 2^64 attempts.
 type Fingerprint uint64
 
-// String writes it as logs and commands have it.
+// String formats the fingerprint as it appears in logs and commands.
 func (f Fingerprint) String() string {
 	const digits, base = 16, 16
 	text := strconv.FormatUint(uint64(f), base)
@@ -23,36 +23,36 @@
 	return text
 }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the format that String writes.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	const base, bits = 16, 64
 	value, err := strconv.ParseUint(text, base, bits)
 	return Fingerprint(value), err
 }
 
-// Subject is what makes a request the same one again.
+// Subject holds the parts of a request that make up its fingerprint.
 type Subject struct {
-	// Workspace is its caller's; empty on public routes.
+	// Workspace is the caller's workspace; it is empty on public routes.
 	Workspace string
 	Method    string
 	Host      string
-	// URI is path and query, as sent.
+	// URI is the path and the query, as sent.
 	URI  string
 	Body []byte
 }
 
-// Fingerprint is the same for the same subject at every gateway and in every life of one.
-// It costs 0.12 microseconds and 0.7 more for each KB of the body (BenchmarkFingerprint).
+// Fingerprint returns the same value for the same subject on every gateway and after every
+// restart. It costs 0.12 microseconds plus 0.7 microseconds for each KB of the body
+// (BenchmarkFingerprint).
 func (s Subject) Fingerprint() Fingerprint {
-	// The lengths keep two fields from being taken for two others that read alike one
-	// after the other.
-	head := make([]byte, 0, 256)
+	// The length prefixes keep different fields with the same concatenation from hashing alike.
+	header := make([]byte, 0, 256)
 	for _, field := range []string{s.Workspace, s.Method, s.Host, s.URI} {
-		head = binary.AppendUvarint(head, uint64(len(field)))
-		head = append(head, field...)
+		header = binary.AppendUvarint(header, uint64(len(field)))
+		header = append(header, field...)
 	}
 	hash := sha256.New()
-	hash.Write(head)
+	hash.Write(header)
 	hash.Write(s.Body)
 	var sum [sha256.Size]byte
 	return Fingerprint(binary.BigEndian.Uint64(hash.Sum(sum[:0])))
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -14,7 +14,8 @@
 	return quarantine.Subject{Workspace: "clinic", Method: "POST", Host: "shop.example", URI: "/chat/1?x=2", Body: []byte("body")}
 }
 
-// TestFingerprint: whatever makes a request another one changes it, and nothing else does.
+// TestFingerprint checks that each part of a request changes the fingerprint, and that equal
+// requests have equal fingerprints.
 func TestFingerprint(t *testing.T) {
 	is := is.New(t)
 	is.Equal(subject().Fingerprint(), subject().Fingerprint())
@@ -34,20 +35,21 @@
 	for name, change := range changes {
 		changed := subject()
 		change(&changed)
-		print := changed.Fingerprint()
-		is.Equal(seen[print], "") // another request has the fingerprint
-		seen[print] = name
+		fingerprint := changed.Fingerprint()
+		is.Equal(seen[fingerprint], "") // a different request has the same fingerprint
+		seen[fingerprint] = name
 	}
 }
 
-// TestTheSameEverywhere: gateways of different releases must agree.
-func TestTheSameEverywhere(t *testing.T) {
+// TestFingerprintIsStable guards the format against changes: gateways of different releases must
+// compute the same fingerprint.
+func TestFingerprintIsStable(t *testing.T) {
 	is := is.New(t)
-	print := subject().Fingerprint()
-	is.Equal(print.String(), "19ce43b63e82f588")
-	parsed, err := quarantine.ParseFingerprint(print.String())
+	fingerprint := subject().Fingerprint()
+	is.Equal(fingerprint.String(), "19ce43b63e82f588")
+	parsed, err := quarantine.ParseFingerprint(fingerprint.String())
 	is.NoErr(err)
-	is.Equal(parsed, print)
+	is.Equal(parsed, fingerprint)
 	is.Equal(quarantine.Fingerprint(1).String(), "0000000000000001")
 	_, err = quarantine.ParseFingerprint("no fingerprint")
 	is.True(err != nil)
@@ -56,11 +58,11 @@
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 12 << 10, 4 << 20} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			made := subject()
-			made.Body = []byte(strings.Repeat("x", size))
+			request := subject()
+			request.Body = []byte(strings.Repeat("x", size))
 			b.ReportAllocs()
 			for b.Loop() {
-				made.Fingerprint()
+				request.Fingerprint()
 			}
 		})
 	}
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -7,31 +7,31 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Message is the record as gateways send it to each other, and as the checkpoint has it.
+// Message returns the record as gateways send it to each other and as checkpoints store it.
 func (r Record) Message() *wire.CrashRecord {
 	message := &wire.CrashRecord{
 		Print: uint64(r.Fingerprint), Epoch: r.Epoch,
 		Trial: r.Trials, UnrunTrials: r.UnrunTrials, TrialLife: uint32(r.TrialInstance),
 	}
-	for _, life := range r.Instances {
-		message.Lives = append(message.Lives, uint32(life))
+	for _, instance := range r.Instances {
+		message.Lives = append(message.Lives, uint32(instance))
 	}
 	return message
 }
 
-// RecordOf reads what Message wrote, whatever stands in it.
+// RecordOf converts a message to a record, and normalizes whatever the message contains.
 func RecordOf(message *wire.CrashRecord) Record {
 	record := Record{
 		Fingerprint: Fingerprint(message.GetPrint()), Epoch: message.GetEpoch(),
 		Trials: message.GetTrial(), UnrunTrials: message.GetUnrunTrials(), TrialInstance: Instance(message.GetTrialLife()),
 	}
-	for _, life := range message.GetLives() {
-		record.Instances = append(record.Instances, Instance(life))
+	for _, instance := range message.GetLives() {
+		record.Instances = append(record.Instances, Instance(instance))
 	}
 	return record.Normal()
 }
 
-// Encode writes records as bytes.
+// Encode serializes records.
 func Encode(records []Record) ([]byte, error) {
 	message := new(wire.CrashRecords)
 	for _, record := range records {
@@ -41,15 +41,15 @@
 	return data, errors.Wrap(err, "encode crash records")
 }
 
-// Decode reads what Encode wrote.
+// Decode parses the output of Encode.
 func Decode(data []byte) ([]Record, error) {
 	message := new(wire.CrashRecords)
 	if err := proto.Unmarshal(data, message); err != nil {
 		return nil, errors.Wrap(err, "decode crash records")
 	}
 	records := make([]Record, 0, len(message.GetRecords()))
-	for _, one := range message.GetRecords() {
-		records = append(records, RecordOf(one))
+	for _, encoded := range message.GetRecords() {
+		records = append(records, RecordOf(encoded))
 	}
 	return records, nil
 }
--- a/internal/quarantine/message_test.go
+++ b/internal/quarantine/message_test.go
@@ -9,14 +9,14 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// TestRecordsAsBytes: what one gateway writes, another reads.
-func TestRecordsAsBytes(t *testing.T) {
+// TestEncodeDecodeRoundTrip checks that records survive encoding and decoding.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	crash(table, print, 1, 3, now)
-	crash(table, print+1, 1, 1, now)
-	table.Answered(print+1, now)
+	crash(table, testFingerprint, 1, 3, now)
+	crash(table, testFingerprint+1, 1, 1, now)
+	table.Answered(testFingerprint+1, now)
 	data, err := quarantine.Encode(table.Records(now))
 	is.NoErr(err)
 	records, err := quarantine.Decode(data)
@@ -24,7 +24,7 @@
 	is.Equal(records, table.Records(now))
 }
 
-// FuzzDecode: bytes of another writer are an error or records in their normal form.
+// FuzzDecode checks that arbitrary bytes give an error or records in their normal form.
 func FuzzDecode(f *testing.F) {
 	data, err := quarantine.Encode([]quarantine.Record{{Fingerprint: 7, Epoch: 1, Instances: []quarantine.Instance{3, 4}}})
 	if err != nil {
@@ -39,7 +39,7 @@
 		}
 		for _, record := range records {
 			if !record.Equal(record.Normal()) {
-				t.Fatalf("%v is not in its normal form", record)
+				t.Fatalf("%v is not in normal form", record)
 			}
 		}
 	})
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,47 +6,48 @@
 )
 
 const (
-	// Limit is how many targets end under a request until it is sent no more. One or two are
-	// met by chance: a request that was under way with a fatal one comes again, and may meet
-	// it again. Where a fatal request had ended three targets, 2 of the 18 others under way
-	// there had met two ends, and none three; where it had ended 13, 18 of 104 and 4.
+	// Limit is the number of target crashes at which a request is no longer sent. One or two can be
+	// coincidence: a request that was in flight beside a fatal one is sent again and may run beside
+	// it again. Where a fatal request had crashed 3 targets, 2 of the 18 other requests in flight
+	// there had seen 2 crashes, and none 3; where it had crashed 13 targets, 18 of 104 had seen 2,
+	// and 4 had seen 3.
 	Limit = 3
-	// mostLives bounds the ends that are told apart for one request; with as many its term
-	// has long been the last one.
-	mostLives = 16
+	// maxInstances limits the distinct crashes that are recorded for one request. With that many,
+	// its term reached MaxTerm long before.
+	maxInstances = 16
 )
 
-// Life names one life of a target that ended: the upper half of the hash of its name.
+// Instance identifies a crashed instance of a target: the upper half of the hash of its name.
 type Instance uint32
 
-// Record is what is known of one request. Records of the same request from several
-// gateways make one, in whatever order they come, however often.
+// Record is the crash record of one request. Records of the same request from several gateways
+// merge into one; the order and repetition of merges don't matter.
 type Record struct {
 	Fingerprint Fingerprint
-	// Epoch is how often the request was cleared: of two records the one with the higher
-	// epoch holds.
+	// Epoch counts how often the request was cleared. Of two records, the one with the higher epoch
+	// wins.
 	Epoch uint32
-	// Lives are those that have ended under the request since it was last cleared, in
-	// order, without repeats, at most mostLives.
+	// Instances are the instances that have crashed under the request since it was last cleared,
+	// sorted, without duplicates, at most maxInstances.
 	Instances []Instance
-	// Trial is how many trials have begun since the request was last cleared, and Unrun how many
-	// of them no target ran. TrialInstance is the life of a target that runs or ran the last one; zero
-	// if none did.
+	// Trials counts the trials that have started since the request was last cleared, and
+	// UnrunTrials those that no target ran. TrialInstance is the instance that runs or ran the last
+	// trial; zero if none did.
 	Trials, UnrunTrials uint32
 	TrialInstance       Instance
 }
 
-// atLimit says whether the request is to be held back, for a while at least.
+// atLimit reports whether the request has enough crashes to be held, at least for a while.
 func (r Record) atLimit() bool {
 	return len(r.Instances) >= Limit
 }
 
-// Suspicious says whether the request was under way at more ends than one.
+// Suspicious reports whether the request was in flight at more than one crash.
 func (r Record) Suspicious() bool {
 	return len(r.Instances) >= Limit-1
 }
 
-// join makes one of two records of the same request.
+// join merges two records of the same request.
 func (r Record) join(other Record) Record {
 	if other.Epoch != r.Epoch {
 		if other.Epoch > r.Epoch {
@@ -61,62 +62,63 @@
 	return r.Normal()
 }
 
-// Normal is a record that came from elsewhere, in the form that the fields promise.
+// Normal returns the record in the form that the fields' comments promise, whatever its origin.
 func (r Record) Normal() Record {
 	lives := slices.Clone(r.Instances)
 	slices.Sort(lives)
 	lives = slices.Compact(lives)
-	r.Instances = lives[:min(len(lives), mostLives)]
+	r.Instances = lives[:min(len(lives), maxInstances)]
 	if r.UnrunTrials = min(r.UnrunTrials, r.Trials); r.Trials == r.UnrunTrials {
 		r.TrialInstance = 0
 	}
 	return r
 }
 
-// Equal says whether two records are the same.
+// Equal reports whether two records are the same.
 func (r Record) Equal(other Record) bool {
 	same := r.Fingerprint == other.Fingerprint && r.Epoch == other.Epoch
 	tried := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialInstance == other.TrialInstance
 	return same && tried && slices.Equal(r.Instances, other.Instances)
 }
 
-// Change is what has become of a request's record.
+// Change describes the effect of an update on a request's record.
 type Change struct {
-	// Record is what is known now.
+	// Record is the record after the update.
 	Record
-	// Before is how many ends were held against the request before.
+	// Before is the number of crashes that were recorded before the update.
 	Before int
-	// News says that the record has changed, and Ahead that it differs from the one that
-	// was taken: it would be news to whoever that came from.
+	// Changed reports that the record has changed. NewToSender reports that it differs from the
+	// record that was received, so the sender needs it.
 	Changed, NewToSender bool
-	// objects says that this process clears what others hold against the request.
+	// clearedOnMerge reports that this process has cleared the crashes that other gateways
+	// recorded.
 	clearedOnMerge bool
 }
 
-// Wide says whether all gateways are to have the record, and not just those that keep
-// track of the request.
+// Broadcast reports whether all gateways need the record, and not only the keepers of the request.
 func (c Change) Broadcast() bool {
 	return c.Suspicious() || c.clearedOnMerge || c.Before >= Limit-1
 }
 
-// Objects says that this process clears what others hold against the request.
+// ClearedOnMerge reports whether this process has cleared the crashes that other gateways
+// recorded.
 func (c Change) ClearedOnMerge() bool { return c.clearedOnMerge }
 
-// Begins says whether the request is held back from now on, and Ends that it is no more.
+// HoldStarted reports whether the request is held from now on.
 func (c Change) HoldStarted() bool { return c.Changed && c.atLimit() && c.Before < Limit }
 
-// Ends says whether the request was held back, and is cleared.
+// HoldEnded reports whether the request was held and has now been cleared.
 func (c Change) HoldEnded() bool { return c.Changed && !c.atLimit() && c.Before >= Limit }
 
-// digest is a hash of the record at the limit; zero of any other.
+// digest returns a hash of a record at the limit, and zero for any other.
 func (r Record) digest() uint64 {
 	if !r.atLimit() {
 		return 0
 	}
 	const prime = 0x9e3779b97f4a7c15
 	hash := uint64(r.Fingerprint) ^ uint64(r.Epoch)*prime ^ uint64(r.Trials)<<32 ^ uint64(r.UnrunTrials)
-	for _, life := range append(slices.Clone(r.Instances), r.TrialInstance) {
-		hash = (hash ^ uint64(life)) * prime
+	for _, instance := range append(slices.Clone(r.Instances), r.TrialInstance) {
+		hash = (hash ^ uint64(instance)) * prime
 		hash ^= hash >> 29
 	}
 	return hash
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// FirstTerm is how long a request is held back at first. It has an end since what is wrong
-	// may be mended meanwhile, and since holding it back may be wrong. A request that is still
-	// fatal then costs one target each time.
+	// FirstTerm is how long a request is held the first time. The hold expires because the defect
+	// may have been fixed meanwhile, and because the request may have been held by mistake. A
+	// request that is still fatal then costs one target each time that it is sent.
 	FirstTerm = 10 * time.Minute
-	// termGrowth is by how much each further end prolongs the term, up to MaxTerm, the longest
-	// one: 10 minutes, 2 hours, a day, so that no more than three targets end later than the
-	// third in a day. Terms that doubled let seven.
+	// termGrowth is the factor by which each further crash extends the term, up to MaxTerm: 10
+	// minutes, 2 hours, a day. At most three targets then crash after the third one within a day;
+	// doubling the term allowed seven.
 	termGrowth = 12
-	// MaxTerm is the longest a request is held back without another end.
+	// MaxTerm is the longest that a request is held without another crash.
 	MaxTerm = 24 * time.Hour
-	// suspectLife is how long an end counts if no further one follows. A request that comes
-	// less often than that is a new one each time.
-	suspectLife = time.Hour
-	// clearedLife is how long it is known that a request was cleared: for longer than any
-	// record of its ends is on its way between gateways.
-	clearedLife = 10 * time.Minute
-	// mostRecords bounds the requests that are known, at 150 bytes each. A data centre that
-	// loses power has some thousand under way, each once.
-	mostRecords = 8192
-	// answerMemory is how many requests that were answered whole are remembered, and
-	// answerLife for how long: those of the last minute at 60 a second.
-	answerMemory = 4096
-	answerLife   = time.Minute
+	// suspectTTL is how long a crash is remembered if no further one follows. A request that is
+	// sent less often than that starts from zero each time.
+	suspectTTL = time.Hour
+	// clearedTTL is how long a clearing is remembered. It is longer than any record of the
+	// request's crashes is in transit between gateways.
+	clearedTTL = 10 * time.Minute
+	// maxRecords limits the records in the table, at 150 bytes each. A data centre that loses power
+	// has about a thousand requests in flight, each of them once.
+	maxRecords = 8192
+	// maxAnswered limits the requests that are remembered as fully answered, and answeredTTL is how
+	// long they are: enough for the last minute at 60 requests a second.
+	maxAnswered = 4096
+	answeredTTL = time.Minute
 )
 
-// entry is a record as the table keeps it.
+// entry is a record with the table's own data about it.
 type entry struct {
 	Record
-	// changedAt is when the last end became known, or the last clearing.
+	// Time of the last crash or of the last clearing.
 	changedAt time.Time
-	// settled says that all that may show who is to blame was known before: the record was
-	// kept in the store.
-	settled bool
+	// restored reports that the record was loaded from the store, so that all evidence of which
+	// request is at fault was known before.
+	restored bool
 }
 
-// term is how long the request is held back.
+// term returns how long the request is held.
 func (e *entry) term() time.Duration {
 	term := FirstTerm
 	for range len(e.Instances) - Limit {
@@ -54,98 +54,99 @@
 	return term
 }
 
-// held says whether the request is held back now.
-func (e *entry) held(now time.Time) bool {
+// isHeld reports whether the request is held now.
+func (e *entry) isHeld(now time.Time) bool {
 	return e.atLimit() && now.Sub(e.changedAt) < e.term()
 }
 
-// over says whether the record says nothing any more.
-func (e *entry) over(now time.Time) bool {
-	life := suspectLife
+// expired reports whether the record no longer has any effect.
+func (e *entry) expired(now time.Time) bool {
+	ttl := suspectTTL
 	switch {
 	case len(e.Instances) == 0:
-		life = clearedLife
+		ttl = clearedTTL
 	case e.atLimit():
-		// Behind its term it is on trial for as long again, or for an hour.
-		life = e.term() + max(e.term(), suspectLife)
+		// After the term the request is on probation for the same time again, or at least for an
+		// hour.
+		ttl = e.term() + max(e.term(), suspectTTL)
 	}
-	return now.Sub(e.changedAt) >= life
+	return now.Sub(e.changedAt) >= ttl
 }
 
-// Table is what this process knows of requests under which targets ended. It is safe for
+// Table holds this process's records of requests under which targets crashed. It is safe for
 // concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// digest is that of the records at the limit: each beat has it.
+	// digest covers the records at the limit; each heartbeat contains it.
 	digest uint64
-	// changes counts the records that became known or changed.
+	// changes counts the records that were added or changed.
 	changes uint64
-	// answered are requests that were answered whole a moment ago, with the time. It is
-	// nobody's but this process's.
+	// answered holds the time at which recent requests were fully answered. It is local to this
+	// process.
 	answered *lru.Cache[Fingerprint, time.Time]
 }
 
 // New returns an empty table.
 func New() *Table {
-	answered, err := lru.New[Fingerprint, time.Time](answerMemory)
+	answered, err := lru.New[Fingerprint, time.Time](maxAnswered)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
 	return &Table{entries: make(map[Fingerprint]*entry), answered: answered}
 }
 
-// Crashed notes that a life of a target ended without a plan while a request was under way
-// there.
+// Crashed records that an instance of a target crashed while a request was in flight there.
 //
-// Whoever sent a request that many send alike has just had it answered elsewhere: that
-// excuses one end. A request that ends whatever runs it is never answered.
-func (t *Table) Crashed(print Fingerprint, life Instance, now time.Time) Change {
+// If this process has just received an answer to the same request from another target, as happens
+// to requests that many callers send alike, the answer excuses one crash. A request that crashes
+// every target that runs it is never answered.
+func (t *Table) Crashed(fingerprint Fingerprint, instance Instance, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.excuse(print, now) {
+	if t.consumeAnswer(fingerprint, now) {
 		return Change{}
 	}
-	return t.take(Record{Fingerprint: print, Epoch: t.epochOf(print), Instances: []Instance{life}}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Instances: []Instance{instance}}, now)
 }
 
-// excuse says whether the request was answered whole here a moment ago. An answer excuses it
-// once: what was sound then may be fatal now. t.mu is held.
-func (t *Table) excuse(print Fingerprint, now time.Time) bool {
-	at, ok := t.answered.Peek(print)
+// consumeAnswer reports whether the request was fully answered here within answeredTTL. One answer
+// excuses one crash: a request that was harmless then may be fatal now. The caller holds t.mu.
+func (t *Table) consumeAnswer(fingerprint Fingerprint, now time.Time) bool {
+	answeredAt, ok := t.answered.Peek(fingerprint)
 	if ok {
-		t.answered.Remove(print)
+		t.answered.Remove(fingerprint)
 	}
-	return ok && now.Sub(at) < answerLife
+	return ok && now.Sub(answeredAt) < answeredTTL
 }
 
-// Answered notes that a target answered a request whole, which clears it.
-func (t *Table) Answered(print Fingerprint, now time.Time) Change {
+// Answered records that a target answered a request completely, which clears its record.
+func (t *Table) Answered(fingerprint Fingerprint, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answered.Add(print, now)
-	return t.clear(print, now)
+	t.answered.Add(fingerprint, now)
+	return t.clear(fingerprint, now)
 }
 
-// Lift clears a request that operators want sent again.
-func (t *Table) Lift(print Fingerprint, now time.Time) Change {
+// Lift clears a request that operators want to have sent again.
+func (t *Table) Lift(fingerprint Fingerprint, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clear(print, now)
+	return t.clear(fingerprint, now)
 }
 
-// clear clears a request, if ends are held against it; t.mu is held.
-func (t *Table) clear(print Fingerprint, now time.Time) Change {
-	known, ok := t.entries[print]
+// clear clears a request if any crashes are recorded for it. The caller holds t.mu.
+func (t *Table) clear(fingerprint Fingerprint, now time.Time) Change {
+	known, ok := t.entries[fingerprint]
 	if !ok || len(known.Instances) == 0 {
 		return Change{}
 	}
-	return t.take(Record{Fingerprint: print, Epoch: known.Epoch + 1}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: known.Epoch + 1}, now)
 }
 
-// Merge takes another gateway's record. If the request is about to be held back, or is
-// already, and was answered here a moment ago, that clears it: one that many send alike may
-// have been under way at several targets that ended at once.
+// Merge applies another gateway's record. If the request is about to be held, or is held already,
+// and was answered here a moment ago, the answer clears it: a request that many callers send alike
+// may have been in flight at several targets that crashed at once.
 func (t *Table) Merge(other Record, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,8 +155,8 @@
 	if ok {
 		before = len(known.Instances)
 	}
-	change := t.take(other, now)
-	if !change.Changed || !change.Suspicious() || !t.excuse(other.Fingerprint, now) {
+	change := t.apply(other, now)
+	if !change.Changed || !change.Suspicious() || !t.consumeAnswer(other.Fingerprint, now) {
 		return change
 	}
 	change = t.clear(other.Fingerprint, now)
@@ -163,22 +164,22 @@
 	return change
 }
 
-// Restore is Merge for a record that the store has kept.
-func (t *Table) Restore(kept Record, now time.Time) Change {
-	change := t.Merge(kept, now)
+// Restore merges a record that was loaded from the store.
+func (t *Table) Restore(stored Record, now time.Time) Change {
+	change := t.Merge(stored, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known, ok := t.entries[kept.Fingerprint]; ok && known.Equal(kept) {
-		known.settled = true
+	if known, ok := t.entries[stored.Fingerprint]; ok && known.Equal(stored) {
+		known.restored = true
 	}
 	return change
 }
 
-// take joins a record with what is known; t.mu is held.
-func (t *Table) take(other Record, now time.Time) Change {
+// apply joins a record with the known one. The caller holds t.mu.
+func (t *Table) apply(other Record, now time.Time) Change {
 	known, ok := t.entries[other.Fingerprint]
-	if ok && known.over(now) {
-		t.forget(known)
+	if ok && known.expired(now) {
+		t.remove(known)
 		ok = false
 	}
 	if !ok {
@@ -190,31 +191,30 @@
 		return change
 	}
 	if !ok {
-		t.makeRoom(now)
+		t.evict(now)
 		t.entries[other.Fingerprint] = known
 	}
 	t.digest ^= known.digest() ^ joined.digest()
-	known.Record, known.changedAt, known.settled = joined, now, false
+	known.Record, known.changedAt, known.restored = joined, now, false
 	t.changes++
 	return change
 }
 
-func (t *Table) epochOf(print Fingerprint) uint32 {
-	if known, ok := t.entries[print]; ok {
+func (t *Table) epochOf(fingerprint Fingerprint) uint32 {
+	if known, ok := t.entries[fingerprint]; ok {
 		return known.Epoch
 	}
 	return 0
 }
 
-// makeRoom forgets an eighth of the records if there are as many as may be: those with the
-// fewest ends first, and of these the oldest. Requests that are held back are the last to
-// go. t.mu is held.
-func (t *Table) makeRoom(now time.Time) {
-	if len(t.entries) < mostRecords {
+// evict removes an eighth of the records if the table is full: those with the fewest crashes
+// first, and of these the oldest. Held requests are evicted last. The caller holds t.mu.
+func (t *Table) evict(now time.Time) {
+	if len(t.entries) < maxRecords {
 		return
 	}
 	t.expire(now)
-	if len(t.entries) < mostRecords {
+	if len(t.entries) < maxRecords {
 		return
 	}
 	const share = 8
@@ -226,75 +226,74 @@
 		return cmp.Or(cmp.Compare(len(a.Instances), len(b.Instances)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	for _, known := range all[:len(all)/share] {
-		t.forget(known)
+		t.remove(known)
 	}
 }
 
-// forget forgets a record; t.mu is held.
-func (t *Table) forget(known *entry) {
+// remove deletes a record. The caller holds t.mu.
+func (t *Table) remove(known *entry) {
 	t.digest ^= known.digest()
 	delete(t.entries, known.Fingerprint)
 }
 
-// expire forgets records that say nothing any more; t.mu is held.
+// expire removes records that no longer have any effect. The caller holds t.mu.
 func (t *Table) expire(now time.Time) {
 	for _, known := range t.entries {
-		if known.over(now) {
-			t.forget(known)
+		if known.expired(now) {
+			t.remove(known)
 		}
 	}
 }
 
-// Held says whether a request is to be sent to no target now.
-func (t *Table) Held(print Fingerprint, now time.Time) bool {
+// Held reports whether a request must not be sent to any target now.
+func (t *Table) Held(fingerprint Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
-	return ok && known.held(now)
+	known, ok := t.entries[fingerprint]
+	return ok && known.isHeld(now)
 }
 
-// Suspicious says whether a request was under way at so many ends that one more holds it
-// back.
-func (t *Table) Suspicious(print Fingerprint) bool {
+// Suspicious reports whether a request was in flight at so many crashes that one more holds it.
+func (t *Table) Suspicious(fingerprint Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
+	known, ok := t.entries[fingerprint]
 	return ok && known.Suspicious()
 }
 
-// Empty says whether nothing is held against any request.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries) == 0
 }
 
-// Changes counts the records that became known or changed so far.
+// Changes returns the number of records that were added or changed so far.
 func (t *Table) Changes() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changes
 }
 
-// Records are what is known of all requests, those with the most ends first.
+// Records returns all records, those with the most crashes first.
 func (t *Table) Records(now time.Time) []Record {
 	return t.records(now, 0)
 }
 
-// AtLimit are the records of requests that are held back, or were until lately, those with
-// the most ends first.
+// AtLimit returns the records of requests that are held or were recently, those with the most
+// crashes first.
 func (t *Table) AtLimit(now time.Time) []Record {
 	return t.records(now, Limit)
 }
 
-// records are those with so many ends at least.
-func (t *Table) records(now time.Time, least int) []Record {
+// records returns the records with at least minCrashes crashes.
+func (t *Table) records(now time.Time, minCrashes int) []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(now)
 	records := make([]Record, 0, len(t.entries))
 	for _, known := range t.entries {
-		if len(known.Instances) >= least {
+		if len(known.Instances) >= minCrashes {
 			records = append(records, known.Record)
 		}
 	}
@@ -304,29 +303,29 @@
 	return records
 }
 
-// Digest is the same for two tables with the same records at the limit; zero without any.
+// Digest is equal for two tables with the same records at the limit; it is zero if there are none.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.digest
 }
 
-// Case is a request that is held back, as operators see it.
+// HeldRequest is a held request as operators see it.
 type HeldRequest struct {
 	Fingerprint Fingerprint
-	// Ends is how many targets ended under it.
+	// Crashes is the number of targets that crashed under it.
 	Crashes int
-	// Left is how long it is still held back.
+	// Remaining is how much longer it is held.
 	Remaining time.Duration
 }
 
-// Cases are the requests that are held back now, the latest first.
+// HeldRequests returns the requests that are held now, the most recent hold first.
 func (t *Table) HeldRequests(now time.Time) []HeldRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var cases []HeldRequest
 	for _, known := range t.entries {
-		if known.held(now) {
+		if known.isHeld(now) {
 			cases = append(cases, HeldRequest{Fingerprint: known.Fingerprint, Crashes: len(known.Instances), Remaining: known.term() - now.Sub(known.changedAt)})
 		}
 	}
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -11,34 +11,36 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-const print = quarantine.Fingerprint(0xfeed)
+const testFingerprint = quarantine.Fingerprint(0xfeed)
 
-// crash has so many targets end under a request, numbered from a number on.
-func crash(table *quarantine.Table, print quarantine.Fingerprint, from, count int, now time.Time) quarantine.Change {
+// crash records count crashes under a request, of instances numbered from a given number on.
+func crash(table *quarantine.Table, fingerprint quarantine.Fingerprint, from, count int, now time.Time) quarantine.Change {
 	var change quarantine.Change
-	for life := range count {
-		change = table.Crashed(print, quarantine.Instance(from+life), now)
+	for instance := range count {
+		change = table.Crashed(fingerprint, quarantine.Instance(from+instance), now)
 	}
 	return change
 }
 
-// TestHeldAfterTheThirdEnd: not before, and an end that is reported twice counts once.
-func TestHeldAfterTheThirdEnd(t *testing.T) {
+// TestHeldAfterThirdCrash checks that a request is held after its third crash and not before, and
+// that a crash that is reported twice counts once.
+func TestHeldAfterThirdCrash(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	is.True(!crash(table, print, 1, 2, now).HoldStarted())
-	is.True(!table.Crashed(print, 2, now).Changed) // two of its copies were under way there
-	is.True(!table.Held(print, now))
-	is.True(table.Suspicious(print))
-	is.True(crash(table, print, 3, 1, now).HoldStarted())
-	is.True(table.Held(print, now))
-	is.True(!table.Held(print+1, now))
-	is.Equal(table.HeldRequests(now), []quarantine.HeldRequest{{Fingerprint: print, Crashes: 3, Remaining: quarantine.FirstTerm}})
+	is.True(!crash(table, testFingerprint, 1, 2, now).HoldStarted())
+	is.True(!table.Crashed(testFingerprint, 2, now).Changed) // two copies of the request were in flight there
+	is.True(!table.Held(testFingerprint, now))
+	is.True(table.Suspicious(testFingerprint))
+	is.True(crash(table, testFingerprint, 3, 1, now).HoldStarted())
+	is.True(table.Held(testFingerprint, now))
+	is.True(!table.Held(testFingerprint+1, now))
+	is.Equal(table.HeldRequests(now), []quarantine.HeldRequest{{Fingerprint: testFingerprint, Crashes: 3, Remaining: quarantine.FirstTerm}})
 }
 
-// TestTerms: it ends, and grows with each further end, up to the last.
-func TestTerms(t *testing.T) {
+// TestHoldTerms checks that a hold expires, and that its term grows with each further crash up to
+// MaxTerm.
+func TestHoldTerms(t *testing.T) {
 	now := time.Now()
 	cases := map[string]struct {
 		ends int
@@ -54,114 +56,115 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := quarantine.New()
-			crash(table, print, 1, tc.ends, now)
-			is.True(table.Held(print, now.Add(tc.term-time.Second)))
-			is.True(!table.Held(print, now.Add(tc.term)))
+			crash(table, testFingerprint, 1, tc.ends, now)
+			is.True(table.Held(testFingerprint, now.Add(tc.term-time.Second)))
+			is.True(!table.Held(testFingerprint, now.Add(tc.term)))
 		})
 	}
 }
 
-// TestARequestThatComesSeldom: it ends one target each time that it is sent. However seldom it
-// comes, up to once an hour, no more than three end later than the third in a day.
-func TestARequestThatComesSeldom(t *testing.T) {
-	const mostLater = 3
+// TestInfrequentFatalRequest checks that a request that crashes a target each time it is sent, at
+// intervals of up to an hour, crashes at most three more targets after the third one within a day.
+func TestInfrequentFatalRequest(t *testing.T) {
+	const maxLater = 3
 	for _, every := range []time.Duration{time.Second, time.Minute, 9 * time.Minute, 15 * time.Minute, 25 * time.Minute, 55 * time.Minute} {
 		t.Run(every.String(), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
 			table := quarantine.New()
-			ends := 0
+			crashes := 0
 			for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(every) {
-				table.Records(now) // forgets what is over, as the checkpoint has it do all the time
-				if table.Held(print, now) {
+				table.Records(now) // removes expired records, as the checkpoint does regularly
+				if table.Held(testFingerprint, now) {
 					continue
 				}
-				ends++
-				table.Crashed(print, quarantine.Instance(ends), now)
+				crashes++
+				table.Crashed(testFingerprint, quarantine.Instance(crashes), now)
 			}
-			is.True(ends <= quarantine.Limit+mostLater)
+			is.True(crashes <= quarantine.Limit+maxLater)
 		})
 	}
 }
 
-// TestOnTrialAgain: behind its term one more end holds it back anew.
-func TestOnTrialAgain(t *testing.T) {
+// TestCrashAfterTermHoldsAgain checks that one more crash after the term holds the request again.
+func TestCrashAfterTermHoldsAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	crash(table, print, 1, 3, now)
+	crash(table, testFingerprint, 1, 3, now)
 	now = now.Add(quarantine.FirstTerm)
-	is.True(!table.Held(print, now))
-	crash(table, print, 4, 1, now)
-	is.True(table.Held(print, now.Add(quarantine.FirstTerm)))
+	is.True(!table.Held(testFingerprint, now))
+	crash(table, testFingerprint, 4, 1, now)
+	is.True(table.Held(testFingerprint, now.Add(quarantine.FirstTerm)))
 }
 
-// TestAnAnswerClears: whatever was held against it, everywhere, and for good.
-func TestAnAnswerClears(t *testing.T) {
+// TestAnswerClearsRecord checks that an answer clears the record on all gateways, and that a stale
+// record doesn't bring it back.
+func TestAnswerClearsRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	one, other := quarantine.New(), quarantine.New()
-	crash(one, print, 1, 3, now)
-	stale := one.Records(now)[0]
-	is.True(other.Merge(stale, now).HoldStarted())
-	cleared := other.Answered(print, now)
+	first, second := quarantine.New(), quarantine.New()
+	crash(first, testFingerprint, 1, 3, now)
+	stale := first.Records(now)[0]
+	is.True(second.Merge(stale, now).HoldStarted())
+	cleared := second.Answered(testFingerprint, now)
 	is.True(cleared.HoldEnded())
-	is.True(cleared.Broadcast()) // all are to know
-	is.True(one.Merge(cleared.Record, now).HoldEnded())
-	is.True(!one.Held(print, now))
-	late := one.Merge(stale, now) // who has not heard of it yet
+	is.True(cleared.Broadcast()) // all gateways need it
+	is.True(first.Merge(cleared.Record, now).HoldEnded())
+	is.True(!first.Held(testFingerprint, now))
+	late := first.Merge(stale, now) // from a gateway that has not received the clearing yet
 	is.True(!late.Changed)
-	is.True(late.NewToSender) // gets it in return
-	is.True(!one.Held(print, now))
-	is.True(!other.Answered(print, now).Changed)
+	is.True(late.NewToSender) // the sender gets it in return
+	is.True(!first.Held(testFingerprint, now))
+	is.True(!second.Answered(testFingerprint, now).Changed)
 }
 
-// TestManySendItAlike: a request that is answered all the time is not held back because a
-// data centre lost power while it was under way at many targets there.
-func TestManySendItAlike(t *testing.T) {
+// TestRecentAnswerExcusesCrash guards against holding a request that is answered all the time,
+// because a data centre lost power while the request was in flight at many targets there.
+func TestRecentAnswerExcusesCrash(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	table.Answered(print, now)
-	is.True(!table.Crashed(print, 1, now).Changed) // it has just been answered
-	is.True(table.Crashed(print, 2, now).Changed)
-	is.True(table.Answered(print, now).Changed)
-	table.Answered(print, now)
-	is.True(table.Crashed(print, 3, now.Add(2*time.Minute)).Changed) // that was too long ago
-	is.True(!table.Held(print, now))
+	table.Answered(testFingerprint, now)
+	is.True(!table.Crashed(testFingerprint, 1, now).Changed) // it has just been answered
+	is.True(table.Crashed(testFingerprint, 2, now).Changed)
+	is.True(table.Answered(testFingerprint, now).Changed)
+	table.Answered(testFingerprint, now)
+	is.True(table.Crashed(testFingerprint, 3, now.Add(2*time.Minute)).Changed) // the last answer is too old
+	is.True(!table.Held(testFingerprint, now))
 }
 
-// TestALiftClears: operators may have it sent again.
-func TestALiftClears(t *testing.T) {
+// TestLiftClearsRecord checks that operators can have a request sent again.
+func TestLiftClearsRecord(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	is.True(!table.Lift(print, now).Changed)
-	crash(table, print, 1, 5, now)
-	is.True(table.Lift(print, now).HoldEnded())
-	is.True(!table.Held(print, now))
+	is.True(!table.Lift(testFingerprint, now).Changed)
+	crash(table, testFingerprint, 1, 5, now)
+	is.True(table.Lift(testFingerprint, now).HoldEnded())
+	is.True(!table.Held(testFingerprint, now))
 	is.Equal(len(table.HeldRequests(now)), 0)
 }
 
-// TestRecordsAreForgotten: one that says nothing any more goes.
-func TestRecordsAreForgotten(t *testing.T) {
+// TestRecordsExpire checks that records without any effect are removed.
+func TestRecordsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	crash(table, print, 1, 2, now)
-	crash(table, print+1, 1, 3, now)
-	crash(table, print+2, 1, 1, now)
-	table.Answered(print+2, now)
+	crash(table, testFingerprint, 1, 2, now)
+	crash(table, testFingerprint+1, 1, 3, now)
+	crash(table, testFingerprint+2, 1, 1, now)
+	table.Answered(testFingerprint+2, now)
 	is.Equal(len(table.Records(now)), 3)
-	is.Equal(len(table.Records(now.Add(10*time.Minute))), 2) // that it was cleared is old
+	is.Equal(len(table.Records(now.Add(10*time.Minute))), 2) // the clearing has expired
 	is.Equal(len(table.Records(now.Add(time.Hour))), 1)
 	is.Equal(len(table.Records(now.Add(quarantine.FirstTerm+time.Hour))), 0)
 	is.True(table.Empty())
 }
 
-// TestTheConvictedStay: however many suspects there are, as after the loss of a data centre,
-// those that are held back are not the ones that are forgotten.
-func TestTheConvictedStay(t *testing.T) {
+// TestEvictionKeepsHeldRequests guards against evicting held requests when there are very many
+// suspects, as after the loss of a data centre.
+func TestEvictionKeepsHeldRequests(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
@@ -176,25 +179,25 @@
 	for held := range 100 {
 		is.True(table.Held(quarantine.Fingerprint(held), now))
 	}
-	is.True(table.Crashed(quarantine.Fingerprint(1000+many-1), 2, now).Before == 1) // the latest are known
+	is.True(table.Crashed(quarantine.Fingerprint(1000+many-1), 2, now).Before == 1) // the newest record was kept
 }
 
-// TestRecordsJoinInAnyOrder: whatever gateways see and however their records reach each
-// other, twice or late, all come to know the same.
-func TestRecordsJoinInAnyOrder(t *testing.T) {
+// TestMergeIsOrderIndependent checks that all gateways end up with the same records, whatever each
+// observes, and also if records arrive twice, late or in any order.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		tables := []*quarantine.Table{quarantine.New(), quarantine.New(), quarantine.New()}
 		var sent []quarantine.Record
-		anyTable := rapid.IntRange(0, len(tables)-1)
+		drawTable := rapid.IntRange(0, len(tables)-1)
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
-			table := tables[anyTable.Draw(t, "gateway")]
-			of := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request"))
+			table := tables[drawTable.Draw(t, "gateway")]
+			request := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				sent = append(sent, table.Crashed(of, quarantine.Instance(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
+				sent = append(sent, table.Crashed(request, quarantine.Instance(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
 			case 2:
-				sent = append(sent, table.Lift(of, now).Record)
+				sent = append(sent, table.Lift(request, now).Record)
 			case 3:
 				if len(sent) > 0 {
 					table.Merge(rapid.SampledFrom(sent).Draw(t, "late"), now)
@@ -216,7 +219,7 @@
 				t.Fatalf("%v and %v", table.Records(now), tables[0].Records(now))
 			}
 			if table.Digest() != tables[0].Digest() {
-				t.Fatal("the same records have two digests")
+				t.Fatal("equal records have different digests")
 			}
 		}
 	})
@@ -230,19 +233,20 @@
 	return all
 }
 
-// TestADigestTellsRecordsApart: of those at the limit.
-func TestADigestTellsRecordsApart(t *testing.T) {
+// TestDigestDistinguishesRecords checks that different sets of records at the limit have different
+// digests.
+func TestDigestDistinguishesRecords(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := quarantine.New()
-	crash(table, print, 1, 2, now)
+	crash(table, testFingerprint, 1, 2, now)
 	is.Equal(table.Digest(), uint64(0))
 	seen := map[uint64]bool{0: true}
 	for _, change := range []func(){
-		func() { crash(table, print, 3, 1, now) },
-		func() { crash(table, print, 4, 1, now) },
-		func() { crash(table, print+1, 1, 3, now) },
-		func() { table.Lift(print+1, now); crash(table, print+1, 1, 3, now) },
+		func() { crash(table, testFingerprint, 3, 1, now) },
+		func() { crash(table, testFingerprint, 4, 1, now) },
+		func() { crash(table, testFingerprint+1, 1, 3, now) },
+		func() { table.Lift(testFingerprint+1, now); crash(table, testFingerprint+1, 1, 3, now) },
 	} {
 		change()
 		is.True(!seen[table.Digest()])
@@ -250,10 +254,11 @@
 	}
 }
 
-// TestWhateverAMessageHas: a record that another process wrote is in order here.
-func TestWhateverAMessageHas(t *testing.T) {
+// TestRecordOfNormalizes checks that a record from another process is normalized, whatever it
+// contains.
+func TestRecordOfNormalizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		message := quarantine.Record{Fingerprint: print}.Message()
+		message := quarantine.Record{Fingerprint: testFingerprint}.Message()
 		message.Epoch = rapid.Uint32().Draw(t, "epoch")
 		message.Lives = rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 60).Draw(t, "lives")
 		record := quarantine.RecordOf(message)
@@ -266,37 +271,37 @@
 	})
 }
 
-// TestWhoHasAnsweredItObjects: three targets end at once, at three gateways, while a request
-// that many send alike is under way at each; a fourth gateway has just had it answered. It is
-// not held back, whoever learns first, and an answer is an objection only once: what was sound
-// a moment ago may have become fatal.
-func TestWhoHasAnsweredItObjects(t *testing.T) {
+// TestRecentAnswerOverridesMerge guards against holding a request that many callers send alike.
+// Three targets crash at once, seen by three gateways, while it is in flight at each, and a fourth
+// gateway has just received an answer to it. It is not held, in whatever order they learn of it.
+// An answer is used only once: a request that was harmless a moment ago may have become fatal.
+func TestRecentAnswerOverridesMerge(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	answered, others := quarantine.New(), quarantine.New()
-	answered.Answered(print, now)
-	crash(others, print, 1, 3, now)
-	is.True(others.Held(print, now))
-	heard := answered.Merge(others.Records(now)[0], now)
-	is.True(!answered.Held(print, now))
-	is.True(heard.Broadcast())    // all are to know
-	is.True(heard.NewToSender)    // the sender among them
-	is.True(!heard.HoldStarted()) // nobody held it back here
-	is.True(others.Merge(heard.Record, now).HoldEnded())
-	is.True(!others.Held(print, now))
-	crash(others, print, 4, 3, now)
+	answered.Answered(testFingerprint, now)
+	crash(others, testFingerprint, 1, 3, now)
+	is.True(others.Held(testFingerprint, now))
+	merged := answered.Merge(others.Records(now)[0], now)
+	is.True(!answered.Held(testFingerprint, now))
+	is.True(merged.Broadcast())    // all gateways need it
+	is.True(merged.NewToSender)    // including the sender
+	is.True(!merged.HoldStarted()) // it was not held here
+	is.True(others.Merge(merged.Record, now).HoldEnded())
+	is.True(!others.Held(testFingerprint, now))
+	crash(others, testFingerprint, 4, 3, now)
 	answered.Merge(others.Records(now)[0], now)
-	is.True(answered.Held(print, now)) // not twice for the same answer
+	is.True(answered.Held(testFingerprint, now)) // the same answer is not used twice
 }
 
-// TestAnObjectionIsOfAMomentAgo: an answer of long ago is none.
-func TestAnObjectionIsOfAMomentAgo(t *testing.T) {
+// TestOldAnswerDoesNotOverrideMerge checks that an old answer excuses nothing.
+func TestOldAnswerDoesNotOverrideMerge(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	answered, others := quarantine.New(), quarantine.New()
-	answered.Answered(print, now)
+	answered.Answered(testFingerprint, now)
 	now = now.Add(2 * time.Minute)
-	crash(others, print, 1, 3, now)
+	crash(others, testFingerprint, 1, 3, now)
 	answered.Merge(others.Records(now)[0], now)
-	is.True(answered.Held(print, now))
+	is.True(answered.Held(testFingerprint, now))
 }
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -5,60 +5,64 @@
 	"time"
 )
 
-// All requests that were under way at a target when it ended have the end held against them.
-// One that many send alike is under way everywhere, and has three ends as soon as the fatal
-// ones beside it have ended three targets. Where others may be to blame for its ends it is not
-// taken for fatal at once. It is held back like a fatal one, but its callers are told to come
-// back, and one copy of it is sent once nothing else ends there: a trial. A whole answer clears
-// it, and the end of a target under nothing but the trial shows that it is fatal itself. Of
-// several such requests the one with the most ends is tried first, and once it is cleared the
-// others have nobody left to blame, so that a fatal request hardly ever gets a trial.
+// A crash of a target is recorded against all requests that were in flight there. A request that
+// many callers send alike is in flight everywhere, and has three crashes as soon as the fatal
+// requests beside it have crashed three targets. If other requests may be the cause of its
+// crashes, it is not treated as fatal at once. It is held like a fatal one, but its callers are
+// told to retry later, and one copy of it is sent to a target where nothing else can cause a
+// crash: a trial. A complete answer clears it; a crash under the trial alone proves that it is
+// fatal itself. Of several such requests, the one with the most crashes is tried first. Once it is
+// cleared, the others have no other request that explains their crashes, so that a fatal request
+// hardly ever gets a trial.
 
 const (
-	// MaxTrials bounds the trials of a request that a target runs until it is cleared, over all
+	// MaxTrials limits the trials of a request that targets run until it is cleared, over all
 	// gateways.
 	MaxTrials = 3
-	// mostUnexplained is how many ends of a request may be left that no other one explains, while
-	// others may be to blame: the one that met one of its ends may not have come again.
-	mostUnexplained = 1
-	// settleTime is how long after a request's last end, or that of one which shared an end with
-	// it, it may yet show that others were there.
+	// maxUnexplained is how many crashes of a request may lack another request that explains them
+	// while others may still be the cause: the request that caused one of them may not have been
+	// sent again.
+	maxUnexplained = 1
+	// settleTime is how long after a request's last crash, or the last one of a request that shares
+	// a crash with it, more evidence about other requests may still arrive.
 	settleTime = 2 * time.Second
-	// coveredTime is the same where each of its ends was also one of a request that needs only one
-	// more to be held back: that comes again when targets are back.
-	coveredTime = 5 * time.Second
-	// trialQuiet is how long no request that shares an end may have met another one before a
-	// trial: what ends targets is to be known first.
+	// coveredSettleTime replaces settleTime if each of the crashes was also one of a request that
+	// needs only one more crash to be held: that request is sent again once targets are back.
+	coveredSettleTime = 5 * time.Second
+	// trialQuietTime is how long all requests that share a crash must have gone without a further
+	// one before a trial starts: what crashes targets has to be known first.
 	trialQuiet = time.Second
-	// trialTurn is the time between the first moments at which two gateways may begin a trial:
-	// the second one knows of the first one's by then.
-	trialTurn = 300 * time.Millisecond
-	// trialPatience is how long an outcome is waited for: the gateway that tries may be lost.
-	trialPatience = 10 * time.Second
-	// trialOrder is how long requests that shared an end with one that is to be tried before
-	// them wait from when it may be: callers come back sooner, if they do.
-	trialOrder = 5 * time.Second
+	// trialStagger is the delay between the earliest times at which two gateways may start a trial.
+	// Within it the second gateway learns of the first one's trial.
+	trialStagger = 300 * time.Millisecond
+	// trialTimeout limits the wait for the outcome of a trial: the gateway that started it may be
+	// lost.
+	trialTimeout = 10 * time.Second
+	// trialOrderWait is how long requests wait for a request that shares a crash with them and is
+	// to be tried first, counted from when that one may be tried. Callers that retry at all do so
+	// sooner.
+	trialOrderWait = 5 * time.Second
 )
 
-// Standing is whether a request may be sent.
+// Verdict is the decision on whether a request may be sent.
 type Verdict int
 
-// The standings.
+// The possible verdicts.
 const (
-	// Sendable: nothing forbids it.
+	// Sendable: nothing prevents sending the request.
 	Sendable Verdict = iota
-	// Doubtful: it is held back for now, and others may be to blame for its ends.
+	// Doubtful: the request is held for now, and other requests may be the cause of its crashes.
 	Doubtful
-	// Fatal: it is held back, and nobody else explains its ends.
+	// Fatal: the request is held, and no other request explains its crashes.
 	Fatal
 )
 
-// Standing says how a request stands now.
-func (t *Table) Verdict(print Fingerprint, now time.Time) Verdict {
+// Verdict returns the current verdict on a request.
+func (t *Table) Verdict(fingerprint Fingerprint, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
-	if !ok || !known.held(now) {
+	known, ok := t.entries[fingerprint]
+	if !ok || !known.isHeld(now) {
 		return Sendable
 	}
 	blame := t.blame(known)
@@ -68,128 +72,132 @@
 	return Fatal
 }
 
-// MayStartTrial says whether this process may send one copy of a doubtful request now. The
-// place is that of the process among those that may, 0 for the first.
-func (t *Table) MayStartTrial(print Fingerprint, place int, now time.Time) bool {
+// MayStartTrial reports whether this process may send one copy of a doubtful request now. The rank
+// is that of the process among the gateways that may do so, 0 for the first.
+func (t *Table) MayStartTrial(fingerprint Fingerprint, rank int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
-	return ok && t.mayTry(known, place, now)
+	known, ok := t.entries[fingerprint]
+	return ok && t.mayStartTrial(known, rank, now)
 }
 
-// Try begins a trial at a life of a target, if MayStartTrial holds; others are to know of it before
-// it ends.
-func (t *Table) StartTrial(print Fingerprint, place int, life Instance, now time.Time) (Change, bool) {
+// StartTrial starts a trial at an instance of a target if MayStartTrial holds. The caller has to
+// announce it to the other gateways before the trial ends.
+func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Instance, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
-	if !ok || !t.mayTry(known, place, now) {
+	known, ok := t.entries[fingerprint]
+	if !ok || !t.mayStartTrial(known, rank, now) {
 		return Change{}, false
 	}
 	tried := known.Record
 	tried.Trials++
-	tried.TrialInstance = life
-	return t.take(tried, now), true
+	tried.TrialInstance = instance
+	return t.apply(tried, now), true
 }
 
-// Unrun notes that no target ran the trial which began at a life of one; another may begin.
-func (t *Table) TrialNotRun(print Fingerprint, life Instance, now time.Time) Change {
+// TrialNotRun records that no target ran the trial that started at an instance, so that another
+// one may start.
+func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Instance, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[print]
-	if !ok || known.TrialInstance != life || life == 0 {
+	known, ok := t.entries[fingerprint]
+	if !ok || known.TrialInstance != instance || instance == 0 {
 		return Change{}
 	}
 	ended := known.Record
 	ended.UnrunTrials++
 	ended.TrialInstance = 0
-	return t.take(ended, now)
+	return t.apply(ended, now)
 }
 
-// mayTry is MayStartTrial; t.mu is held.
-func (t *Table) mayTry(known *entry, place int, now time.Time) bool {
-	if !known.held(now) || known.Trials-known.UnrunTrials >= MaxTrials {
+// mayStartTrial is MayStartTrial for callers that hold t.mu.
+func (t *Table) mayStartTrial(known *entry, rank int, now time.Time) bool {
+	if !known.isHeld(now) || known.Trials-known.UnrunTrials >= MaxTrials {
 		return false
 	}
-	if known.TrialInstance != 0 && !known.convicted() && now.Sub(known.changedAt) < trialPatience {
+	if known.TrialInstance != 0 && !known.trialCrashed() && now.Sub(known.changedAt) < trialTimeout {
 		return false
 	}
 	blame := t.blame(known)
-	quiet := trialQuiet + time.Duration(place)*trialTurn
+	quiet := trialQuiet + time.Duration(rank)*trialStagger
 	return blame.explained && now.Sub(blame.changedAt) >= quiet && t.isNext(known, now)
 }
 
-// isNext says whether no request that shares an end is to be tried before; t.mu is held.
+// isNext reports whether no request that shares a crash is to be tried first. The caller holds
+// t.mu.
 func (t *Table) isNext(known *entry, now time.Time) bool {
 	for _, other := range t.entries {
-		waits := other != known && other.held(now) && now.Sub(other.changedAt) < trialQuiet+trialOrder
-		if waits && other.before(known) && other.shares(known) && t.blame(other).explained {
+		hasPriority := other != known && other.isHeld(now) && now.Sub(other.changedAt) < trialQuiet+trialOrderWait
+		if hasPriority && other.triedBefore(known) && other.sharesCrash(known) && t.blame(other).explained {
 			return false
 		}
 	}
 	return true
 }
 
-// blame is what there is besides a request that may have ended its targets.
+// blame describes the other requests that may have caused a request's crashes.
 type blame struct {
-	// explained says that others which are held back were there at its ends, but for
-	// mostUnexplained at most.
+	// explained reports that other held requests were in flight at all of its crashes but at most
+	// maxUnexplained.
 	explained bool
-	// covered says that at each of its ends another request was which has met several.
+	// covered reports that at each of its crashes another request with several crashes was in
+	// flight.
 	covered bool
-	// changedAt is when the last end became known that it, or a request which shares an end
-	// with it, had.
+	// changedAt is when the last crash of the request, or of one that shares a crash with it, was
+	// recorded.
 	changedAt time.Time
 }
 
-// unsettled says whether the ends of the request, or of others that were at some of them, are so
-// fresh that it may yet show who else was there.
+// unsettled reports whether the crashes of the request, or of others that share some of them, are
+// so recent that evidence about other requests may still arrive.
 func (e *entry) unsettled(blame blame, now time.Time) bool {
-	lasts := settleTime
+	delay := settleTime
 	if blame.covered {
-		lasts = coveredTime
+		delay = coveredSettleTime
 	}
-	return !e.settled && !e.convicted() && now.Sub(blame.changedAt) < lasts
+	return !e.restored && !e.trialCrashed() && now.Sub(blame.changedAt) < delay
 }
 
-// blame compares a request with all others; t.mu is held.
+// blame compares a request with all others. The caller holds t.mu.
 func (t *Table) blame(known *entry) blame {
-	found := blame{changedAt: known.changedAt}
-	own, uncovered := slices.Clone(known.Instances), slices.Clone(known.Instances)
+	result := blame{changedAt: known.changedAt}
+	unexplained, uncovered := slices.Clone(known.Instances), slices.Clone(known.Instances)
 	for _, other := range t.entries {
-		if other == known || !other.shares(known) {
+		if other == known || !other.sharesCrash(known) {
 			continue
 		}
-		if other.changedAt.After(found.changedAt) {
-			found.changedAt = other.changedAt
+		if other.changedAt.After(result.changedAt) {
+			result.changedAt = other.changedAt
 		}
-		met := func(life Instance) bool { return slices.Contains(other.Instances, life) }
+		crashedWith := func(instance Instance) bool { return slices.Contains(other.Instances, instance) }
 		if other.Suspicious() {
-			uncovered = slices.DeleteFunc(uncovered, met)
+			uncovered = slices.DeleteFunc(uncovered, crashedWith)
 		}
 		if other.atLimit() {
-			own = slices.DeleteFunc(own, met)
+			unexplained = slices.DeleteFunc(unexplained, crashedWith)
 		}
 	}
-	found.explained, found.covered = len(own) <= mostUnexplained, len(uncovered) == 0
-	if known.convicted() && slices.Contains(own, known.TrialInstance) {
-		found.explained = false
+	result.explained, result.covered = len(unexplained) <= maxUnexplained, len(uncovered) == 0
+	if known.trialCrashed() && slices.Contains(unexplained, known.TrialInstance) {
+		result.explained = false
 	}
-	return found
+	return result
 }
 
-// convicted says whether the target of its last trial ended.
-func (r Record) convicted() bool {
+// trialCrashed reports whether the target of the last trial crashed.
+func (r Record) trialCrashed() bool {
 	return r.TrialInstance != 0 && slices.Contains(r.Instances, r.TrialInstance)
 }
 
-// shares says whether two requests were under way at the same end.
-func (r Record) shares(other *entry) bool {
-	return slices.ContainsFunc(r.Instances, func(life Instance) bool { return slices.Contains(other.Instances, life) })
+// sharesCrash reports whether two requests were in flight at the same crash.
+func (r Record) sharesCrash(other *entry) bool {
+	return slices.ContainsFunc(r.Instances, func(instance Instance) bool { return slices.Contains(other.Instances, instance) })
 }
 
-// before says whether a request is tried before another one: the one with the most ends first.
-func (r Record) before(other *entry) bool {
+// triedBefore reports whether a request is tried before another: the one with the most crashes
+// comes first.
+func (r Record) triedBefore(other *entry) bool {
 	if len(r.Instances) != len(other.Instances) {
 		return len(r.Instances) > len(other.Instances)
 	}
