--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -139,9 +139,9 @@
 	o.log.Info(EventRefused, "target", target, "peer", from)
 }
 
-// TargetDoubted logs that a target is left out since several gateways got no answer
+// TargetSuspected logs that a target is left out since several gateways got no answer
 // from it.
-func (o *Observer) TargetDoubted(target, from string) {
+func (o *Observer) TargetSuspected(target, from string) {
 	o.log.Info(EventDoubted, "target", target, "peer", from)
 }
 
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -261,7 +261,7 @@
 		s.options.Balancer.ObserveTotals(from.id, totalsOf(beat), now)
 		s.options.Balancer.ObservePaces(pacesOf(beat), now)
 		for _, target := range s.options.Balancer.ObserveSuspects(from.id, beat.GetSuspects(), now) {
-			s.options.Watcher.TargetDoubted(target, from.id)
+			s.options.Watcher.TargetSuspected(target, from.id)
 		}
 	}
 	s.takePlacements(beat, now)
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -88,9 +88,9 @@
 	// TargetRefused: a target refused a connection of another gateway; the peer
 	// that passed it on need not be that one.
 	TargetRefused(target, from string)
-	// TargetDoubted: a target is left out since several gateways got no answer from
+	// TargetSuspected: a target is left out since several gateways got no answer from
 	// it; the peer is the last of them to say so.
-	TargetDoubted(target, from string)
+	TargetSuspected(target, from string)
 	// QuarantineChanged: a request is held back from now on, or no more, since the peer
 	// says so.
 	QuarantineChanged(change quarantine.Change, from string)
@@ -120,7 +120,7 @@
 	// Lag is how late this process's timers fire; nil is not at all.
 	Lag func() time.Duration
 	// Counted is called with what is known of the peers in every round of beats.
-	Counted func(census Census)
+	OnCensus func(census Census)
 }
 
 // Service exchanges beats with other gateways.
@@ -360,7 +360,7 @@
 // goes to all, and the budget is made up for later.
 func (s *Service) broadcast(now time.Time, urgent bool) {
 	live := slices.Clone(s.look(now).live)
-	s.options.Counted(s.table.count(len(live)))
+	s.options.OnCensus(s.table.count(len(live)))
 	inTurn(live, s.hash)
 	for _, to := range live {
 		reported := to.reported
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -71,7 +71,7 @@
 func (quietWatcher) PeerLost(string, string, time.Duration)      {}
 func (quietWatcher) ReplicaFetched(string, int64, int64, error)  {}
 func (quietWatcher) TargetRefused(string, string)                {}
-func (quietWatcher) TargetDoubted(string, string)                {}
+func (quietWatcher) TargetSuspected(string, string)              {}
 func (quietWatcher) QuarantineChanged(quarantine.Change, string) {}
 
 // noting is a watcher that counts refused targets.
@@ -81,8 +81,8 @@
 	doubted atomic.Int32
 }
 
-func (n *noting) TargetRefused(string, string) { n.refused.Add(1) }
-func (n *noting) TargetDoubted(string, string) { n.doubted.Add(1) }
+func (n *noting) TargetRefused(string, string)   { n.refused.Add(1) }
+func (n *noting) TargetSuspected(string, string) { n.doubted.Add(1) }
 
 // node is a gateway as far as its peers see it.
 type node struct {
@@ -125,7 +125,7 @@
 	n.balancer.Put(balance.Target{ID: "t", Service: "s", Address: "t"}, time.Now())
 	n.service = New(Options{
 		ID: id, Address: conn.LocalAddr().String(), Seeds: seeds, Budget: 100_000,
-		Replica: n.replica, Proof: n.proof, Balancer: n.balancer, Watcher: n.watcher, Counted: func(Census) {},
+		Replica: n.replica, Proof: n.proof, Balancer: n.balancer, Watcher: n.watcher, OnCensus: func(Census) {},
 	}, conn, network.From(id))
 	network.Serve(n.service.options.Address, n.service.Handle)
 	prepare(n.service)
@@ -248,7 +248,7 @@
 			defer func() { _ = conn.Close() }()
 			service := New(Options{
 				ID: "self", Address: conn.LocalAddr().String(), Budget: 1, Replica: &fakeReplica{revision: 7, reachable: true},
-				Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, Counted: func(Census) {},
+				Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, OnCensus: func(Census) {},
 			}, conn, network.From("self"))
 			now := time.Now()
 			for number := range 200 {
@@ -284,7 +284,7 @@
 	defer func() { _ = conn.Close() }()
 	service := bareService()
 	service.conn = conn
-	service.options.Counted = func(Census) {}
+	service.options.OnCensus = func(Census) {}
 	now := time.Now()
 	const peers = 29
 	for number := range peers {
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -220,7 +220,7 @@
 	Silent int
 	// Before is how many of these come before this gateway in an order that all
 	// gateways share.
-	Before int
+	Preceding int
 }
 
 // count counts the peers, of which so many are live.
@@ -233,7 +233,7 @@
 		}
 		census.Known++
 		if known.hash < own {
-			census.Before++
+			census.Preceding++
 		}
 	}
 	return census
--- a/internal/peer/tree.go
+++ b/internal/peer/tree.go
@@ -116,7 +116,7 @@
 
 // Turn is where a gateway stands in the order of those who ask the store among hosts
 // that are alike, however many there are: 0 is in front of all, 1 behind all.
-func Turn(id string) float64 {
+func StoreOrder(id string) float64 {
 	return 1 - float64(askScore(id))/math.MaxUint64
 }
 
--- a/internal/peer/tree_test.go
+++ b/internal/peer/tree_test.go
@@ -146,7 +146,7 @@
 	t.Cleanup(func() { _ = conn.Close() })
 	s := New(Options{
 		ID: id, Address: conn.LocalAddr().String(), Budget: 7000, Replica: &fakeReplica{revision: revision, reachable: true},
-		Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, Counted: func(Census) {},
+		Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, OnCensus: func(Census) {},
 	}, conn, nil)
 	s.pulling = true // no links here
 	return s
--- a/internal/process/gateway_begin_test.go
+++ b/internal/process/gateway_begin_test.go
@@ -118,7 +118,7 @@
 func TestASmallHostLeavesReadingToOthers(t *testing.T) {
 	small, large := settings.Host{Share: 0.144, Cores: 1, LinkMbps: 10}, settings.Host{Share: 0.8, Cores: 1, LinkMbps: 200}
 	moment := func(patience time.Duration) time.Duration {
-		return time.Duration(float64(patience) * peer.Turn("g"))
+		return time.Duration(float64(patience) * peer.StoreOrder("g"))
 	}
 	others := []string{"10.0.0.9:1"}
 	cases := map[string]struct {
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -42,13 +42,13 @@
 		Watcher:  fetching{p.observer, p},
 
 		Quarantine: p.crashes.Table,
-		Counted:    p.countPeers,
+		OnCensus:   p.countPeers,
 		Lag:        p.lag.Lag,
 		Stale:      staleAfter(p.settings),
 	}, conn, pool)
 	p.gateway.Directory, p.crashes.Spreader = p.peers, p.peers
 	if p.mayLeaveReading() {
-		turn := peer.Turn(p.settings.ID)
+		turn := peer.StoreOrder(p.settings.ID)
 		p.feed.CountGateways(time.Duration(turn*float64(countPatience)), func() bool { return !p.peers.Many() })
 	}
 	server := link.NewServer(listener, hello, nil, p.log, p.peers.Handle)
@@ -79,14 +79,14 @@
 func (p *GatewayProcess) placeAmong(census peer.Census) balance.Gateways {
 	known := census.Known + 1
 	if time.Since(p.started) >= knownAfter {
-		return balance.Gateways{Count: known, Place: census.Before}
+		return balance.Gateways{Count: known, Place: census.Preceding}
 	}
 	expected := int(p.expectedGateways.Load())
 	if expected == 0 {
 		expected = unknownGateways
 	}
 	if known >= expected {
-		return balance.Gateways{Count: known, Place: census.Before}
+		return balance.Gateways{Count: known, Place: census.Preceding}
 	}
 	return balance.Gateways{Count: expected, Place: balance.PlaceOf(p.settings.ID, expected)}
 }
@@ -238,7 +238,7 @@
 	if classOf(p.settings.Host).Quick() {
 		patience = quickPatience
 	}
-	return time.Duration(float64(p.among(patience)) * peer.Turn(p.settings.ID))
+	return time.Duration(float64(p.among(patience)) * peer.StoreOrder(p.settings.ID))
 }
 
 // among is how much of a time to wait is needed among as many gateways as there are.
