--- a/internal/peer/class.go
+++ b/internal/peer/class.go
@@ -2,50 +2,49 @@
 
 import "math"
 
-// Class is how much a gateway's host has, for what gateways do for each other: each
-// class has twice what the one below has. Zero is one that is not known, and the
-// smallest.
+// Class measures the resources of a gateway's host for the work that gateways do for each other.
+// Each class has twice the resources of the one below. Zero, the smallest, means unknown.
 type Class uint32
 
 const (
-	// classCores and classLinkMbps are what a host of the first class has: half of the
-	// smallest host that a gateway is meant for.
+	// classCores and classLinkMbps are the resources of a host of class 1: half of the smallest
+	// host that a gateway is meant for.
 	classCores    = 0.05
 	classLinkMbps = 5.0
-	// mostClass bounds the class: a host of 6 cores and 640 Mbit/s has more than any
-	// duty needs.
-	mostClass = 8
-	// quickClass is the class from which a host reads the whole store within a
-	// moment: with 0.4 of a core and 40 Mbit/s, 3,000 entries in 0.4 s.
+	// maxClass is the highest class. A host with 6 cores and 640 Mbit/s has more than any of this
+	// work needs.
+	maxClass = 8
+	// quickClass is the lowest class whose hosts read the whole store quickly: with 0.4 of a core
+	// and 40 Mbit/s, 3,000 entries take 0.4 s.
 	quickClass Class = 4
 )
 
-// ClassOf is the class of a host with so many cores and such a link; what it has less
-// of counts. It is not known if either is zero.
+// ClassOf returns the class of a host with the given cores and link; the scarcer of the two
+// determines it. It is unknown if either is zero.
 func ClassOf(cores, linkMbps float64) Class {
-	least := min(cores/classCores, linkMbps/classLinkMbps)
-	if !(least > 0) {
+	ratio := min(cores/classCores, linkMbps/classLinkMbps)
+	if !(ratio > 0) {
 		return 0
 	}
-	return Class(min(max(1+math.Floor(math.Log2(least)), 1), mostClass))
+	return Class(min(max(1+math.Floor(math.Log2(ratio)), 1), maxClass))
 }
 
-// Quick says whether a host reads the whole store within a moment.
+// Quick reports whether a host reads the whole store quickly.
 func (c Class) Quick() bool {
 	return c >= quickClass
 }
 
-// share is the part of the directory that a host of the class keeps, relative to
-// others: bytes for it are bounded alike on all hosts, so it grows slowly.
+// share returns the relative share of the directory that a host of the class keeps. It grows
+// slowly, since all hosts have the same byte budget for it.
 func (c Class) share() float64 {
 	return float64(c + 1)
 }
 
-// weighed makes a rendezvous score one of a place with a share: of two places, the one
-// with twice the share comes first twice as often, and one that comes or goes moves
-// only what it gets or had. Among equal shares the order is that of the scores.
-func weighed(score uint64, share float64) float64 {
-	const most = float64(1<<63) * 2
-	drawn := (float64(score) + 0.5) / most
-	return -share / math.Log(min(drawn, math.Nextafter(1, 0)))
+// weightedScore turns a rendezvous score into one that is weighted by a share. Of two gateways,
+// the one with twice the share comes first twice as often, and a gateway that joins or leaves
+// moves only what it gains or had. Among equal shares the order is that of the scores.
+func weightedScore(score uint64, share float64) float64 {
+	const scale = float64(1<<63) * 2
+	uniform := (float64(score) + 0.5) / scale
+	return -share / math.Log(min(uniform, math.Nextafter(1, 0)))
 }
--- a/internal/peer/class_test.go
+++ b/internal/peer/class_test.go
@@ -39,28 +39,28 @@
 
 // classTables are what each of many gateways knows, on hosts of the classes given.
 func classTables(classes []Class) map[string]*table {
-	made := make(map[string]*table, len(classes))
+	all := make(map[string]*table, len(classes))
 	for self, class := range classes {
 		known := newTable(fmt.Sprint(self), nil, "", 7000)
 		known.class = class
 		for other, class := range classes {
 			if other != self {
-				known.take(beatOfClass(fmt.Sprint(other), uint64(other+2), class), start)
+				known.record(heartbeatOfClass(fmt.Sprint(other), uint64(other+2), class), start)
 			}
 		}
-		made[known.self] = known
+		all[known.self] = known
 	}
-	return made
+	return all
 }
 
-func beatOfClass(id string, life uint64, class Class) *wire.GatewayBeat {
-	beat := beatOf(id, 1)
-	beat.Life, beat.HostClass = life, uint32(class)
-	return beat
+func heartbeatOfClass(id string, incarnation uint64, class Class) *wire.GatewayBeat {
+	heartbeat := heartbeatFrom(id, 1)
+	heartbeat.Life, heartbeat.HostClass = incarnation, uint32(class)
+	return heartbeat
 }
 
-// classesOf are the classes of so many hosts, of which the first few are large.
-func classesOf(count, large int) []Class {
+// hostClasses are the classes of so many hosts, of which the first few are large.
+func hostClasses(count, large int) []Class {
 	classes := make([]Class, count)
 	for i := range classes {
 		classes[i] = 2
@@ -71,17 +71,17 @@
 	return classes
 }
 
-// TestLargerHostsAskFirst: all agree that those who ask the store are on the largest
+// TestLargerHostsAskStoreFirst: all agree that those who ask the store are on the largest
 // hosts, and that no small host passes on what a large one could.
-func TestLargerHostsAskFirst(t *testing.T) {
+func TestLargerHostsAskStoreFirst(t *testing.T) {
 	cases := map[string]struct {
 		classes []Class
 		askers  Class
 	}{
-		"28 hosts, 8 large":            {classesOf(28, 8), 5},
-		"300 hosts, 84 large":          {classesOf(300, 84), 5},
-		"two large ones":               {classesOf(100, 2), 5},
-		"all alike":                    {classesOf(30, 0), 2},
+		"28 hosts, 8 large":            {hostClasses(28, 8), 5},
+		"300 hosts, 84 large":          {hostClasses(300, 84), 5},
+		"two large ones":               {hostClasses(100, 2), 5},
+		"all alike":                    {hostClasses(30, 0), 2},
 		"older gateways tell no class": {append(make([]Class, 20), 2, 2), 2},
 		"only older gateways":          {make([]Class, 20), 0},
 	}
@@ -90,18 +90,18 @@
 			is := is.New(t)
 			asking := 0
 			for id, known := range classTables(tc.classes) {
-				seen := known.look(start)
-				if seen.asks() {
+				current := known.newView(start)
+				if current.asksStore() {
 					asking++
 					is.Equal(known.class, tc.askers)
 				}
-				if parent := seen.parent(); parent != nil {
+				if parent := current.parent(); parent != nil {
 					is.True(parent.class >= known.class)
 				}
-				for _, other := range seen.candidates[:seen.rank] {
+				for _, other := range current.candidates[:current.rank] {
 					is.True(other.class >= known.class)
 				}
-				is.Equal(len(seen.candidates), len(tc.classes)-1)
+				is.Equal(len(current.candidates), len(tc.classes)-1)
 				_ = id
 			}
 			is.Equal(asking, watchers)
@@ -109,69 +109,69 @@
 	}
 }
 
-// TestTheLastLargeHostDies: the next class takes its place once it is silent, and
+// TestLossOfLastLargeHost: the next class takes its place once it is silent, and
 // gives it back.
-func TestTheLastLargeHostDies(t *testing.T) {
+func TestLossOfLastLargeHost(t *testing.T) {
 	is := is.New(t)
-	tables := classTables(classesOf(30, 1))
+	tables := classTables(hostClasses(30, 1))
 	asking := func(now time.Time, dead string) (ids []string) {
 		for id, known := range tables {
-			if id != dead && known.look(now).asks() {
+			if id != dead && known.newView(now).asksStore() {
 				ids = append(ids, id)
 			}
 		}
 		return ids
 	}
 	is.Equal(len(asking(start, "")), watchers)
-	is.True(tables["0"].look(start).rank == 0)
-	later := start.Add(watcherSilentOfMany + time.Millisecond)
+	is.True(tables["0"].newView(start).rank == 0)
+	later := start.Add(watcherTimeoutLarge + time.Millisecond)
 	for id, known := range tables {
 		for other := 1; other < len(tables); other++ {
 			if fmt.Sprint(other) != id {
-				beat := beatOfClass(fmt.Sprint(other), uint64(other+2), 2)
-				beat.Sequence = 2
-				known.take(beat, later)
+				heartbeat := heartbeatOfClass(fmt.Sprint(other), uint64(other+2), 2)
+				heartbeat.Sequence = 2
+				known.record(heartbeat, later)
 			}
 		}
 	}
 	is.Equal(len(asking(later, "0")), watchers)
 	for id, known := range tables {
-		beat := beatOfClass("0", 2, 5)
-		beat.Sequence = 3
+		heartbeat := heartbeatOfClass("0", 2, 5)
+		heartbeat.Sequence = 3
 		if id != "0" {
-			known.take(beat, later)
-			is.True(known.look(later).candidates[0].id == "0")
+			known.record(heartbeat, later)
+			is.True(known.newView(later).candidates[0].id == "0")
 		}
 	}
 	is.Equal(len(asking(later, "")), watchers)
 }
 
-// TestABeatThatLeavesOutItsSenderKeepsTheClass: most beats don't say who sends them.
-func TestABeatThatLeavesOutItsSenderKeepsTheClass(t *testing.T) {
+// TestHeartbeatWithoutSenderKeepsClass: most beats don't say who sends them.
+func TestHeartbeatWithoutSenderKeepsClass(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", nil, "", 7000)
-	known.take(beatOfClass("1", 7, 5), start)
-	taken, _ := known.take(&wire.GatewayBeat{Life: 7, Sequence: 2, StoreReachable: true}, start)
+	known.record(heartbeatOfClass("1", 7, 5), start)
+	taken, _ := known.record(&wire.GatewayBeat{Life: 7, Sequence: 2, StoreReachable: true}, start)
 	is.Equal(taken.class, Class(5))
-	again := beatOfClass("1", 7, 3) // its host was replaced
-	again.Sequence = 3
-	taken, _ = known.take(again, start)
+	replaced := heartbeatOfClass("1", 7, 3) // its host was replaced
+	replaced.Sequence = 3
+	taken, _ = known.record(replaced, start)
 	is.Equal(taken.class, Class(3))
-	beyond := beatOfClass("1", 7, 1<<30)
-	beyond.Sequence = 4
-	taken, _ = known.take(beyond, start)
-	is.Equal(taken.class, Class(mostClass))
+	tooLarge := heartbeatOfClass("1", 7, 1<<30)
+	tooLarge.Sequence = 4
+	taken, _ = known.record(tooLarge, start)
+	is.Equal(taken.class, Class(maxClass))
 }
 
-// TestLargeHostsGiveWholeCopies: whoever begins asks one of the large hosts that have a
+// TestWholeCopiesComeFromLargeHosts: whoever begins asks one of the large hosts that have a
 // copy, each of them in turn, and a small one only while the large ones refuse.
-func TestLargeHostsGiveWholeCopies(t *testing.T) {
+func TestWholeCopiesComeFromLargeHosts(t *testing.T) {
 	const refused = time.Second
 	cases := map[string]struct {
-		own     int64
-		fail    int // large hosts that refused a moment ago
-		classes []Class
-		asked   int
+		own      int64
+		refusing int // large hosts that refused a moment ago
+		classes  []Class
+		sources  int
 	}{
 		"a process that holds nothing":    {0, 0, []Class{5}, 3},
 		"one large host refuses":          {0, 1, []Class{5}, 2},
@@ -181,41 +181,41 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
+			service := newTestService()
 			service.options.Replica = &fakeReplica{revision: tc.own}
 			now := time.Now()
-			for number, class := range classesOf(fewPeers, 3) { // too few for a tree
-				beat := beatOfClass(fmt.Sprint(number), uint64(number+2), class)
-				beat.Revision = 9
-				if number == fewPeers-1 {
-					beat.Revision = 10 // a small host is ahead of all
+			for number, class := range hostClasses(fullMeshLimit, 3) { // too few for a tree
+				heartbeat := heartbeatOfClass(fmt.Sprint(number), uint64(number+2), class)
+				heartbeat.Revision = 9
+				if number == fullMeshLimit-1 {
+					heartbeat.Revision = 10 // a small host is ahead of all
 				}
-				known, _ := service.table.take(beat, now)
-				if number < tc.fail {
-					known.failedAt = now.Add(-refused)
+				known, _ := service.table.record(heartbeat, now)
+				if number < tc.refusing {
+					known.pullFailedAt = now.Add(-refused)
 				}
 			}
-			asked := make(map[string]bool)
+			sources := make(map[string]bool)
 			for range 400 {
-				service.seen = nil
-				ahead := service.ahead(now)
-				asked[ahead.id] = true
+				service.cachedView = nil
+				ahead := service.peerAhead(now)
+				sources[ahead.id] = true
 				is.Equal(ahead.class, tc.classes[0])
 			}
-			is.Equal(len(asked), tc.asked)
+			is.Equal(len(sources), tc.sources)
 		})
 	}
 }
 
-// TestLargeHostsKeepMoreOfTheDirectory: by class + 1, and all agree.
-func TestLargeHostsKeepMoreOfTheDirectory(t *testing.T) {
+// TestDirectoryShareByClass: by class + 1, and all agree.
+func TestDirectoryShareByClass(t *testing.T) {
 	is := is.New(t)
 	const parts, large = 20000, 8
-	all := classTables(classesOf(28, large))
+	all := classTables(hostClasses(28, large))
 	kept := make(map[bool]int)
 	for part := range uint32(parts) {
-		keeper := all["0"].look(start).keeper(part<<8, policy.HashName("0"))
-		other := all["20"].look(start).keeper(part<<8, policy.HashName("20"))
+		keeper := all["0"].newView(start).keeper(part<<8, policy.HashName("0"))
+		other := all["20"].newView(start).keeper(part<<8, policy.HashName("20"))
 		kept[keeper == nil || keeper.class == 5]++
 		is.True(keeper == nil && other.id == "0" || keeper != nil && (other == nil && keeper.id == "20" || other != nil && other.id == keeper.id))
 	}
@@ -224,16 +224,16 @@
 	is.True(each < 2.2) // (5 + 1) / (2 + 1)
 }
 
-// TestWeighedScoresOfEqualSharesKeepTheirOrder: hosts that are alike keep what they
+// TestWeightedScoreKeepsOrderOfEqualShares: hosts that are alike keep what they
 // kept before there were classes.
-func TestWeighedScoresOfEqualSharesKeepTheirOrder(t *testing.T) {
+func TestWeightedScoreKeepsOrderOfEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Uint64().Draw(t, "a"), rapid.Uint64().Draw(t, "b")
-		share := Class(rapid.IntRange(0, mostClass).Draw(t, "class")).share()
-		if a < b && weighed(a, share) > weighed(b, share) {
+		share := Class(rapid.IntRange(0, maxClass).Draw(t, "class")).share()
+		if a < b && weightedScore(a, share) > weightedScore(b, share) {
 			t.Fatalf("%d comes before %d", a, b)
 		}
-		if w := weighed(a, share); math.IsNaN(w) || w < 0 {
+		if w := weightedScore(a, share); math.IsNaN(w) || w < 0 {
 			t.Fatalf("%d weighs %v", a, w)
 		}
 	})
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -12,34 +12,33 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Among many gateways, none can learn of all that the others have placed: what
-// each would have to report grows with their number. For each part of prompts one gateway
-// keeps track of where it is cached, the first in the part's rendezvous order.
-// Whoever places a long part reports it there; whoever does not know where a part
-// is asks there, and waits for the answer for a moment. Nothing rests on it: an
-// answer that does not come costs a guess. Where gateways disagree on who is
-// there, as while some begin or end, a part may be asked for in vain.
+// In a large fleet no gateway can learn of all placements of the others: what each would have to
+// report grows with the number of gateways. So for each part of prompts one gateway, the keeper,
+// tracks where the part is cached: the first one in the part's rendezvous order. A gateway that
+// places a long part reports it to the keeper, and a gateway that doesn't know where a part is
+// cached asks the keeper and waits briefly for the answer. Correctness doesn't depend on it:
+// without an answer the gateway has to guess. Where gateways disagree on who is live, for example
+// while some start or stop, a lookup may find nothing.
 
 const (
-	// findTimeout bounds the wait for an answer. It is some ten times what an
-	// answer takes between data centres of a region, and a fiftieth of what
-	// reading a long part takes.
+	// findTimeout limits the wait for an answer. It is some ten times what an answer takes between
+	// data centres of a region, and a fiftieth of what reading a long part takes.
 	findTimeout = 20 * time.Millisecond
-	// waiterLife is how long a gateway that asked for a part that is being read
-	// is remembered, to be notified when it has been read: no request waits longer.
-	waiterLife = time.Second
-	// directoryShare of the budget of bytes is what the directory and news of
-	// refused targets may use; what does not fit is left out. In a surge they
-	// would leave nothing for loads, just when these count.
+	// waiterTTL is how long a gateway that looked up a part that is still being read is remembered,
+	// to be notified when it has been read. No request waits longer.
+	waiterTTL = time.Second
+	// directoryShare is the share of the byte budget that the directory and refused targets may
+	// use; datagrams beyond it are dropped. Otherwise they would leave no bytes for loads during a
+	// surge, when loads matter most.
 	directoryShare = 0.35
 )
 
-// directory is one gateway's part in keeping track of placements.
+// directory is one gateway's part of the placement directory.
 type directory struct {
-	// questions are those under way, by number; an answer closes the channel.
-	questions map[uint32]chan struct{}
-	last      uint32
-	// waiters are the gateways to be notified when a part has been read.
+	// questions holds the open questions by number; an answer closes the channel.
+	questions  map[uint32]chan struct{}
+	lastNumber uint32
+	// waiters holds the gateways to notify when a part has been read.
 	waiters map[uint32][]waiter
 }
 
@@ -53,19 +52,19 @@
 	return &directory{questions: make(map[uint32]chan struct{}), waiters: make(map[uint32][]waiter)}
 }
 
-// ask begins a question.
+// ask registers a new question.
 func (d *directory) ask() (number uint32, answered chan struct{}) {
-	d.last++
-	if d.last == 0 {
-		d.last++ // zero asks nothing
+	d.lastNumber++
+	if d.lastNumber == 0 {
+		d.lastNumber++ // zero means that nothing is asked
 	}
 	answered = make(chan struct{})
-	d.questions[d.last] = answered
-	return d.last, answered
+	d.questions[d.lastNumber] = answered
+	return d.lastNumber, answered
 }
 
-// end ends a question; it returns false if it had ended before.
-func (d *directory) end(number uint32) bool {
+// finish closes a question; it returns false if the question was closed before.
+func (d *directory) finish(number uint32) bool {
 	answered, ok := d.questions[number]
 	if ok {
 		close(answered)
@@ -74,7 +73,7 @@
 	return ok
 }
 
-// expire forgets the gateways that wait no more.
+// expire removes the gateways whose wait has timed out.
 func (d *directory) expire(now time.Time) {
 	for part, waiting := range d.waiters {
 		if now.After(waiting[len(waiting)-1].until) {
@@ -83,26 +82,25 @@
 	}
 }
 
-// keeper is the gateway that keeps track of a part; nil if it is this one. The
-// others are those that answer and do not leave. A large host keeps more than a
-// small one.
+// keeper returns the gateway that tracks a part; nil if it is this one. Gateways that leave or
+// don't answer are skipped. A large host keeps more parts than a small one.
 func (v *view) keeper(part uint32, self uint64) *peer {
 	key := uint64(part) << 32
 	var best *peer
-	bestScore := weighed(policy.Score(key, self), v.class.share())
+	bestScore := weightedScore(policy.Score(key, self), v.class.share())
 	for _, known := range v.live {
-		if known.leaving || known.unfound >= mostUnanswered {
+		if known.leaving || known.unansweredLookups >= maxUnanswered {
 			continue
 		}
-		if score := weighed(policy.Score(key, known.hash), known.class.share()); score > bestScore {
+		if score := weightedScore(policy.Score(key, known.hash), known.class.share()); score > bestScore {
 			best, bestScore = known, score
 		}
 	}
 	return best
 }
 
-// Find asks where parts are cached and has the balancer learn it. It returns
-// when all answers are here, or after a moment without them.
+// Find asks the keepers where parts are cached and passes the answers to the balancer. It returns
+// when all answers have arrived, or after findTimeout.
 func (s *Service) Find(ctx context.Context, parts []uint32) balance.Finding {
 	asked := s.ask(parts)
 	if len(asked) == 0 {
@@ -110,7 +108,7 @@
 	}
 	timer := time.NewTimer(findTimeout)
 	defer timer.Stop()
-	found := balance.Answered
+	finding := balance.Answered
 	for _, question := range asked {
 		select {
 		case <-question.answered:
@@ -118,41 +116,41 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		found = balance.Unanswered
+		finding = balance.Unanswered
 		break
 	}
-	s.endQuestions(asked, ctx.Err() == nil)
-	return found
+	s.finishQuestions(asked, ctx.Err() == nil)
+	return finding
 }
 
-// question is one that was asked of a peer.
+// question is a lookup that was sent to a peer.
 type question struct {
 	number   uint32
 	peer     *peer
 	answered chan struct{}
 }
 
-// ask asks the keepers of parts; of those that this gateway keeps track of
-// itself nobody is asked.
+// ask sends lookups for parts to their keepers, except for the parts that this gateway keeps
+// itself.
 func (s *Service) ask(parts []uint32) []question {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.look(now)
-	if !seen.many {
+	current := s.currentView(now)
+	if !current.large {
 		return nil
 	}
 	var asked []question
 	for _, part := range parts {
-		keeper := seen.keeper(part, s.hash)
+		keeper := current.keeper(part, s.hash)
 		if keeper == nil {
 			continue
 		}
 		number, answered := s.directory.ask()
-		beat := s.bare()
-		beat.Question, beat.Part = number, part
-		if !s.sendBare(keeper, beat) {
-			s.directory.end(number)
+		heartbeat := s.bareHeartbeat()
+		heartbeat.Question, heartbeat.Part = number, part
+		if !s.sendDirectory(keeper, heartbeat) {
+			s.directory.finish(number)
 			continue
 		}
 		asked = append(asked, question{number: number, peer: keeper, answered: answered})
@@ -160,125 +158,125 @@
 	return asked
 }
 
-// endQuestions ends those that were not answered. Unless nobody waits any more,
-// that counts against the peer that was asked.
-func (s *Service) endQuestions(asked []question, blame bool) {
+// finishQuestions closes the questions that were not answered. Each of them counts against the
+// peer that was asked, unless blame is false because the caller gave up.
+func (s *Service) finishQuestions(asked []question, blame bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, question := range asked {
-		if s.directory.end(question.number) && blame {
-			question.peer.unfound++
+		if s.directory.finish(question.number) && blame {
+			question.peer.unansweredLookups++
 		}
 	}
 }
 
-// answer answers a question with what is known here of a part.
+// answer answers a lookup with what this gateway knows of a part.
 func (s *Service) answer(from *peer, question *wire.GatewayBeat, now time.Time) {
 	part := question.GetPart()
 	holders, filling := s.options.Balancer.Cached(part, now)
 	if len(holders) == 0 && len(filling) > 0 {
-		s.directory.waiters[part] = append(s.directory.waiters[part], waiter{id: from.id, until: now.Add(waiterLife)})
+		s.directory.waiters[part] = append(s.directory.waiters[part], waiter{id: from.id, until: now.Add(waiterTTL)})
 	}
-	beat := s.bare()
-	beat.Answer = question.GetQuestion()
-	beat.Parts, beat.Holders = columns(holders)
-	beat.FillParts, beat.FillTargets = columns(filling)
-	s.sendBare(from, beat)
+	heartbeat := s.bareHeartbeat()
+	heartbeat.Answer = question.GetQuestion()
+	heartbeat.Parts, heartbeat.Holders = splitPlacements(holders)
+	heartbeat.FillParts, heartbeat.FillTargets = splitPlacements(filling)
+	s.sendDirectory(from, heartbeat)
 }
 
-// bare begins a beat that says nothing of this process. A peer that doesn't know it drops it.
-func (s *Service) bare() *wire.GatewayBeat {
+// bareHeartbeat returns a heartbeat without the state of this process. A peer that doesn't know
+// the sender drops it.
+func (s *Service) bareHeartbeat() *wire.GatewayBeat {
 	s.sequence++
-	s.sentAt[s.sequence%sentKept] = clock.Now()
-	return &wire.GatewayBeat{Life: s.life, Sequence: s.sequence, Brief: true, Bare: true}
+	s.sentAt[s.sequence%sentHistory] = clock.Now()
+	return &wire.GatewayBeat{Life: s.incarnation, Sequence: s.sequence, Brief: true, Bare: true}
 }
 
-// bareTo is that for what a peer must not miss: it says who sends it if the peer may not know.
-func (s *Service) bareTo(to *peer) *wire.GatewayBeat {
-	beat := s.bare()
-	if to.beats < introduceFirst {
-		s.introduce(beat)
+// bareHeartbeatTo is bareHeartbeat for content that the peer must not miss: it names the sender if
+// the peer may not know it.
+func (s *Service) bareHeartbeatTo(to *peer) *wire.GatewayBeat {
+	heartbeat := s.bareHeartbeat()
+	if to.heartbeatsSent < senderFirst {
+		s.addSender(heartbeat)
 	}
-	return beat
+	return heartbeat
 }
 
-// sendBare sends a bare beat at once, unless the directory's share of the budget
-// is spent.
-func (s *Service) sendBare(to *peer, beat *wire.GatewayBeat) bool {
-	if !s.directoryBucket.AllowN(time.Now(), proto.Size(beat)) {
+// sendDirectory sends a bare heartbeat at once, unless the directory's share of the budget is
+// spent.
+func (s *Service) sendDirectory(to *peer, heartbeat *wire.GatewayBeat) bool {
+	if !s.directoryBucket.AllowN(time.Now(), proto.Size(heartbeat)) {
 		return false
 	}
-	return s.send(to.address, beat, true)
+	return s.send(to.address, heartbeat, true)
 }
 
-// Placed reports parts that targets have read to the gateways that keep track of
-// them.
+// Placed reports parts that targets have read to their keepers.
 func (s *Service) Placed(placements []balance.Placement) {
-	s.reportToKeepers(placements, func(beat *wire.GatewayBeat, placement balance.Placement) {
-		beat.Parts, beat.Holders = columns([]balance.Placement{placement})
+	s.reportToKeepers(placements, func(heartbeat *wire.GatewayBeat, placement balance.Placement) {
+		heartbeat.Parts, heartbeat.Holders = splitPlacements([]balance.Placement{placement})
 	})
 }
 
-// Filling reports parts that targets have begun to read to the gateways that keep
-// track of them.
+// Filling reports parts that targets have begun to read to their keepers.
 func (s *Service) Filling(placements []balance.Placement) {
-	s.reportToKeepers(placements, func(beat *wire.GatewayBeat, placement balance.Placement) {
-		beat.FillParts, beat.FillTargets = columns([]balance.Placement{placement})
+	s.reportToKeepers(placements, func(heartbeat *wire.GatewayBeat, placement balance.Placement) {
+		heartbeat.FillParts, heartbeat.FillTargets = splitPlacements([]balance.Placement{placement})
 	})
 }
 
-// reportToKeepers sends each placement to the gateway that keeps track of its part.
-// Few gateways tell each other everything in their beats.
-func (s *Service) reportToKeepers(placements []balance.Placement, put func(beat *wire.GatewayBeat, placement balance.Placement)) {
+// reportToKeepers sends each placement to the keeper of its part. In a small fleet, heartbeats
+// carry all placements instead.
+func (s *Service) reportToKeepers(placements []balance.Placement, put func(heartbeat *wire.GatewayBeat, placement balance.Placement)) {
 	if len(placements) == 0 {
 		return
 	}
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.look(now)
-	if !seen.many {
+	current := s.currentView(now)
+	if !current.large {
 		return
 	}
 	for _, placement := range placements {
-		keeper := seen.keeper(placement.Part, s.hash)
+		keeper := current.keeper(placement.Part, s.hash)
 		if keeper == nil {
 			s.notifyWaiters(placement, now)
 			continue
 		}
-		beat := s.bare()
-		put(beat, placement)
-		s.sendBare(keeper, beat)
+		heartbeat := s.bareHeartbeat()
+		put(heartbeat, placement)
+		s.sendDirectory(keeper, heartbeat)
 	}
 }
 
-// takePlacements takes the placements of a beat.
-func (s *Service) takePlacements(beat *wire.GatewayBeat, now time.Time) {
-	placements := placementsOf(beat.GetParts(), beat.GetHolders())
+// applyPlacements applies the placements of a heartbeat.
+func (s *Service) applyPlacements(heartbeat *wire.GatewayBeat, now time.Time) {
+	placements := placementsOf(heartbeat.GetParts(), heartbeat.GetHolders())
 	s.options.Balancer.Learn(placements)
-	s.options.Balancer.LearnFills(placementsOf(beat.GetFillParts(), beat.GetFillTargets()), now)
+	s.options.Balancer.LearnFills(placementsOf(heartbeat.GetFillParts(), heartbeat.GetFillTargets()), now)
 	for _, placement := range placements {
 		s.notifyWaiters(placement, now)
 	}
-	if number := beat.GetAnswer(); number != 0 {
-		s.directory.end(number)
+	if number := heartbeat.GetAnswer(); number != 0 {
+		s.directory.finish(number)
 	}
 }
 
-// notifyWaiters notifies the gateways that wait for a part that a target holds it.
+// notifyWaiters tells the gateways that wait for a part which target holds it.
 func (s *Service) notifyWaiters(placement balance.Placement, now time.Time) {
 	waiting := s.directory.waiters[placement.Part]
 	if len(waiting) == 0 || !s.options.Balancer.Holds(placement) {
 		return
 	}
 	delete(s.directory.waiters, placement.Part)
-	for _, waits := range waiting {
-		known := s.table.peers[waits.id]
-		if known == nil || now.After(waits.until) {
+	for _, entry := range waiting {
+		known := s.table.peers[entry.id]
+		if known == nil || now.After(entry.until) {
 			continue
 		}
-		beat := s.bare()
-		beat.Parts, beat.Holders = columns([]balance.Placement{placement})
-		s.sendBare(known, beat)
+		heartbeat := s.bareHeartbeat()
+		heartbeat.Parts, heartbeat.Holders = splitPlacements([]balance.Placement{placement})
+		s.sendDirectory(known, heartbeat)
 	}
 }
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -15,19 +15,19 @@
 )
 
 // many is enough gateways not to tell each other everything.
-const many = fewPeers + 4
+const largeFleet = fullMeshLimit + 4
 
-// newMany are gateways that have discovered each other.
-func newMany(t *testing.T) []*node {
+// newLargeFleet are gateways that have discovered each other.
+func newLargeFleet(t *testing.T) []*node {
 	t.Helper()
 	network := link.NewMemory()
 	nodes := []*node{newNode(t, "node-0", network)}
-	for i := 1; i < many; i++ {
+	for i := 1; i < largeFleet; i++ {
 		nodes = append(nodes, newNode(t, fmt.Sprintf("node-%d", i), network, nodes[0].service.options.Address))
 	}
-	until(t, "all know all", func() bool {
+	waitFor(t, "all know all", func() bool {
 		for _, known := range nodes {
-			if known.service.Live() != many-1 {
+			if known.service.Live() != largeFleet-1 {
 				return false
 			}
 		}
@@ -39,67 +39,67 @@
 // keeperOf is the one gateway that takes itself for the keeper of a part.
 func keeperOf(t *testing.T, nodes []*node, part uint32) int {
 	t.Helper()
-	found := -1
+	keeper := -1
 	for i, known := range nodes {
 		known.service.mu.Lock()
-		own := known.service.look(time.Now()).keeper(part, known.service.hash) == nil
+		isKeeper := known.service.currentView(time.Now()).keeper(part, known.service.hash) == nil
 		known.service.mu.Unlock()
-		if own && found >= 0 {
-			t.Fatalf("part %d has two keepers, %d and %d", part, found, i)
+		if isKeeper && keeper >= 0 {
+			t.Fatalf("part %d has two keepers, %d and %d", part, keeper, i)
 		}
-		if own {
-			found = i
+		if isKeeper {
+			keeper = i
 		}
 	}
-	if found < 0 {
+	if keeper < 0 {
 		t.Fatalf("part %d has no keeper", part)
 	}
-	return found
+	return keeper
 }
 
 // others are two gateways that do not keep track of a part.
-func others(keeper int) (one, other int) {
-	return (keeper + 1) % many, (keeper + 2) % many
+func otherThan(keeper int) (one, other int) {
+	return (keeper + 1) % largeFleet, (keeper + 2) % largeFleet
 }
 
-func holderOf(part uint32) balance.Placement {
+func placementOf(part uint32) balance.Placement {
 	return balance.Placement{Part: part, Target: uint32(policy.HashName("t") >> 32)}
 }
 
 func holds(known *node, part uint32) func() bool {
-	return func() bool { return known.balancer.Holds(holderOf(part)) }
+	return func() bool { return known.balancer.Holds(placementOf(part)) }
 }
 
-// TestAPlacementIsFound: what one gateway has placed another one finds by
+// TestFindPlacement: what one gateway has placed another one finds by
 // asking the gateway that keeps track of it.
-func TestAPlacementIsFound(t *testing.T) {
+func TestFindPlacement(t *testing.T) {
 	is := is.New(t)
-	nodes := newMany(t)
+	nodes := newLargeFleet(t)
 	const part = 42
 	keeper := keeperOf(t, nodes, part)
-	placer, asker := others(keeper)
+	placer, asker := otherThan(keeper)
 	query := balance.Query{Service: "s", Parts: []uint64{part << 32}, Tokens: []int{5000}}
-	until(t, "the keeper knows", func() bool {
+	waitFor(t, "the keeper knows", func() bool {
 		placed := nodes[placer].balancer.Confirm("t", query)
 		nodes[placer].service.Placed(placed)
 		return holds(nodes[keeper], part)()
 	})
-	until(t, "the asker finds it", func() bool {
+	waitFor(t, "the asker finds it", func() bool {
 		return nodes[asker].service.Find(t.Context(), []uint32{part}) == balance.Answered && holds(nodes[asker], part)()
 	})
 	is.Equal(nodes[keeper].service.Find(t.Context(), []uint32{part}), balance.NotAsked) // it would ask itself
 }
 
-// TestWhoWaitsForAReadingIsNotified: a gateway that asks for a part which is being
+// TestWaitersAreNotified: a gateway that asks for a part which is being
 // read is notified as soon as it has been.
-func TestWhoWaitsForAReadingIsNotified(t *testing.T) {
-	nodes := newMany(t)
+func TestWaitersAreNotified(t *testing.T) {
+	nodes := newLargeFleet(t)
 	const part = 43
 	keeper := keeperOf(t, nodes, part)
-	placer, asker := others(keeper)
+	placer, asker := otherThan(keeper)
 	query := balance.Query{Service: "s", Parts: []uint64{part << 32}, Tokens: []int{5000}}
 	var done <-chan struct{}
-	until(t, "the asker learns of the reading", func() bool {
+	waitFor(t, "the asker learns of the reading", func() bool {
 		pick, _ := nodes[placer].balancer.Choose(query, time.Now())
 		nodes[placer].service.Filling(pick.Fills)
 		nodes[asker].service.Find(t.Context(), []uint32{part})
@@ -111,51 +111,51 @@
 		return filling
 	})
 	nodes[placer].service.Placed(nodes[placer].balancer.Confirm("t", query))
-	until(t, "the asker is notified", holds(nodes[asker], part))
+	waitFor(t, "the asker is notified", holds(nodes[asker], part))
 	<-done
 }
 
-// TestAKeeperThatIsGoneIsPassedOver: a question that nobody answers ends, and
+// TestLostKeeperIsReplaced: a question that nobody answers ends, and
 // after a few of them another gateway is asked.
-func TestAKeeperThatIsGoneIsPassedOver(t *testing.T) {
+func TestLostKeeperIsReplaced(t *testing.T) {
 	is := is.New(t)
-	nodes := newMany(t)
+	nodes := newLargeFleet(t)
 	const part = 44
 	keeper := keeperOf(t, nodes, part)
-	asker, _ := others(keeper)
+	asker, _ := otherThan(keeper)
 	is.NoErr(nodes[keeper].service.Close())
 	is.Equal(nodes[asker].service.Find(t.Context(), []uint32{part}), balance.Unanswered)
-	until(t, "another gateway answers, or this one keeps track itself", func() bool {
+	waitFor(t, "another gateway answers, or this one keeps track itself", func() bool {
 		return nodes[asker].service.Find(t.Context(), []uint32{part}) != balance.Unanswered
 	})
 }
 
-// TestFewAskNobody: few gateways tell each other everything.
-func TestFewAskNobody(t *testing.T) {
+// TestFindInSmallFleet: few gateways tell each other everything.
+func TestFindInSmallFleet(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
-	until(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
+	waitFor(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
 	is.Equal(two.service.Find(t.Context(), []uint32{1}), balance.NotAsked)
 }
 
-// TestKeepersSpread: each of many gateways keeps track of about its share of
+// TestKeepersAreBalanced: each of many gateways keeps track of about its share of
 // the parts, and all agree on whose it is.
-func TestKeepersSpread(t *testing.T) {
+func TestKeepersAreBalanced(t *testing.T) {
 	is := is.New(t)
 	const gateways, parts = 103, 5000
 	all := tables(gateways)
 	kept := make(map[string]int)
 	for part := range uint32(parts) {
-		keeper := all["0"].look(start).keeper(part<<8, policy.HashName("0"))
+		keeper := all["0"].newView(start).keeper(part<<8, policy.HashName("0"))
 		id := "0"
 		if keeper != nil {
 			id = keeper.id
 		}
 		kept[id]++
 		for _, self := range []string{"1", "50", "102"} {
-			other := all[self].look(start).keeper(part<<8, policy.HashName(self))
+			other := all[self].newView(start).keeper(part<<8, policy.HashName(self))
 			is.True(other == nil && id == self || other != nil && other.id == id) // all agree
 		}
 	}
@@ -165,12 +165,12 @@
 	is.Equal(len(kept), gateways)
 }
 
-// TestTheDirectoryLeavesBytesForLoads: in a surge on the large site questions and
+// TestDirectoryBudget: in a surge on the large site questions and
 // placements used up the budget: loads were not reported any more, gateways lost
 // each other and took targets that held 150 requests for nearly empty.
-func TestTheDirectoryLeavesBytesForLoads(t *testing.T) {
+func TestDirectoryBudget(t *testing.T) {
 	is := is.New(t)
-	nodes := newMany(t)
+	nodes := newLargeFleet(t)
 	service := nodes[0].service
 	service.mu.Lock()
 	service.directoryBucket = rate.NewLimiter(0, 100) // room for a few
@@ -182,46 +182,46 @@
 	asked := service.ask(parts)
 	is.True(len(asked) > 0)
 	is.True(len(asked) < 10)
-	service.endQuestions(asked, false)
+	service.finishQuestions(asked, false)
 	service.mu.Lock()
 	is.Equal(len(service.directory.questions), 0) // those that were not sent wait for nothing
 	service.mu.Unlock()
 }
 
-// TestABareBeatSaysNothingOfItsSender: what was reported before stands.
-func TestABareBeatSaysNothingOfItsSender(t *testing.T) {
+// TestBareHeartbeatKeepsReportedState: what was reported before stands.
+func TestBareHeartbeatKeepsReportedState(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", nil, "", 7000)
-	full := beatOf("other", 1)
+	full := heartbeatFrom("other", 1)
 	full.StoreReachable, full.Revision, full.HasProof, full.ProofAgeMs = true, 9, true, 70
-	known.take(full, start)
-	known.peers["other"].unanswered, known.peers["other"].unfound = 2, 2
-	taken, change := known.take(&wire.GatewayBeat{Life: full.GetLife(), Sequence: 2, Brief: true, Bare: true}, start.Add(time.Second))
+	known.record(full, start)
+	known.peers["other"].unanswered, known.peers["other"].unansweredLookups = 2, 2
+	taken, change := known.record(&wire.GatewayBeat{Life: full.GetLife(), Sequence: 2, Brief: true, Bare: true}, start.Add(time.Second))
 	is.Equal(change, unchanged)
 	is.True(taken.reachesStore)
 	is.Equal(taken.revision, int64(9))
 	is.Equal(taken.proofAge, 70*time.Millisecond)
-	is.Equal(taken.lastBeat, start.Add(time.Second)) // but it lives
+	is.Equal(taken.lastHeartbeat, start.Add(time.Second)) // but it lives
 	is.Equal(taken.unanswered, 0)
-	is.Equal(taken.unfound, 0)
+	is.Equal(taken.unansweredLookups, 0)
 	is.Equal(taken.sequence, uint64(2))
-	_, change = known.take(&wire.GatewayBeat{Life: 777, Sequence: 1, Brief: true, Bare: true}, start)
+	_, change = known.record(&wire.GatewayBeat{Life: 777, Sequence: 1, Brief: true, Bare: true}, start)
 	is.Equal(change, outdated) // nobody knows who sent it
 }
 
-// TestUnansweredQuestionsCostNoPlace: a peer that answers no question for parts,
+// TestUnansweredLookupsKeepTreeRank: a peer that answers no question for parts,
 // as in a surge, is asked for none, and keeps its place in the tree: when it lost
 // that as well, more gateways than two took themselves for the first and asked the
 // store.
-func TestUnansweredQuestionsCostNoPlace(t *testing.T) {
+func TestUnansweredLookupsKeepTreeRank(t *testing.T) {
 	is := is.New(t)
 	known := tables(30)["0"]
-	before := known.look(start)
+	before := known.newView(start)
 	const part = 7
 	keeper := before.keeper(part, policy.HashName("0"))
 	is.True(keeper != nil)
-	keeper.unfound = mostUnanswered
-	after := known.look(start)
+	keeper.unansweredLookups = maxUnanswered
+	after := known.newView(start)
 	is.True(after.keeper(part, policy.HashName("0")) != keeper)
 	is.Equal(len(after.candidates), len(before.candidates))
 	is.Equal(after.rank, before.rank)
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,16 +1,16 @@
-// Package peer lets gateways report to each other what each needs to know of the
-// others: requests in flight at targets, where parts of prompts are cached,
-// how fresh the configuration is, and the content of the store itself for a
-// gateway that can't reach it.
+// Package peer exchanges between gateways what each needs to know of the others: requests in
+// flight at targets, where parts of prompts are cached, how fresh the configuration is, and the
+// content of the store itself for a gateway that can't reach it.
 //
-// Beats are datagrams and may be lost; nothing depends on a single one. The
-// store's content goes over links. Source: docs/design/platform.md, "Peers".
+// Heartbeats are datagrams and may be lost; nothing depends on a single one. The content of the
+// store is sent over links. Source: docs/design/platform.md, "Peers".
 //
 // Where to look:
 //
-//   - service.go: rounds of beats, and receiving; beat.go: what a beat says
-//   - standing.go: what other parts ask of the others; quarantine.go: crash records
-//   - table.go: who the others are; tree.go: who gets the store's changes from whom
+//   - service.go: rounds of heartbeats, and receiving; heartbeat.go: content of a heartbeat
+//   - status.go: queries of other packages; quarantine.go: crash records
+//   - table.go: the other gateways; tree.go: how the store's changes are passed on
+//   - source.go: whom a starting gateway follows; rollouts.go: reports and grants of roll-outs
 //   - replica.go: fetching the store's content from another gateway
-//   - directory.go: asking where a prompt is cached; refused.go: targets that are gone
+//   - directory.go: looking up where a prompt is cached; refused.go: targets that are gone
 package peer
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -17,12 +17,12 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		beat := new(wire.GatewayBeat)
-		if proto.Unmarshal(data, beat) != nil {
+		heartbeat := new(wire.GatewayBeat)
+		if proto.Unmarshal(data, heartbeat) != nil {
 			return
 		}
-		service := bareService()
+		service := newTestService()
 		service.pulling = true // no links here
-		service.take(beat, time.Unix(1000, 0))
+		service.handleHeartbeat(heartbeat, time.Unix(1000, 0))
 	})
 }
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -15,136 +15,137 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// When a target ends, each gateway knows which of its own requests were under way there:
-// up to 64 at all of them together, of which one is to blame. Ends are summed over
-// gateways by those that keep track of a request, the first few in its rendezvous order:
-// they get each of its records. Only a request with several ends concerns everybody; its
-// record goes from each gateway that learns of it to a few drawn at random. So a
-// target's end costs a gateway some hundred bytes, however many gateways there are. Records are
-// joined in any order and however often they come, so that who repeats one does no harm.
+// When a target crashes, each gateway knows which of its own requests were in flight there: up to
+// 64 over all gateways, one of which is to blame. The keepers of a request, the first few gateways
+// in its rendezvous order, receive each of its records and sum the crashes over gateways. Only a
+// request with several crashes concerns all gateways; each gateway that learns of its record
+// forwards it to a few others chosen at random. So the crash of a target costs a gateway some
+// hundred bytes, whatever the number of gateways. Records merge in any order and any number of
+// times, so repeating one is harmless.
 //
-// Datagrams get lost and gateways are cut off, killed and begun anew: records are sent
-// several times, handed to gateways that are found, and to others in place of
-// those that are lost; beats carry a hash of those requests that are held back, and who has
-// another hash gets the records.
+// Datagrams get lost, and gateways are cut off, killed and restarted. So records are sent several
+// times, to gateways that are newly found, and to new keepers in place of lost ones. In addition,
+// heartbeats carry a hash of the held requests, and a peer with a different hash is sent the
+// records.
 
 const (
-	// CrashKeepers is how many gateways keep track of a request: two of them may be lost
-	// within the moment that it takes to find others.
+	// CrashKeepers is the number of gateways that keep the records of a request. Two of them may be
+	// lost in the short time until new keepers are found.
 	CrashKeepers = 3
-	// crashFanOut is how many gateways a record with several ends is sent to by each that
-	// learns of it, in each round; crashSends is the number of rounds. The chance that none of a
-	// hundred gateways' sendings reaches a given one is below 1 in 10,000 with 3 in 100
-	// datagrams lost.
+	// crashFanOut is the number of gateways to which each gateway that learns of a record with
+	// several crashes sends it in each round; crashSends is the number of rounds. The probability
+	// that a given gateway gets none of a hundred gateways' datagrams is below 1 in 10,000 with 3 %
+	// packet loss.
 	crashFanOut = 4
 	crashSends  = 3
-	// crashShare of the budget of bytes is what records may use on average; they are sent ahead
-	// of loads, since a fatal request ends a target each time that it is sent.
+	// crashShare is the average share of the byte budget that records may use. They are sent before
+	// loads, since a fatal request crashes a target each time that it is sent.
 	crashShare = 0.25
-	// repostShare is the part of the budget for records of single ends that are sent again, since
-	// gateways have come or gone: hundreds of them, every second while many do, took the
-	// bytes of the beats, for lack of which still more gateways were taken for lost.
+	// repostShare is the share of the byte budget for records of single crashes that are sent again
+	// because gateways have come or gone. Without the limit, hundreds of records in each second of
+	// heavy churn displaced the heartbeats, so that even more gateways were taken for lost.
 	repostShare = 0.05
-	// mostCrashRecords is how many records a datagram has, of some 30 bytes each.
-	mostCrashRecords = 32
-	// mostMail bounds the records that wait to be sent: those with the fewest ends are left
-	// out first.
-	mostMail = 1024
-	// repostEvery is the least time between two sendings of all records to those that keep
-	// track of them: where many gateways come or go at once it is done once.
-	repostEvery = 5 * time.Second
-	// digestEvery is the least time between two answers to a peer with another hash.
-	digestEvery = 500 * time.Millisecond
+	// maxCrashRecords limits the records in a datagram, of some 30 bytes each.
+	maxCrashRecords = 32
+	// maxPending limits the records that wait to be sent; those with the fewest crashes are dropped
+	// first.
+	maxPending = 1024
+	// repostInterval is the minimum time between two sendings of all records to their keepers, so
+	// that many gateways that come or go at once cause only one.
+	repostInterval = 5 * time.Second
+	// digestInterval is the minimum time between two replies to a peer with a different hash.
+	digestInterval = 500 * time.Millisecond
 )
 
-// mail is a record that is to be sent in the next rounds.
-type mail struct {
+// outgoingRecord is a record that is to be sent in the next rounds.
+type outgoingRecord struct {
 	record quarantine.Record
-	// wide says that it goes to whomever, and not to the request's keepers.
-	wide bool
-	// again says that it was sent before, to those that kept track of the request then.
-	again bool
-	left  int
+	// broadcast selects random peers as receivers, instead of the request's keepers.
+	broadcast bool
+	// reposted reports that the record was sent before, to the previous keepers of the request.
+	reposted  bool
+	remaining int
 }
 
-// crashMail is what is to be sent of crash records. One goroutine at a time uses it.
-type crashMail struct {
+// crashQueue holds the crash records that are to be sent. It is not safe for concurrent use.
+type crashQueue struct {
 	table  *quarantine.Table
 	bucket *rate.Limiter
-	// reposts is what records that are sent again may use of that.
-	reposts *rate.Limiter
-	out     map[quarantine.Fingerprint]*mail
-	// reshuffle says that gateways have come or gone: others keep track of some requests now.
-	reshuffle  bool
-	repostedAt time.Time
+	// repostBucket limits the part of bucket that records which are sent again may use.
+	repostBucket *rate.Limiter
+	pending      map[quarantine.Fingerprint]*outgoingRecord
+	// peersChanged reports that gateways have come or gone, so that some requests have new keepers.
+	peersChanged bool
+	repostedAt   time.Time
 }
 
-func newCrashMail(table *quarantine.Table, budget int) *crashMail {
-	return &crashMail{
-		table:   table,
-		bucket:  rate.NewLimiter(rate.Limit(crashShare*float64(budget)), max(budget, receiveBuffer)),
-		reposts: rate.NewLimiter(rate.Limit(repostShare*float64(budget)), budget),
-		out:     make(map[quarantine.Fingerprint]*mail),
+func newCrashQueue(table *quarantine.Table, budget int) *crashQueue {
+	return &crashQueue{
+		table:        table,
+		bucket:       rate.NewLimiter(rate.Limit(crashShare*float64(budget)), max(budget, receiveBuffer)),
+		repostBucket: rate.NewLimiter(rate.Limit(repostShare*float64(budget)), budget),
+		pending:      make(map[quarantine.Fingerprint]*outgoingRecord),
 	}
 }
 
-// post has a record sent in the next rounds.
-func (m *crashMail) post(record quarantine.Record, wide bool, times int) {
-	if known, ok := m.out[record.Fingerprint]; ok {
-		wide, times = wide || known.wide, max(times, known.left)
-	} else if len(m.out) >= mostMail && !wide {
-		return // it is sent again when gateways come or go, or with its next end
+// enqueue schedules a record for the next rounds.
+func (m *crashQueue) enqueue(record quarantine.Record, wide bool, times int) {
+	if known, ok := m.pending[record.Fingerprint]; ok {
+		wide, times = wide || known.broadcast, max(times, known.remaining)
+	} else if len(m.pending) >= maxPending && !wide {
+		return // it is sent again when gateways come or go, or with the request's next crash
 	}
-	m.out[record.Fingerprint] = &mail{record: record, wide: wide, left: times}
+	m.pending[record.Fingerprint] = &outgoingRecord{record: record, broadcast: wide, remaining: times}
 }
 
-// repost has a record sent once more, unless it is to be sent anyway.
-func (m *crashMail) repost(record quarantine.Record) {
-	if _, ok := m.out[record.Fingerprint]; !ok && len(m.out) < mostMail {
-		m.out[record.Fingerprint] = &mail{record: record, again: true, left: 1}
+// enqueueRepost schedules a record for one more sending, unless it is scheduled anyway.
+func (m *crashQueue) enqueueRepost(record quarantine.Record) {
+	if _, ok := m.pending[record.Fingerprint]; !ok && len(m.pending) < maxPending {
+		m.pending[record.Fingerprint] = &outgoingRecord{record: record, reposted: true, remaining: 1}
 	}
 }
 
-// mayRepost says whether there are bytes for a record that is sent again to some peers.
-func (m *crashMail) mayRepost(record quarantine.Record, peers int) bool {
-	return m.reposts.AllowN(time.Now(), peers*proto.Size(record.Message()))
+// allowRepost reports whether the budget allows sending a record again to a number of peers.
+func (m *crashQueue) allowRepost(record quarantine.Record, peers int) bool {
+	return m.repostBucket.AllowN(time.Now(), peers*proto.Size(record.Message()))
 }
 
-// due takes what is to be sent now, the records with the most ends first.
-func (m *crashMail) due() []mail {
-	all := make([]mail, 0, len(m.out))
-	for print, known := range m.out {
+// due returns the records to send now, those with the most crashes first, and counts down their
+// remaining rounds.
+func (m *crashQueue) due() []outgoingRecord {
+	all := make([]outgoingRecord, 0, len(m.pending))
+	for fingerprint, known := range m.pending {
 		all = append(all, *known)
-		if known.left--; known.left <= 0 {
-			delete(m.out, print)
+		if known.remaining--; known.remaining <= 0 {
+			delete(m.pending, fingerprint)
 		}
 	}
-	slices.SortFunc(all, func(a, b mail) int {
+	slices.SortFunc(all, func(a, b outgoingRecord) int {
 		return cmp.Or(cmp.Compare(len(b.record.Instances), len(a.record.Instances)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
 	})
 	return all
 }
 
-// Spread passes on what has become of a request's record, at once.
+// Spread sends a changed record to other gateways at once.
 func (s *Service) Spread(change quarantine.Change) {
 	s.mu.Lock()
-	s.crashes.post(change.Record, change.Broadcast(), crashSends)
+	s.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	s.mu.Unlock()
 	s.wake()
 }
 
-// sendCrashes sends what is due of crash records; s.mu is held.
+// sendCrashes sends the crash records that are due. The caller holds s.mu.
 func (s *Service) sendCrashes(now time.Time) {
-	s.repost(now)
-	if len(s.crashes.out) == 0 {
+	s.repostRecords(now)
+	if len(s.crashes.pending) == 0 {
 		return
 	}
-	live := s.look(now).live
+	live := s.currentView(now).live
 	byPeer := make(map[*peer][]quarantine.Record)
 	for _, due := range s.crashes.due() {
 		receivers := s.receivers(due, live)
-		if due.again && !s.crashes.mayRepost(due.record, len(receivers)) {
-			continue // it goes with the request's next end
+		if due.reposted && !s.crashes.allowRepost(due.record, len(receivers)) {
+			continue // the request's next crash sends it as well
 		}
 		for _, to := range receivers {
 			byPeer[to] = append(byPeer[to], due.record)
@@ -155,42 +156,42 @@
 	}
 }
 
-// receivers are the peers that get a record in this round.
-func (s *Service) receivers(due mail, live []*peer) []*peer {
-	if due.wide {
-		return drawn(live, crashFanOut)
+// receivers returns the peers that get a record in this round.
+func (s *Service) receivers(due outgoingRecord, live []*peer) []*peer {
+	if due.broadcast {
+		return randomPeers(live, crashFanOut)
 	}
 	return keepersOf(due.record.Fingerprint, live, s.hash)
 }
 
-// drawn are a few peers drawn at random.
-func drawn(live []*peer, count int) []*peer {
+// randomPeers returns up to count peers chosen at random.
+func randomPeers(live []*peer, count int) []*peer {
 	found := make([]*peer, 0, count)
-	for _, place := range rand.Perm(len(live)) {
+	for _, index := range rand.Perm(len(live)) {
 		if len(found) == count {
 			break
 		}
-		found = append(found, live[place])
+		found = append(found, live[index])
 	}
 	return found
 }
 
-// keepersOf are the peers that keep track of a request, the first in its rendezvous order.
-// The gateway with the hash self may be one more.
-func keepersOf(print quarantine.Fingerprint, live []*peer, self uint64) []*peer {
-	type place struct {
+// keepersOf returns the keepers of a request among the peers: the first in its rendezvous order.
+// This gateway, whose hash is self, may be another keeper.
+func keepersOf(fingerprint quarantine.Fingerprint, live []*peer, self uint64) []*peer {
+	type scoredPeer struct {
 		peer  *peer
 		score uint64
 	}
-	first := make([]place, 0, CrashKeepers+1)
+	first := make([]scoredPeer, 0, CrashKeepers+1)
 	add := func(known *peer, hash uint64) {
-		made := place{known, policy.Score(uint64(print), hash)}
+		entry := scoredPeer{known, policy.Score(uint64(fingerprint), hash)}
 		at := len(first)
-		for at > 0 && first[at-1].score < made.score {
+		for at > 0 && first[at-1].score < entry.score {
 			at--
 		}
 		if at < CrashKeepers {
-			first = slices.Insert(first, at, made)
+			first = slices.Insert(first, at, entry)
 			first = first[:min(len(first), CrashKeepers)]
 		}
 	}
@@ -209,43 +210,43 @@
 	return found
 }
 
-// TrialPlace is the place of this process among the gateways that may try a request which
-// is held back, 0 for the first: that of its rendezvous order.
-func (s *Service) TrialPlace(print quarantine.Fingerprint) int {
+// TrialPlace returns the rank of this process among the gateways that may start a trial of a held
+// request, by the request's rendezvous order, 0 for the first.
+func (s *Service) TrialPlace(fingerprint quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := policy.Score(uint64(print), s.hash)
-	place := 0
-	for _, known := range s.look(clock.Now()).live {
-		if !known.leaving && policy.Score(uint64(print), known.hash) > own {
-			place++
+	own := policy.Score(uint64(fingerprint), s.hash)
+	rank := 0
+	for _, known := range s.currentView(clock.Now()).live {
+		if !known.leaving && policy.Score(uint64(fingerprint), known.hash) > own {
+			rank++
 		}
 	}
-	return place
+	return rank
 }
 
-// sendRecords sends records to a peer at once, as far as the bytes for them go; s.mu is
-// held. What is left out comes again with later rounds, or with the peer's hash.
+// sendRecords sends records to a peer at once, as far as their byte budget allows. Omitted ones
+// are sent in later rounds or on the peer's next hash. The caller holds s.mu.
 func (s *Service) sendRecords(to *peer, records []quarantine.Record) {
-	for chunk := range slices.Chunk(records, mostCrashRecords) {
-		beat := s.bareTo(to)
+	for chunk := range slices.Chunk(records, maxCrashRecords) {
+		heartbeat := s.bareHeartbeatTo(to)
 		for _, record := range chunk {
-			beat.CrashRecords = append(beat.CrashRecords, record.Message())
+			heartbeat.CrashRecords = append(heartbeat.CrashRecords, record.Message())
 		}
-		if !s.crashes.bucket.AllowN(time.Now(), proto.Size(beat)) {
+		if !s.crashes.bucket.AllowN(time.Now(), proto.Size(heartbeat)) {
 			return
 		}
-		s.send(to.address, beat, true)
+		s.send(to.address, heartbeat, true)
 	}
 }
 
-// takeCrashes takes a beat's records; s.mu is held.
-func (s *Service) takeCrashes(beat *wire.GatewayBeat, from *peer, now time.Time) {
-	var back []quarantine.Record
-	for _, message := range beat.GetCrashRecords() {
+// applyCrashes applies a heartbeat's crash records. The caller holds s.mu.
+func (s *Service) applyCrashes(heartbeat *wire.GatewayBeat, from *peer, now time.Time) {
+	var replies []quarantine.Record
+	for _, message := range heartbeat.GetCrashRecords() {
 		change := s.crashes.table.Merge(quarantine.RecordOf(message), now)
 		if change.NewToSender {
-			back = append(back, change.Record)
+			replies = append(replies, change.Record)
 		}
 		if !change.Changed {
 			continue
@@ -254,64 +255,65 @@
 			s.options.Watcher.QuarantineChanged(change, from.id)
 		}
 		if change.Broadcast() {
-			s.crashes.post(change.Record, true, crashSends)
+			s.crashes.enqueue(change.Record, true, crashSends)
 			s.wake()
 		}
 	}
-	s.sendRecords(from, back)
-	if !beat.GetBare() && !beat.GetBrief() {
-		s.compareQuarantine(beat.GetQuarantineDigest(), from, now)
+	s.sendRecords(from, replies)
+	if !heartbeat.GetBare() && !heartbeat.GetBrief() {
+		s.compareQuarantine(heartbeat.GetQuarantineDigest(), from, now)
 	}
 }
 
-// compareQuarantine sends a peer that holds other requests back than this process those
-// that are held back here; s.mu is held.
+// compareQuarantine sends this process's held requests to a peer whose hash of held requests
+// differs. The caller holds s.mu.
 func (s *Service) compareQuarantine(digest uint64, from *peer, now time.Time) {
-	if digest == s.crashes.table.Digest() || now.Sub(from.comparedAt) < digestEvery {
+	if digest == s.crashes.table.Digest() || now.Sub(from.quarantineSentAt) < digestInterval {
 		return
 	}
-	from.comparedAt = now
+	from.quarantineSentAt = now
 	records := s.crashes.table.AtLimit(now)
 	if len(records) > 0 {
-		// Where there are more than the bytes allow, it is others each time.
+		// If the budget doesn't allow all records, each call starts with another one.
 		at := rand.IntN(len(records))
 		s.sendRecords(from, append(slices.Clone(records[at:]), records[:at]...))
 	}
 }
 
-// handCrashes hands a gateway that was found the records that concern everybody, if this one is
-// the first of a few to do so; it may keep track of some others too. s.mu is held.
-func (s *Service) handCrashes(found *peer, now time.Time) {
+// sendCrashesToNew sends a newly found gateway the records that concern all gateways, if this
+// gateway is one of the few responsible for that. The new gateway may also become the keeper of
+// other requests. The caller holds s.mu.
+func (s *Service) sendCrashesToNew(found *peer, now time.Time) {
 	if s.crashes.table.Empty() {
 		return
 	}
-	s.crashes.reshuffle = true
-	s.seen = nil
-	live := s.look(now).live
-	hands := len(keepersOf(quarantine.Fingerprint(found.hash), withoutPeer(live, found), s.hash)) < min(CrashKeepers, len(live))
-	if hands {
+	s.crashes.peersChanged = true
+	s.cachedView = nil
+	live := s.currentView(now).live
+	isSender := len(keepersOf(quarantine.Fingerprint(found.hash), withoutPeer(live, found), s.hash)) < min(CrashKeepers, len(live))
+	if isSender {
 		records := s.crashes.table.Records(now)
 		s.sendRecords(found, slices.DeleteFunc(records, func(record quarantine.Record) bool { return !record.Suspicious() }))
 	}
 }
 
-// withoutPeer are all peers but one.
+// withoutPeer returns all peers but one.
 func withoutPeer(live []*peer, except *peer) []*peer {
 	return slices.DeleteFunc(slices.Clone(live), func(known *peer) bool { return known == except })
 }
 
-// repost has all records of single ends sent again to those that keep track of them now,
-// when gateways have come or gone; s.mu is held.
-func (s *Service) repost(now time.Time) {
-	if !s.crashes.reshuffle || now.Sub(s.crashes.repostedAt) < repostEvery {
+// repostRecords schedules all records of single crashes for their current keepers after gateways
+// have come or gone. The caller holds s.mu.
+func (s *Service) repostRecords(now time.Time) {
+	if !s.crashes.peersChanged || now.Sub(s.crashes.repostedAt) < repostInterval {
 		return
 	}
-	s.crashes.reshuffle, s.crashes.repostedAt = false, now
+	s.crashes.peersChanged, s.crashes.repostedAt = false, now
 	records := s.crashes.table.Records(now)
 	rand.Shuffle(len(records), func(i, j int) { records[i], records[j] = records[j], records[i] })
 	for _, record := range records {
 		if !record.Suspicious() {
-			s.crashes.repost(record)
+			s.crashes.enqueueRepost(record)
 		}
 	}
 }
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -24,16 +24,16 @@
 func (n *node) table() *quarantine.Table { return n.service.crashes.table }
 
 // crashed has a gateway find that a life of a target ended under a request.
-func (n *node) crashed(print quarantine.Fingerprint, life quarantine.Instance) {
-	if change := n.table().Crashed(print, life, time.Now()); change.Changed {
+func (n *node) recordCrash(fingerprint quarantine.Fingerprint, instance quarantine.Instance) {
+	if change := n.table().Crashed(fingerprint, instance, time.Now()); change.Changed {
 		n.service.Spread(change)
 	}
 }
 
 // held says whether all of some gateways hold a request back.
-func held(nodes []*node, print quarantine.Fingerprint) bool {
+func allHold(nodes []*node, fingerprint quarantine.Fingerprint) bool {
 	for _, known := range nodes {
-		if !known.table().Held(print, time.Now()) {
+		if !known.table().Held(fingerprint, time.Now()) {
 			return false
 		}
 	}
@@ -41,28 +41,28 @@
 }
 
 // few are so many gateways that have discovered each other.
-func few(t *testing.T, network *link.Memory, count int) []*node {
+func newFleet(t *testing.T, network *link.Memory, count int) []*node {
 	t.Helper()
 	nodes := []*node{newNode(t, "node-0", network)}
 	for i := 1; i < count; i++ {
 		nodes = append(nodes, newNode(t, fmt.Sprintf("node-%d", i), network, nodes[0].service.options.Address))
 	}
-	allKnowAll(t, nodes)
+	waitForFullMesh(t, nodes)
 	return nodes
 }
 
-func allKnowAll(t *testing.T, nodes []*node) {
+func waitForFullMesh(t *testing.T, nodes []*node) {
 	t.Helper()
-	found := false
+	complete := false
 	defer func() {
-		if !found {
+		if !complete {
 			for _, known := range nodes {
 				t.Log(known.describe())
 			}
 		}
 	}()
-	defer func() { found = !t.Failed() }()
-	until(t, "all know all", func() bool {
+	defer func() { complete = !t.Failed() }()
+	waitFor(t, "all know all", func() bool {
 		for _, known := range nodes {
 			if known.service.Live() != len(nodes)-1 {
 				return false
@@ -77,32 +77,32 @@
 	n.service.mu.Lock()
 	defer n.service.mu.Unlock()
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s at %s, life %x:", n.service.options.ID, n.service.options.Address, n.service.life)
+	fmt.Fprintf(&text, "%s at %s, life %x:", n.service.options.ID, n.service.options.Address, n.service.incarnation)
 	for id, known := range n.service.table.peers {
-		fmt.Fprintf(&text, " %s at %s, life %x, heard %v ago, lost %v;", id, known.address, known.life, clock.Since(known.lastBeat), known.lost)
+		fmt.Fprintf(&text, " %s at %s, life %x, heard %v ago, lost %v;", id, known.address, known.incarnation, clock.Since(known.lastHeartbeat), known.lost)
 	}
-	for address, made := range n.service.table.addresses {
-		fmt.Fprintf(&text, " %s called %d times, %v ago;", address, made.count, clock.Since(made.last))
+	for address, attempts := range n.service.table.addresses {
+		fmt.Fprintf(&text, " %s called %d times, %v ago;", address, attempts.count, clock.Since(attempts.last))
 	}
 	return text.String()
 }
 
-// TestCrashesAtSeveralGatewaysAddUp: three ends that three gateways saw are three, and all
+// TestCrashesAreSummedOverGateways: three ends that three gateways saw are three, and all
 // learn of it, also of many.
-func TestCrashesAtSeveralGatewaysAddUp(t *testing.T) {
+func TestCrashesAreSummedOverGateways(t *testing.T) {
 	cases := map[string]func(t *testing.T) []*node{
-		"few":  func(t *testing.T) []*node { return few(t, link.NewMemory(), 4) },
-		"many": newMany,
+		"few":  func(t *testing.T) []*node { return newFleet(t, link.NewMemory(), 4) },
+		"many": newLargeFleet,
 	}
 	for name, gateways := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			nodes := gateways(t)
 			for i := range 3 {
-				nodes[i].crashed(fatal, quarantine.Instance(i))
+				nodes[i].recordCrash(fatal, quarantine.Instance(i))
 			}
-			nodes[3].crashed(fatal+1, 7) // another request under way at one of the ends
-			until(t, "all hold it back", func() bool { return held(nodes, fatal) })
+			nodes[3].recordCrash(fatal+1, 7) // another request under way at one of the ends
+			waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
 			for _, known := range nodes {
 				is.True(!known.table().Held(fatal+1, time.Now()))
 			}
@@ -110,15 +110,15 @@
 	}
 }
 
-// TestAClearReachesAll: whoever has it answered whole, or has an operator lift it.
-func TestAClearReachesAll(t *testing.T) {
-	nodes := newMany(t)
-	for life := range 3 {
-		nodes[0].crashed(fatal, quarantine.Instance(life))
+// TestClearReachesAllGateways: whoever has it answered whole, or has an operator lift it.
+func TestClearReachesAllGateways(t *testing.T) {
+	nodes := newLargeFleet(t)
+	for instance := range 3 {
+		nodes[0].recordCrash(fatal, quarantine.Instance(instance))
 	}
-	until(t, "all hold it back", func() bool { return held(nodes, fatal) })
-	nodes[many-1].service.Spread(nodes[many-1].table().Answered(fatal, time.Now()))
-	until(t, "all send it again", func() bool {
+	waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
+	nodes[largeFleet-1].service.Spread(nodes[largeFleet-1].table().Answered(fatal, time.Now()))
+	waitFor(t, "all send it again", func() bool {
 		for _, known := range nodes {
 			if known.table().Held(fatal, time.Now()) {
 				return false
@@ -128,14 +128,14 @@
 	})
 }
 
-// TestGatewaysBegunAnewOneAfterTheOther: each sees one end, is killed, and begins anew
+// TestRecordsSurviveRollingRestart: each sees one end, is killed, and begins anew
 // without anything; what it saw is known all the same.
-func TestGatewaysBegunAnewOneAfterTheOther(t *testing.T) {
+func TestRecordsSurviveRollingRestart(t *testing.T) {
 	network := link.NewMemory()
-	nodes := few(t, network, 4)
+	nodes := newFleet(t, network, 4)
 	for i := range 3 {
-		nodes[i].crashed(fatal, quarantine.Instance(i))
-		until(t, "another one knows", func() bool {
+		nodes[i].recordCrash(fatal, quarantine.Instance(i))
+		waitFor(t, "another one knows", func() bool {
 			for j, known := range nodes {
 				if records := known.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
 					return true
@@ -143,55 +143,55 @@
 			}
 			return false
 		})
-		nodes[i] = beginAnew(t, nodes[i], network, nodes[3])
-		allKnowAll(t, nodes)
+		nodes[i] = restart(t, nodes[i], network, nodes[3])
+		waitForFullMesh(t, nodes)
 	}
-	until(t, "all hold it back", func() bool { return held(nodes, fatal) })
+	waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
 	for i := range nodes { // and all of them once more
-		nodes[i] = beginAnew(t, nodes[i], network, nodes[(i+1)%len(nodes)])
-		allKnowAll(t, nodes)
-		until(t, "the new one holds it back", func() bool { return held(nodes[i:i+1], fatal) })
+		nodes[i] = restart(t, nodes[i], network, nodes[(i+1)%len(nodes)])
+		waitForFullMesh(t, nodes)
+		waitFor(t, "the new one holds it back", func() bool { return allHold(nodes[i:i+1], fatal) })
 	}
 }
 
-// beginAnew ends a gateway and begins it again at its address, without anything.
-func beginAnew(t *testing.T, before *node, network *link.Memory, seed *node) *node {
+// restart ends a gateway and begins it again at its address, without anything.
+func restart(t *testing.T, before *node, network *link.Memory, seed *node) *node {
 	t.Helper()
 	is.New(t).NoErr(before.service.Close())
 	options := before.service.options
 	return newNodeAt(t, options.Address, options.ID, network, func(*Service) {}, seed.service.options.Address)
 }
 
-// TestWhoMissedItGetsItByTheHash: every datagram about it was lost.
-func TestWhoMissedItGetsItByTheHash(t *testing.T) {
-	nodes := few(t, link.NewMemory(), 2)
-	for life := range 3 {
-		nodes[0].table().Crashed(fatal, quarantine.Instance(life), time.Now()) // nothing is sent
+// TestDigestMismatchSendsRecords: every datagram about it was lost.
+func TestDigestMismatchSendsRecords(t *testing.T) {
+	nodes := newFleet(t, link.NewMemory(), 2)
+	for instance := range 3 {
+		nodes[0].table().Crashed(fatal, quarantine.Instance(instance), time.Now()) // nothing is sent
 	}
-	until(t, "the other holds it back", func() bool { return held(nodes, fatal) })
+	waitFor(t, "the other holds it back", func() bool { return allHold(nodes, fatal) })
 	nodes[1].table().Lift(fatal, time.Now()) // nor here
-	until(t, "the first sends it again", func() bool { return !nodes[0].table().Held(fatal, time.Now()) })
+	waitFor(t, "the first sends it again", func() bool { return !nodes[0].table().Held(fatal, time.Now()) })
 }
 
-// TestManySuspectsLeaveBytes: thousands of requests at once, as when a data centre is lost or
+// TestCrashRecordBudget: thousands of requests at once, as when a data centre is lost or
 // a release is bad, cost no more than their share, and those that are held back go first.
-func TestManySuspectsLeaveBytes(t *testing.T) {
+func TestCrashRecordBudget(t *testing.T) {
 	is := is.New(t)
 	const budget, rounds = 7000, 40
-	nodes := few(t, link.NewMemory(), 4)
+	nodes := newFleet(t, link.NewMemory(), 4)
 	service := nodes[0].service
 	service.mu.Lock()
 	defer service.mu.Unlock()
-	service.crashes = newCrashMail(nodes[0].table(), budget)
+	service.crashes = newCrashQueue(nodes[0].table(), budget)
 	for request := range 5000 {
 		change := nodes[0].table().Crashed(quarantine.Fingerprint(1000+request), 1, time.Now())
-		service.crashes.post(change.Record, change.Broadcast(), crashSends)
+		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
-	for life := range 3 {
-		change := nodes[0].table().Crashed(fatal, quarantine.Instance(life), time.Now())
-		service.crashes.post(change.Record, change.Broadcast(), crashSends)
+	for instance := range 3 {
+		change := nodes[0].table().Crashed(fatal, quarantine.Instance(instance), time.Now())
+		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
-	is.True(len(service.crashes.out) <= mostMail+1)
+	is.True(len(service.crashes.pending) <= maxPending+1)
 	due := service.crashes.due()
 	is.Equal(due[0].record.Fingerprint, fatal)
 	sent, _ := service.Traffic()
@@ -200,14 +200,14 @@
 	}
 	after, _ := service.Traffic()
 	is.True(after-sent <= 2*budget)
-	is.Equal(len(service.crashes.out), 0) // what did not fit is not kept
+	is.Equal(len(service.crashes.pending), 0) // what did not fit is not kept
 }
 
-// TestAllAgreeOnTheKeepers: of a request, whoever looks, if they know the same gateways.
-func TestAllAgreeOnTheKeepers(t *testing.T) {
+// TestKeepersAreConsistent: of a request, whoever looks, if they know the same gateways.
+func TestKeepersAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 12).Draw(t, "gateways")
-		print := quarantine.Fingerprint(rapid.Uint64().Draw(t, "print"))
+		fingerprint := quarantine.Fingerprint(rapid.Uint64().Draw(t, "print"))
 		var all []*peer
 		for i := range count {
 			id := fmt.Sprintf("g-%d", i)
@@ -215,7 +215,7 @@
 		}
 		keepers := make(map[string]int)
 		for _, self := range all {
-			for _, keeper := range keepersOf(print, withoutPeer(all, self), self.hash) {
+			for _, keeper := range keepersOf(fingerprint, withoutPeer(all, self), self.hash) {
 				keepers[keeper.id]++
 			}
 		}
@@ -230,28 +230,28 @@
 	})
 }
 
-// TestOneEndCostsLittle: what a datagram of crash records holds, in bytes.
-func TestOneEndCostsLittle(t *testing.T) {
+// TestCrashRecordSize: what a datagram of crash records holds, in bytes.
+func TestCrashRecordSize(t *testing.T) {
 	cases := map[string]struct {
-		records, ends, most int
+		records, crashes, maxSize int
 	}{
 		"one request, its first end":  {1, 1, 45},
 		"three requests":              {3, 1, 90},
 		"one that is held back":       {1, 3, 55},
-		"as many as a datagram takes": {mostCrashRecords, 3, 1200},
+		"as many as a datagram takes": {maxCrashRecords, 3, 1200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			beat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 1 << 20, Brief: true, Bare: true}
+			heartbeat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 1 << 20, Brief: true, Bare: true}
 			for request := range tc.records {
 				record := quarantine.Record{Fingerprint: quarantine.Fingerprint(1<<60 + request), Epoch: 1}
-				for life := range tc.ends {
-					record.Instances = append(record.Instances, quarantine.Instance(1<<30+life))
+				for instance := range tc.crashes {
+					record.Instances = append(record.Instances, quarantine.Instance(1<<30+instance))
 				}
-				beat.CrashRecords = append(beat.CrashRecords, record.Message())
+				heartbeat.CrashRecords = append(heartbeat.CrashRecords, record.Message())
 			}
-			t.Logf("%d bytes", proto.Size(beat))
-			is.New(t).True(proto.Size(beat) <= tc.most)
+			t.Logf("%d bytes", proto.Size(heartbeat))
+			is.New(t).True(proto.Size(heartbeat) <= tc.maxSize)
 		})
 	}
 }
@@ -266,8 +266,8 @@
 				live = append(live, &peer{id: fmt.Sprint(i), hash: policy.HashName(fmt.Sprint(i))})
 			}
 			for b.Loop() {
-				for print := range quarantine.Fingerprint(64) {
-					keepersOf(print, live, 7)
+				for fingerprint := range quarantine.Fingerprint(64) {
+					keepersOf(fingerprint, live, 7)
 				}
 			}
 		})
@@ -284,7 +284,7 @@
 func listen(t *testing.T, to *node) *listener {
 	t.Helper()
 	is := is.New(t)
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testsOwn)})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
 	is.NoErr(err)
 	t.Cleanup(func() { _ = conn.Close() })
 	hello, err := proto.Marshal(&wire.GatewayBeat{Id: "listener", Address: conn.LocalAddr().String(), Life: 7, Sequence: 1, Alone: true})
@@ -297,7 +297,7 @@
 }
 
 // next is the next beat of which something holds.
-func (l *listener) next(holds func(beat *wire.GatewayBeat) bool) *wire.GatewayBeat {
+func (l *listener) next(matches func(heartbeat *wire.GatewayBeat) bool) *wire.GatewayBeat {
 	l.t.Helper()
 	is := is.New(l.t)
 	buffer := make([]byte, receiveBuffer)
@@ -306,36 +306,36 @@
 		is.NoErr(err)
 		got := new(wire.GatewayBeat)
 		is.NoErr(proto.Unmarshal(buffer[:n], got))
-		if holds(got) {
+		if matches(got) {
 			return got
 		}
 	}
 }
 
-// TestAGatewayThatBeginsGetsRecordsAtOnce: those that find it hand it what is held back before it
+// TestNewGatewayGetsRecordsAtOnce: those that find it hand it what is held back before it
 // has found them.
 //
 // Seen: it dropped them, since they didn't say who sent them, and let one more target end under
 // each fatal request. It got them with the next full beat, some tenths of a second later.
-func TestAGatewayThatBeginsGetsRecordsAtOnce(t *testing.T) {
+func TestNewGatewayGetsRecordsAtOnce(t *testing.T) {
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
-	for life := range 3 {
-		first.table().Crashed(fatal, quarantine.Instance(life), time.Now())
+	for instance := range 3 {
+		first.table().Crashed(fatal, quarantine.Instance(instance), time.Now())
 	}
-	got := listen(t, first).next(func(beat *wire.GatewayBeat) bool { return len(beat.GetCrashRecords()) > 0 })
+	got := listen(t, first).next(func(heartbeat *wire.GatewayBeat) bool { return len(heartbeat.GetCrashRecords()) > 0 })
 	is.Equal(got.GetId(), "node-0")
 	is.Equal(got.GetAddress(), first.service.options.Address)
 }
 
-// TestRefusedTargetsGoTogether: those that are found within a moment are in one datagram.
+// TestRefusedTargetsShareDatagram: those that are found within a moment are in one datagram.
 //
 // Seen: with a fifth of the targets lost, the datagrams of one target each took the bytes of loads.
-func TestRefusedTargetsGoTogether(t *testing.T) {
+func TestRefusedTargetsShareDatagram(t *testing.T) {
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
 	other := listen(t, first)
-	until(t, "it is found", func() bool { return first.service.Live() == 1 })
+	waitFor(t, "it is found", func() bool { return first.service.Live() == 1 })
 	refused := make([]uint32, 40)
 	for i := range refused {
 		refused[i] = uint32(i)
@@ -345,19 +345,19 @@
 		first.service.spreadRefused([]uint32{target})
 	}
 	first.service.mu.Unlock()
-	got := other.next(func(beat *wire.GatewayBeat) bool { return len(beat.GetRefused()) > 0 })
+	got := other.next(func(heartbeat *wire.GatewayBeat) bool { return len(heartbeat.GetRefused()) > 0 })
 	is.Equal(got.GetRefused(), refused)
 }
 
-// TestRecordsThatAreSentAgainTakeFewBytes: whatever number of them there is.
-func TestRecordsThatAreSentAgainTakeFewBytes(t *testing.T) {
+// TestRepostBudget: whatever number of them there is.
+func TestRepostBudget(t *testing.T) {
 	is := is.New(t)
 	const budget, seconds = 7000, 10
-	mail := newCrashMail(quarantine.New(), budget)
+	mail := newCrashQueue(quarantine.New(), budget)
 	sent := 0
 	for i := range 100_000 {
 		record := quarantine.Record{Fingerprint: quarantine.Fingerprint(i), Instances: []quarantine.Instance{1}}
-		if mail.mayRepost(record, CrashKeepers) {
+		if mail.allowRepost(record, CrashKeepers) {
 			sent += CrashKeepers * proto.Size(record.Message())
 		}
 	}
--- a/internal/peer/refused.go
+++ b/internal/peer/refused.go
@@ -7,44 +7,43 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// A target that has crashed stays registered until its entry lapses, for
-// seconds. A connection that is refused proves that nothing listens there: the
-// gateway that finds it notifies a few others at once, and each of these a few
-// more, so that not every gateway finds out with a request of its own. Time-outs
-// and resets prove less: a gateway that is cut off itself, or a full target, would
-// have the others avoid sound ones. Beats name them as suspicions, of which several
-// gateways' are needed.
+// A crashed target stays registered until its entry expires, which takes seconds. A refused
+// connection proves that nothing listens at its address. The gateway that finds this notifies a
+// few others at once, and each of them a few more, so that not each gateway has to lose a request
+// of its own to find out. Timeouts and resets prove less: a gateway that is cut off itself, or an
+// overloaded target, would make the others avoid healthy targets. Heartbeats report these as
+// suspicions, which need several gateways.
 
-// refusedFanOut is how many peers a gateway notifies of a target that is new to it
-// among those. By the usual reckoning for epidemics 98 in 100 learn of it, after
-// as many steps as the number of gateways has digits in that base.
+// refusedFanOut is the number of peers that a gateway notifies of a target that is new to it. By
+// the usual estimate for epidemic protocols 98 in 100 gateways learn of it, in log4(gateways)
+// steps.
 const refusedFanOut = 4
 
-// Refused notifies the other gateways that nothing listens at a target's address.
+// Refused tells the other gateways that nothing listens at a target's address.
 func (s *Service) Refused(target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spreadRefused([]uint32{shortHash(policy.HashName(target))})
 }
 
-// takeRefused leaves targets out that refused connections of other gateways,
-// and passes on those that were news.
-func (s *Service) takeRefused(beat *wire.GatewayBeat, from *peer, now time.Time) {
-	var news []uint32
-	for _, target := range beat.GetRefused() {
-		id, isNews := s.options.Balancer.NoteRefused(target, now)
-		if !isNews {
+// applyRefused excludes targets that refused connections of other gateways, and forwards those
+// that were not known.
+func (s *Service) applyRefused(heartbeat *wire.GatewayBeat, from *peer, now time.Time) {
+	var added []uint32
+	for _, target := range heartbeat.GetRefused() {
+		id, isNew := s.options.Balancer.NoteRefused(target, now)
+		if !isNew {
 			continue
 		}
-		news = append(news, target)
+		added = append(added, target)
 		s.options.Watcher.TargetRefused(id, from.id)
 	}
-	s.spreadRefused(news)
+	s.spreadRefused(added)
 }
 
-// spreadRefused has a few live peers, drawn at random, notified of targets in the next round. Many
-// are found within a moment when hosts are lost: in a datagram each they took the bytes of all
-// loads. s.mu is held.
+// spreadRefused schedules targets for the next round, in which a few live peers chosen at random
+// are notified of them. When hosts are lost many targets are found within a moment; one datagram
+// for each of them used up the bytes of all loads. The caller holds s.mu.
 func (s *Service) spreadRefused(targets []uint32) {
 	if len(targets) == 0 {
 		return
@@ -53,15 +52,15 @@
 	s.wake()
 }
 
-// sendRefused sends what spreadRefused has taken; s.mu is held.
+// sendRefused sends the targets that spreadRefused has scheduled. The caller holds s.mu.
 func (s *Service) sendRefused(now time.Time) {
 	if len(s.refused) == 0 {
 		return
 	}
-	for _, to := range drawn(s.look(now).live, refusedFanOut) {
-		beat := s.bare()
-		beat.Refused = s.refused
-		s.sendBare(to, beat)
+	for _, to := range randomPeers(s.currentView(now).live, refusedFanOut) {
+		heartbeat := s.bareHeartbeat()
+		heartbeat.Refused = s.refused
+		s.sendDirectory(to, heartbeat)
 	}
 	s.refused = nil
 }
--- a/internal/peer/refused_test.go
+++ b/internal/peer/refused_test.go
@@ -11,11 +11,11 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// TestAllLearnOfARefusedTarget: what one gateway finds out reaches the others,
+// TestRefusedTargetReachesAllGateways: what one gateway finds out reaches the others,
 // though it tells only a few of them.
-func TestAllLearnOfARefusedTarget(t *testing.T) {
-	nodes := newMany(t)
-	until(t, "all others leave the target out", func() bool {
+func TestRefusedTargetReachesAllGateways(t *testing.T) {
+	nodes := newLargeFleet(t)
+	waitFor(t, "all others leave the target out", func() bool {
 		nodes[0].service.Refused("t")
 		for _, known := range nodes[1:] {
 			if known.watcher.refused.Load() == 0 {
@@ -26,34 +26,34 @@
 	})
 }
 
-// TestOldNewsIsNotPassedOn: who knows already tells nobody, so that news dies out.
-func TestOldNewsIsNotPassedOn(t *testing.T) {
+// TestKnownRefusalIsNotForwarded: who knows already tells nobody, so that news dies out.
+func TestKnownRefusalIsNotForwarded(t *testing.T) {
 	is := is.New(t)
-	nodes := newMany(t)
+	nodes := newLargeFleet(t)
 	service := nodes[0].service
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	now := time.Now()
-	from := service.look(now).live[0]
-	nodes[0].balancer.NoteRefused(holderOf(0).Target, now)
+	from := service.currentView(now).live[0]
+	nodes[0].balancer.NoteRefused(placementOf(0).Target, now)
 	sent, _ := service.Traffic()
-	service.takeRefused(&wire.GatewayBeat{Refused: []uint32{holderOf(0).Target, 777}}, from, now)
+	service.applyRefused(&wire.GatewayBeat{Refused: []uint32{placementOf(0).Target, 777}}, from, now)
 	after, _ := service.Traffic()
 	is.Equal(after, sent)
 }
 
-// TestGatewaysTellEachOtherWhomTheySuspect: over the real sockets.
-func TestGatewaysTellEachOtherWhomTheySuspect(t *testing.T) {
+// TestSuspectsAreExchanged: over the real sockets.
+func TestSuspectsAreExchanged(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
 	three := newNode(t, "three", network, one.service.options.Address)
 	three.balancer.Put(balance.Target{ID: "sound", Service: "s", Address: "u"}, time.Now())
-	until(t, "the third leaves the target out", func() bool {
+	waitFor(t, "the third leaves the target out", func() bool {
 		one.balancer.Release("t", balance.Lost, time.Now())
 		two.balancer.Release("t", balance.Lost, time.Now())
-		return three.watcher.doubted.Load() > 0
+		return three.watcher.suspected.Load() > 0
 	})
 	pick, ok := three.balancer.Choose(balance.Query{Service: "s"}, time.Now())
 	is.True(ok)
--- a/internal/peer/replica.go
+++ b/internal/peer/replica.go
@@ -12,10 +12,10 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// catchUp fetches the replica of a peer that is ahead. A process that asks the
-// store itself waits a moment for the store's own answer.
+// catchUp fetches the replica of a peer that is ahead. A process that asks the store itself first
+// waits briefly for the store's own answer.
 func (s *Service) catchUp(now time.Time) {
-	ahead := s.ahead(now)
+	ahead := s.peerAhead(now)
 	if ahead == nil {
 		s.behindSince = time.Time{}
 		return
@@ -23,7 +23,7 @@
 	if s.behindSince.IsZero() {
 		s.behindSince = now
 	}
-	if s.pulling || s.answerIsNear(now) {
+	if s.pulling || s.awaitsStore(now) {
 		return
 	}
 	s.pulling = true
@@ -31,52 +31,51 @@
 	s.wait.Go(func() { s.pull(id, address) })
 }
 
-// answerIsNear says whether the store's own answer is likely to be here in a
-// moment. A process that holds nothing yet does not wait for it: a peer's
-// packed copy is a tenth of what the store sends, and on a small host's link
-// that is the time until it can serve.
-func (s *Service) answerIsNear(now time.Time) bool {
+// awaitsStore reports whether the store's own answer is likely to arrive in a moment. A process
+// with an empty replica doesn't wait: a peer's packed copy is a tenth of the size of what the
+// store sends, which on a small host's link determines how soon it can serve.
+func (s *Service) awaitsStore(now time.Time) bool {
 	if s.options.Replica.Revision() == 0 {
 		return false
 	}
-	asks := s.options.Replica.Reachable() && s.look(now).asks()
-	return asks && now.Sub(s.behindSince) < pullPatience
+	asks := s.options.Replica.Reachable() && s.currentView(now).asksStore()
+	return asks && now.Sub(s.behindSince) < storeAnswerDelay
 }
 
-// avoidFor is how long a peer from which a pull has failed is not asked while
-// another one is ahead too: it may be cut off from this process in one way.
-const avoidFor = 2 * time.Second
+// failedPullBackoff is how long a peer from which a pull has failed is avoided while another one
+// is ahead too. It may be cut off from this process in one direction.
+const failedPullBackoff = 2 * time.Second
 
-// ahead is the live peer whose replica has reached the highest revision above
-// this process's own, the parent before all others; nil if there is none. One
-// that did not answer lately comes last.
-func (s *Service) ahead(now time.Time) *peer {
-	own := s.options.Replica.Revision()
-	best := s.look(now).parent()
-	if best != nil && best.revision > own && now.Sub(best.failedAt) >= avoidFor {
+// peerAhead returns the live peer with the highest revision above this process's own; nil if there
+// is none. The parent is preferred to all others, and a peer from which a pull recently failed
+// comes last.
+func (s *Service) peerAhead(now time.Time) *peer {
+	ownRevision := s.options.Replica.Revision()
+	best := s.currentView(now).parent()
+	if best != nil && best.revision > ownRevision && now.Sub(best.pullFailedAt) >= failedPullBackoff {
 		return best
 	}
 	best = nil
-	live := s.look(now).live
-	first := 0
-	if own == 0 && len(live) > 0 {
-		// Many that begin together must not all ask the same one of a class.
-		first = rand.IntN(len(live))
+	live := s.currentView(now).live
+	offset := 0
+	if ownRevision == 0 && len(live) > 0 {
+		// Processes that start together must not all ask the same peer of a class.
+		offset = rand.IntN(len(live))
 	}
 	for i := range live {
-		known := live[(first+i)%len(live)]
-		if known.revision > own && (best == nil || better(known, best, own == 0, now)) {
+		known := live[(offset+i)%len(live)]
+		if known.revision > ownRevision && (best == nil || betterSource(known, best, ownRevision == 0, now)) {
 			best = known
 		}
 	}
 	return best
 }
 
-// better says whether to ask one peer rather than another: for a whole copy one on a
-// larger host, which packs and sends it sooner; what it may lack is fetched
+// betterSource reports whether to pull from one peer rather than from another. For a whole copy a
+// larger host is better, since it packs and sends it faster; what its copy lacks is fetched
 // afterwards.
-func better(one, other *peer, whole bool, now time.Time) bool {
-	oneFailed, otherFailed := now.Sub(one.failedAt) < avoidFor, now.Sub(other.failedAt) < avoidFor
+func betterSource(one, other *peer, whole bool, now time.Time) bool {
+	oneFailed, otherFailed := now.Sub(one.pullFailedAt) < failedPullBackoff, now.Sub(other.pullFailedAt) < failedPullBackoff
 	if oneFailed != otherFailed {
 		return otherFailed
 	}
@@ -86,7 +85,7 @@
 	return one.revision > other.revision
 }
 
-// pull fetches what has changed from one peer.
+// pull fetches the changes from one peer.
 func (s *Service) pull(id, address string) {
 	question := s.options.Replica.Pull()
 	from := question.GetSince()
@@ -96,7 +95,7 @@
 	asked := clock.Now()
 	reply, err := link.Ask(ctx, s.dialer, address, open)
 	if err == nil {
-		err = s.absorb(reply, asked)
+		err = s.applyPage(reply, asked)
 	}
 	s.options.Watcher.ReplicaFetched(id, from, s.options.Replica.Revision(), err)
 	s.mu.Lock()
@@ -104,19 +103,19 @@
 	s.pulling = false
 	s.behindSince = time.Time{}
 	if from == 0 && err == nil {
-		s.table.follow(id)
-		s.seen = nil
+		s.table.setSource(id)
+		s.cachedView = nil
 	}
 	if known := s.table.peers[id]; known != nil && err != nil {
-		known.failedAt = clock.Now()
+		known.pullFailedAt = clock.Now()
 	}
 }
 
-// absorb takes a page that was asked for at a time, and the proof that came with
-// it: the peer made the page after it was asked. A process that begins would else
-// wait for an answer to a beat of its own before it can vouch for a key, up to a
-// second among hundreds that begin together.
-func (s *Service) absorb(reply *wire.Reply, asked time.Time) error {
+// applyPage applies a page and the proof that came with it. The page was requested at asked, and
+// the peer made it after that. Without this proof, a starting process would have to wait for an
+// answer to one of its own heartbeats before it can vouch for a key, up to a second if hundreds
+// start together.
+func (s *Service) applyPage(reply *wire.Reply, asked time.Time) error {
 	page := reply.GetReplica()
 	if page == nil {
 		return errors.New("the peer sent no replica")
@@ -130,25 +129,25 @@
 	return nil
 }
 
-// mostWholePages is how many whole copies are sent at the same time: more of
-// them share a small host's link for so long that none arrives in time, while
-// each that has arrived can be passed on.
-const mostWholePages = 4
+// maxWholePages limits the whole copies that are sent concurrently. More of them would share a
+// small host's link for so long that none arrives in time, whereas each copy that has arrived can
+// be passed on.
+const maxWholePages = 4
 
-// Handle answers a peer's call over a link.
+// Handle answers a peer's request over a link.
 func (s *Service) Handle(_ context.Context, open *wire.Open, stream link.Stream) {
 	pull := open.GetReplica()
 	if pull == nil {
 		return
 	}
 	if pull.GetSince() == 0 {
-		if s.wholePages.Add(1) > mostWholePages {
+		if s.wholePages.Add(1) > maxWholePages {
 			s.wholePages.Add(-1)
-			return // the caller asks another one, or the store
+			return // the caller asks another peer, or the store
 		}
 		defer s.wholePages.Add(-1)
 	}
-	// The age is read before the page is made: a page may only bring more.
+	// The age is read before the page is made, since the page can only become newer in between.
 	age, proven := s.proofAge()
 	page := s.options.Replica.Page(pull)
 	page.ProofAgeMs, page.HasProof = age, proven
--- a/internal/peer/replica_test.go
+++ b/internal/peer/replica_test.go
@@ -30,40 +30,40 @@
 }
 
 // unreadable is a replica that can take no page.
-type unreadable struct{ fakeReplica }
+type unreadableReplica struct{ fakeReplica }
 
-func (*unreadable) Absorb(*wire.ReplicaPage) error { return errors.New("not to be read") }
+func (*unreadableReplica) Absorb(*wire.ReplicaPage) error { return errors.New("not to be read") }
 
-// TestWholeCopiesAreBounded: hundreds of gateways that begin together must not
+// TestConcurrentWholeCopiesAreLimited: hundreds of gateways that begin together must not
 // share one small host's link for so long that no copy arrives in time. Changes
 // are always sent.
-func TestWholeCopiesAreBounded(t *testing.T) {
+func TestConcurrentWholeCopiesAreLimited(t *testing.T) {
 	cases := map[string]struct {
-		underWay int32
+		inFlight int32
 		since    int64
 		sent     int
 	}{
 		"a whole copy":                {0, 0, 1},
-		"the last that fits":          {mostWholePages - 1, 0, 1},
-		"one too many":                {mostWholePages, 0, 0},
-		"changes beside whole copies": {mostWholePages, 3, 1},
+		"the last that fits":          {maxWholePages - 1, 0, 1},
+		"one too many":                {maxWholePages, 0, 0},
+		"changes beside whole copies": {maxWholePages, 3, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
-			service.wholePages.Store(tc.underWay)
+			service := newTestService()
+			service.wholePages.Store(tc.inFlight)
 			stream := new(countingStream)
 			service.Handle(t.Context(), &wire.Open{Kind: &wire.Open_Replica{Replica: &wire.ReplicaPull{Since: tc.since}}}, stream)
 			is.Equal(stream.sent, tc.sent)
-			is.Equal(service.wholePages.Load(), tc.underWay) // the count is given back
+			is.Equal(service.wholePages.Load(), tc.inFlight) // the count is given back
 		})
 	}
 }
 
-// TestThoseWhoBeginAskDifferentPeers: all that begin together used to ask the
+// TestNewGatewaysPullFromDifferentPeers: all that begin together used to ask the
 // first of the peers that hold the store's content.
-func TestThoseWhoBeginAskDifferentPeers(t *testing.T) {
+func TestNewGatewaysPullFromDifferentPeers(t *testing.T) {
 	cases := map[string]struct {
 		own  int64
 		same bool
@@ -74,27 +74,27 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
+			service := newTestService()
 			service.options.Replica = &fakeReplica{revision: tc.own}
 			now := time.Now()
 			for number := range 6 { // too few for a tree, in which the parent is asked first
-				beat := beatOf(fmt.Sprint(number), 1)
-				beat.Life, beat.Revision = uint64(number+2), 9
-				service.table.take(beat, now)
+				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+				heartbeat.Life, heartbeat.Revision = uint64(number+2), 9
+				service.table.record(heartbeat, now)
 			}
 			asked := make(map[string]bool)
 			for range 200 {
-				service.seen = nil
-				asked[service.ahead(now).id] = true
+				service.cachedView = nil
+				asked[service.peerAhead(now).id] = true
 			}
 			is.Equal(len(asked) == 1, tc.same)
 		})
 	}
 }
 
-// TestACopyBringsItsProof: a gateway that begins may vouch for keys as soon as it has
+// TestPageCarriesProof: a gateway that begins may vouch for keys as soon as it has
 // another one's copy; what the copy proves is as old as the question at least.
-func TestACopyBringsItsProof(t *testing.T) {
+func TestPageCarriesProof(t *testing.T) {
 	const (
 		onTheWay = 300 * time.Millisecond
 		ageMs    = 700
@@ -106,14 +106,14 @@
 	}{
 		"with a proof":               {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(fakeReplica), true},
 		"from a gateway without one": {&wire.ReplicaPage{Revision: 5}, new(fakeReplica), false},
-		"that can't be read":         {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadable), false},
+		"that can't be read":         {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadableReplica), false},
 		"an answer that has no page": {nil, new(fakeReplica), false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := bareService()
+				service := newTestService()
 				service.options.Replica = tc.replica
 				asked := time.Now()
 				time.Sleep(onTheWay)
@@ -122,7 +122,7 @@
 					reply.Kind = &wire.Reply_Replica{Replica: tc.page}
 				}
 				_, readable := tc.replica.(*fakeReplica)
-				is.Equal(service.absorb(reply, asked) == nil, tc.page != nil && readable)
+				is.Equal(service.applyPage(reply, asked) == nil, tc.page != nil && readable)
 				age, proven := service.options.Proof.Age(time.Now())
 				is.Equal(proven, tc.proven)
 				if tc.proven {
@@ -133,8 +133,8 @@
 	}
 }
 
-// TestACopySaysHowOldItsProofIs: a page says the age of its sender's proof, rounded up.
-func TestACopySaysHowOldItsProofIs(t *testing.T) {
+// TestPageProofAge: a page says the age of its sender's proof, rounded up.
+func TestPageProofAge(t *testing.T) {
 	cases := map[string]struct {
 		age    time.Duration
 		proven bool
@@ -149,7 +149,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := bareService()
+				service := newTestService()
 				if tc.proven {
 					service.options.Proof.Note(time.Now())
 				}
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -13,51 +13,50 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// One gateway decides about the roll-outs of a service; the others report to it and
-// get grants in answer. These datagrams are small and few, and only while an order runs; a
-// version on trial waits for them. So they neither wait for the budget of beats nor use
-// it up: the one that decides among thirty sends 5 KB/s of grants, and would have
-// little left to report its loads just when the bound on loads is tight.
+// One gateway, the decider, decides about the roll-outs of a service. The others report to it and
+// get grants in reply. These datagrams are small and few, are sent only while an order runs, and a
+// version on trial waits for them. So they neither wait for the byte budget of heartbeats nor
+// count against it: the decider among thirty gateways sends 5 KB/s of grants, and would have few
+// bytes left for its loads just when the limit on loads is tight.
 
-// Rollouts is this process's part in roll-outs. Its methods are called without locks
-// held, so that they may ask the service who decides.
+// Rollouts handles this process's part of roll-outs. Its methods are called without locks held, so
+// that they may call the service's methods.
 type Rollouts interface {
-	// Services are those with a running order.
+	// Services returns the services with a running order.
 	Services() []string
-	// ServiceOf is the service with a running order that a hash names.
+	// ServiceOf returns the service with a running order that has the given hash.
 	ServiceOf(hash uint32) (string, bool)
-	// Reports are those that are due now, for services about which others decide.
+	// Reports returns the reports that are due now, for services about which others decide.
 	Reports(now time.Time) []rollout.Report
-	// Report takes another gateway's; it returns the answer, and false for none.
+	// Report applies another gateway's report. It returns the grant, and false for none.
 	Report(from string, report rollout.Report, now time.Time) (rollout.Grant, bool)
-	// Grant takes the answer to a report sent at sentAt; zero for a notice.
+	// Grant applies the reply to a report that was sent at sentAt; sentAt is zero for a notice.
 	Grant(from string, grant rollout.Grant, sentAt, now time.Time)
-	// Notices are to be sent to all other gateways now.
+	// Notices returns the grants to send to all other gateways now.
 	Notices(now time.Time) []rollout.Grant
 }
 
-// SetRollouts has the service carry the reports and grants of roll-outs. It is called
-// before Start.
+// SetRollouts sets the handler of roll-out reports and grants. It must be called before Start.
 func (s *Service) SetRollouts(rollouts Rollouts) {
 	s.rollouts = rollouts
 }
 
-// Decides says whether this process decides about a service, by the gateways that it
-// hears.
+// Decides reports whether this process is the decider of a service, judging by the gateways that
+// it hears.
 func (s *Service) Decides(service string) bool {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.look(now).decider(serviceHash(service), s.standing()) == nil
+	return s.currentView(now).decider(serviceHash(service), s.selfCandidacy()) == nil
 }
 
-// LiveIDs are the other gateways that sent a beat lately and do not leave, in order.
+// LiveIDs returns the sorted ids of the other live gateways that are not leaving.
 func (s *Service) LiveIDs() []string {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
-	for _, known := range s.look(now).live {
+	for _, known := range s.currentView(now).live {
 		if !known.leaving {
 			ids = append(ids, known.id)
 		}
@@ -65,46 +64,45 @@
 	return ids
 }
 
-// serviceHash names a service in beats.
+// serviceHash identifies a service in heartbeats.
 func serviceHash(service string) uint32 {
 	return shortHash(policy.HashName(service))
 }
 
-// standing is what this process itself brings to the choice of who decides.
-type standing struct {
-	// hash is that of its id.
+// selfCandidacy holds this process's own properties in the election of the decider.
+type selfCandidacy struct {
+	// hash is the hash of this process's id.
 	hash uint64
-	// candidate says that it knows what the store holds and isn't about to end, and reaches
-	// that the last call to the store was answered.
-	candidate, reaches bool
+	// eligible reports that the process has a copy of the store's content and is not leaving;
+	// reachesStore reports that the last call to the store was answered.
+	eligible, reachesStore bool
 }
 
-// standing is this process's; s.mu is held.
-func (s *Service) standing() standing {
-	return standing{
-		hash:      s.hash,
-		candidate: s.options.Replica.Revision() > 0 && !s.leaving.Load(),
-		reaches:   s.options.Replica.Reachable(),
+// selfCandidacy returns this process's properties. The caller holds s.mu.
+func (s *Service) selfCandidacy() selfCandidacy {
+	return selfCandidacy{
+		hash:         s.hash,
+		eligible:     s.options.Replica.Revision() > 0 && !s.leaving.Load(),
+		reachesStore: s.options.Replica.Reachable(),
 	}
 }
 
-// decider is the gateway that decides about a service; nil if it is this one. It is one of
-// those that know what the store holds and were heard a moment ago: those that reach the
-// store come before all others, larger hosts before smaller ones, and hosts that are alike
-// go by the service's rendezvous order. While none reaches the store, all still agree on
-// one, which can stop what it can't complete.
-func (v *view) decider(service uint32, self standing) *peer {
+// decider returns the gateway that decides about a service; nil if it is this one. Candidates have
+// a copy of the store's content and were heard recently. Those that reach the store come first,
+// then larger hosts before smaller ones, and equal hosts in the service's rendezvous order. While
+// none reaches the store, all still agree on one, which can halt what it can't complete.
+func (v *view) decider(service uint32, self selfCandidacy) *peer {
 	key := uint64(service) << 32
 	var best *peer
 	first := candidacy{}
-	if self.candidate {
-		first = candidacy{reaches: self.reaches, class: v.class, score: policy.Score(key, self.hash)}
+	if self.eligible {
+		first = candidacy{reachesStore: self.reachesStore, class: v.class, score: policy.Score(key, self.hash)}
 	}
-	for _, known := range v.heard() {
+	for _, known := range v.recentPeers() {
 		if known.leaving || known.revision == 0 {
 			continue
 		}
-		next := candidacy{reaches: known.reachesStore, class: known.class, score: policy.Score(key, known.hash)}
+		next := candidacy{reachesStore: known.reachesStore, class: known.class, score: policy.Score(key, known.hash)}
 		if next.before(first) {
 			best, first = known, next
 		}
@@ -112,16 +110,16 @@
 	return best
 }
 
-// candidacy is what speaks for a gateway when it is asked who decides.
+// candidacy holds the properties by which candidates for the decider are compared.
 type candidacy struct {
-	reaches bool
-	class   Class
-	score   uint64
+	reachesStore bool
+	class        Class
+	score        uint64
 }
 
 func (c candidacy) before(other candidacy) bool {
-	if c.reaches != other.reaches {
-		return c.reaches
+	if c.reachesStore != other.reachesStore {
+		return c.reachesStore
 	}
 	if c.class != other.class {
 		return c.class > other.class
@@ -129,15 +127,15 @@
 	return c.score > other.score
 }
 
-// heard are the live peers that were heard a moment ago: one that has fallen silent
-// holds up a decision for no longer than it holds up the asking of the store.
-func (v *view) heard() []*peer {
+// recentPeers returns the live peers that were heard recently: a silent peer delays a decision no
+// longer than it delays asking the store.
+func (v *view) recentPeers() []*peer {
 	return slices.DeleteFunc(slices.Clone(v.live), func(known *peer) bool {
-		return v.at.Sub(known.lastBeat) > v.silence
+		return v.at.Sub(known.lastHeartbeat) > v.maxSilence
 	})
 }
 
-// reportRollouts sends what is due of roll-outs; s.mu is not held.
+// reportRollouts sends the reports and notices that are due. The caller must not hold s.mu.
 func (s *Service) reportRollouts(now time.Time) {
 	if s.rollouts == nil {
 		return
@@ -148,49 +146,49 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.look(now)
+	current := s.currentView(now)
 	for _, report := range reports {
-		if to := seen.decider(report.Service, s.standing()); to != nil {
-			beat := s.bareTo(to)
-			beat.RolloutReports = []*wire.RolloutReport{reportMessage(report)}
-			s.sendBeside(to.address, beat)
+		if to := current.decider(report.Service, s.selfCandidacy()); to != nil {
+			heartbeat := s.bareHeartbeatTo(to)
+			heartbeat.RolloutReports = []*wire.RolloutReport{reportMessage(report)}
+			s.sendOutsideBudget(to.address, heartbeat)
 		}
 	}
 	for _, notice := range notices {
-		for _, to := range seen.live {
-			beat := s.bareTo(to)
-			beat.RolloutGrants = []*wire.RolloutGrant{grantMessage(notice, 0)}
-			s.sendBeside(to.address, beat)
+		for _, to := range current.live {
+			heartbeat := s.bareHeartbeatTo(to)
+			heartbeat.RolloutGrants = []*wire.RolloutGrant{grantMessage(notice, 0)}
+			s.sendOutsideBudget(to.address, heartbeat)
 		}
 	}
 }
 
-// sendBeside sends a datagram beside the budget of beats.
-func (s *Service) sendBeside(address string, beat *wire.GatewayBeat) {
+// sendOutsideBudget sends a datagram that doesn't count against the byte budget of heartbeats.
+func (s *Service) sendOutsideBudget(address string, heartbeat *wire.GatewayBeat) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return // a peer's own mistake; it gets nothing else either
+		return // the peer sent a bad address; it gets nothing else either
 	}
-	data, err := proto.Marshal(beat)
+	data, err := proto.Marshal(heartbeat)
 	if err != nil {
-		return // no beat has a text that is not UTF-8
+		return // can't happen: no heartbeat has a string that is not UTF-8
 	}
 	s.transmit(to, data)
 }
 
-// takeRollouts takes a beat's reports and grants; s.mu is not held.
-func (s *Service) takeRollouts(beat *wire.GatewayBeat, from *peer, now time.Time) {
+// handleRollouts handles a heartbeat's reports and grants. The caller must not hold s.mu.
+func (s *Service) handleRollouts(heartbeat *wire.GatewayBeat, from *peer, now time.Time) {
 	if s.rollouts == nil || from == nil {
 		return
 	}
-	for _, message := range beat.GetRolloutReports() {
+	for _, message := range heartbeat.GetRolloutReports() {
 		report := reportOf(message)
-		report.Life = beat.GetLife()
+		report.Life = heartbeat.GetLife()
 		if grant, answered := s.rollouts.Report(from.id, report, now); answered {
-			s.answerReport(from, grant, beat.GetSequence())
+			s.answerReport(from, grant, heartbeat.GetSequence())
 		}
 	}
-	for _, message := range beat.GetRolloutGrants() {
+	for _, message := range heartbeat.GetRolloutGrants() {
 		sentAt, known := s.sentAtOf(message.GetAnswered())
 		if message.GetAnswered() != 0 && !known {
 			continue
@@ -199,41 +197,41 @@
 	}
 }
 
-// answerReport sends a grant; s.mu is not held.
+// answerReport sends a grant. The caller must not hold s.mu.
 func (s *Service) answerReport(to *peer, grant rollout.Grant, sequence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	beat := s.bareTo(to)
-	beat.RolloutGrants = []*wire.RolloutGrant{grantMessage(grant, sequence)}
-	s.sendBeside(to.address, beat)
+	heartbeat := s.bareHeartbeatTo(to)
+	heartbeat.RolloutGrants = []*wire.RolloutGrant{grantMessage(grant, sequence)}
+	s.sendOutsideBudget(to.address, heartbeat)
 }
 
-// sentAtOf is when this process sent the beat with a sequence; false if that is not
-// known any more. The zero sequence has the zero time.
+// sentAtOf returns when this process sent the heartbeat with a sequence number; false if that is
+// no longer known, and for zero.
 func (s *Service) sentAtOf(sequence uint64) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if sequence == 0 || sequence > s.sequence || s.sequence-sequence >= sentKept {
+	if sequence == 0 || sequence > s.sequence || s.sequence-sequence >= sentHistory {
 		return time.Time{}, false
 	}
-	return s.sentAt[sequence%sentKept], true
+	return s.sentAt[sequence%sentHistory], true
 }
 
-// stages are the stages as messages have them.
+// stages maps stages to their wire values.
 var stages = map[rollout.Stage]wire.RolloutStage{
 	rollout.Hold:   wire.RolloutStage_ROLLOUT_STAGE_HOLD,
 	rollout.Canary: wire.RolloutStage_ROLLOUT_STAGE_CANARY,
 	rollout.Move:   wire.RolloutStage_ROLLOUT_STAGE_MOVE,
 }
 
-// ends are the ends of orders as messages have them.
+// ends maps the ends of orders to their wire values.
 var ends = map[rollout.End]wire.RolloutEnd{
 	rollout.Open:   wire.RolloutEnd_ROLLOUT_END_UNSPECIFIED,
 	rollout.Halted: wire.RolloutEnd_ROLLOUT_END_HALTED,
 	rollout.Done:   wire.RolloutEnd_ROLLOUT_END_COMPLETED,
 }
 
-// endOf reads what has become of an order. Earlier releases halt by a hold for no time.
+// endOf reads the end of an order. Earlier releases signal a halt by a hold without a duration.
 func endOf(message *wire.RolloutGrant) rollout.End {
 	switch message.GetEnd() {
 	case wire.RolloutEnd_ROLLOUT_END_HALTED:
@@ -247,7 +245,7 @@
 	return rollout.Open
 }
 
-// stageOf reads a stage; one that is not known allows nothing.
+// stageOf reads a stage; an unknown one is a hold.
 func stageOf(message wire.RolloutStage) rollout.Stage {
 	switch message {
 	case wire.RolloutStage_ROLLOUT_STAGE_CANARY:
@@ -278,7 +276,7 @@
 	return message
 }
 
-// reportOf reads a report; columns that are longer than others end with the shortest.
+// reportOf reads a report; if the columns differ in length, the shortest one counts.
 func reportOf(message *wire.RolloutReport) rollout.Report {
 	report := rollout.Report{
 		Service:  message.GetService(),
@@ -302,11 +300,11 @@
 	return report
 }
 
-// mostRolloutCount bounds what a report may say: more than a gateway sends in a day.
-const mostRolloutCount = 1 << 30
+// maxRolloutCount limits the counts in a report: more than a gateway sends in a day.
+const maxRolloutCount = 1 << 30
 
 func countOf(count uint32) int {
-	return int(min(count, mostRolloutCount))
+	return int(min(count, maxRolloutCount))
 }
 
 func grantMessage(grant rollout.Grant, answered uint64) *wire.RolloutGrant {
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -24,11 +24,11 @@
 	due     []rollout.Report
 	notices []rollout.Grant
 	reports map[string]rollout.Report
-	grants  []taken
+	grants  []receivedGrant
 }
 
 // taken is a grant as it came.
-type taken struct {
+type receivedGrant struct {
 	from   string
 	grant  rollout.Grant
 	sentAt time.Time
@@ -64,7 +64,7 @@
 	_ = f.service.LiveIDs()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.grants = append(f.grants, taken{from: from, grant: grant, sentAt: sentAt, at: now})
+	f.grants = append(f.grants, receivedGrant{from: from, grant: grant, sentAt: sentAt, at: now})
 }
 
 func (f *fakeRollouts) Notices(time.Time) []rollout.Grant {
@@ -81,13 +81,13 @@
 	f.due = nil
 }
 
-func (f *fakeRollouts) got() []taken {
+func (f *fakeRollouts) receivedGrants() []receivedGrant {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]taken(nil), f.grants...)
+	return append([]receivedGrant(nil), f.grants...)
 }
 
-func (f *fakeRollouts) reported() map[string]rollout.Report {
+func (f *fakeRollouts) receivedReports() map[string]rollout.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	copied := make(map[string]rollout.Report, len(f.reports))
@@ -97,15 +97,15 @@
 	return copied
 }
 
-var someReport = rollout.Report{
+var sampleReport = rollout.Report{
 	Service: serviceHash(fakeService), Order: 12, Age: 3 * time.Second, Stage: rollout.Canary, Others: 4, Requests: 500, Exposed: 40,
 	Tallies: []rollout.Tally{{Route: 1, Target: 2, Answers: 30, Failed: 3, Slow: 1}, {Route: 1, Answers: 400, Failed: 2, Slow: 5}},
 }
 
-// withRollouts is a started node that carries roll-outs.
-func withRollouts(t *testing.T, id string, network *link.Memory, seeds ...string) (*node, *fakeRollouts) {
+// newRolloutNode is a started node that carries roll-outs.
+func newRolloutNode(t *testing.T, id string, network *link.Memory, seeds ...string) (*node, *fakeRollouts) {
 	t.Helper()
-	fake := &fakeRollouts{reports: make(map[string]rollout.Report), due: []rollout.Report{someReport}}
+	fake := &fakeRollouts{reports: make(map[string]rollout.Report), due: []rollout.Report{sampleReport}}
 	n := newNodeWith(t, id, network, func(service *Service) {
 		fake.service = service
 		service.SetRollouts(fake)
@@ -114,15 +114,15 @@
 	return n, fake
 }
 
-// TestReportsAreAnsweredByWhoDecides over real sockets: one of three decides, gets the
+// TestDeciderAnswersReports over real sockets: one of three decides, gets the
 // others' reports whole, and its grants are for the moment at which they were asked for.
-func TestReportsAreAnsweredByWhoDecides(t *testing.T) {
+func TestDeciderAnswersReports(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	nodes, fakes := make(map[string]*node), make(map[string]*fakeRollouts)
 	seed := ""
 	for _, id := range []string{"one", "two", "three"} {
-		nodes[id], fakes[id] = withRollouts(t, id, network, seed)
+		nodes[id], fakes[id] = newRolloutNode(t, id, network, seed)
 		if seed == "" {
 			seed = nodes[id].service.options.Address
 		}
@@ -136,20 +136,20 @@
 		}
 		return found
 	}
-	until(t, "one decides alone", func() bool { return nodes[decider()] != nil && len(nodes[decider()].service.LiveIDs()) == 2 })
+	waitFor(t, "one decides alone", func() bool { return nodes[decider()] != nil && len(nodes[decider()].service.LiveIDs()) == 2 })
 	chosen := decider()
-	until(t, "the others have reported", func() bool { return len(fakes[chosen].reported()) == 2 })
-	for from, report := range fakes[chosen].reported() {
-		is.Equal(report.Life, nodes[from].service.life)
+	waitFor(t, "the others have reported", func() bool { return len(fakes[chosen].receivedReports()) == 2 })
+	for from, report := range fakes[chosen].receivedReports() {
+		is.Equal(report.Life, nodes[from].service.incarnation)
 		report.Life = 0
-		is.Equal(report, someReport)
+		is.Equal(report, sampleReport)
 	}
 	for id, fake := range fakes {
 		if id == chosen {
 			continue
 		}
-		until(t, id+" has a grant", func() bool { return len(fake.got()) > 0 })
-		got := fake.got()[0]
+		waitFor(t, id+" has a grant", func() bool { return len(fake.receivedGrants()) > 0 })
+		got := fake.receivedGrants()[0]
 		is.Equal(got.from, chosen)
 		is.Equal(got.grant.Wanted, []uint32{7})
 		is.Equal(got.grant.For, 2*time.Second)
@@ -157,34 +157,34 @@
 	}
 }
 
-// TestANoticeReachesAllAndAllowsNothing: nobody has asked for it, so that it has no
+// TestNoticeReachesAllWithoutTerm: nobody has asked for it, so that it has no
 // time to hold for, whatever it says.
-func TestANoticeReachesAllAndAllowsNothing(t *testing.T) {
+func TestNoticeReachesAllWithoutTerm(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
-	one, sender := withRollouts(t, "one", network)
-	two, receiver := withRollouts(t, "two", network, one.service.options.Address)
+	one, sender := newRolloutNode(t, "one", network)
+	two, receiver := newRolloutNode(t, "two", network, one.service.options.Address)
 	sender.reportNothing()
 	receiver.reportNothing()
-	until(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
+	waitFor(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
 	sender.mu.Lock()
 	sender.notices = []rollout.Grant{{Service: serviceHash(fakeService), Order: 12, Stage: rollout.Move, For: time.Hour}}
 	sender.mu.Unlock()
-	until(t, "the notice is there", func() bool { return len(receiver.got()) == 1 })
-	got := receiver.got()[0]
+	waitFor(t, "the notice is there", func() bool { return len(receiver.receivedGrants()) == 1 })
+	got := receiver.receivedGrants()[0]
 	is.Equal(got.grant.For, time.Duration(0))
 	is.True(got.sentAt.IsZero())
 }
 
-// TestAnAnswerToNothingIsPassedOver: a grant for a report that this process never sent,
+// TestGrantWithoutReportIsIgnored: a grant for a report that this process never sent,
 // or long ago, would hold from no known moment.
-func TestAnAnswerToNothingIsPassedOver(t *testing.T) {
+func TestGrantWithoutReportIsIgnored(t *testing.T) {
 	cases := map[string]struct {
 		answered uint64
 		taken    int
 	}{
 		"a report of now":      {1500, 1},
-		"an old one":           {1500 - sentKept, 0},
+		"an old one":           {1500 - sentHistory, 0},
 		"one never sent":       {1501, 0},
 		"a notice":             {0, 1},
 		"far beyond all known": {1 << 60, 0},
@@ -192,31 +192,31 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
+			service := newTestService()
 			fake := &fakeRollouts{service: service, reports: make(map[string]rollout.Report)}
 			service.SetRollouts(fake)
 			service.sequence = 1500
 			message := grantMessage(rollout.Grant{Service: 1, Order: 2, Stage: rollout.Move, For: time.Second}, test.answered)
-			service.takeRollouts(&wire.GatewayBeat{RolloutGrants: []*wire.RolloutGrant{message}}, &peer{id: "p"}, time.Unix(1000, 0))
-			is.Equal(len(fake.got()), test.taken)
+			service.handleRollouts(&wire.GatewayBeat{RolloutGrants: []*wire.RolloutGrant{message}}, &peer{id: "p"}, time.Unix(1000, 0))
+			is.Equal(len(fake.receivedGrants()), test.taken)
 		})
 	}
 }
 
-func TestReportsSurviveTheWire(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	is := is.New(t)
-	data, err := proto.Marshal(reportMessage(someReport))
+	data, err := proto.Marshal(reportMessage(sampleReport))
 	is.NoErr(err)
 	message := new(wire.RolloutReport)
 	is.NoErr(proto.Unmarshal(data, message))
-	is.Equal(reportOf(message), someReport)
+	is.Equal(reportOf(message), sampleReport)
 	message.Failed = message.Failed[:1] // a column is shorter
 	is.Equal(len(reportOf(message).Tallies), 1)
 	message.Stage = 99
 	is.Equal(reportOf(message).Stage, rollout.Hold)
 }
 
-func TestGrantsSurviveTheWire(t *testing.T) {
+func TestGrantRoundTrip(t *testing.T) {
 	cases := map[string]struct {
 		grant    rollout.Grant
 		answered uint64
@@ -260,14 +260,14 @@
 	}
 }
 
-// TestOneDecides: among gateways that hear the same, exactly one decides about each
+// TestExactlyOneDecider: among gateways that hear the same, exactly one decides about each
 // service, one that knows what the store holds and reaches it if any does.
-func TestOneDecides(t *testing.T) {
+func TestExactlyOneDecider(t *testing.T) {
 	const gateways = 28
 	cases := map[string]struct {
-		reaches func(place int) bool
-		loaded  func(place int) bool
-		may     func(place int) bool
+		reaches   func(place int) bool
+		loaded    func(place int) bool
+		mayDecide func(place int) bool
 	}{
 		"all reach the store":  {func(int) bool { return true }, func(int) bool { return true }, func(int) bool { return true }},
 		"none reaches it":      {func(int) bool { return false }, func(int) bool { return true }, func(int) bool { return true }},
@@ -281,11 +281,11 @@
 			for service := range 40 {
 				deciding := 0
 				for self := range gateways {
-					seen := lookOf(self, gateways, test.reaches, test.loaded)
-					own := standing{hash: policy.HashName(gatewayID(self)), candidate: test.loaded(self), reaches: test.reaches(self)}
-					if seen.decider(serviceHash(fmt.Sprintf("service-%d", service)), own) == nil {
+					current := viewOf(self, gateways, test.reaches, test.loaded)
+					own := selfCandidacy{hash: policy.HashName(gatewayID(self)), eligible: test.loaded(self), reachesStore: test.reaches(self)}
+					if current.decider(serviceHash(fmt.Sprintf("service-%d", service)), own) == nil {
 						deciding++
-						is.True(test.may(self))
+						is.True(test.mayDecide(self))
 					}
 				}
 				is.Equal(deciding, 1)
@@ -294,29 +294,29 @@
 	}
 }
 
-// TestALargeHostDecides before all smaller ones, if it reaches the store.
-func TestALargeHostDecides(t *testing.T) {
+// TestLargestHostDecides before all smaller ones, if it reaches the store.
+func TestLargestHostDecides(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for service := range uint32(40) {
 		known := newTable("self", nil, "", 7000)
 		known.class = 2
-		known.take(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 5}, now)
-		known.take(&wire.GatewayBeat{Id: "small", Address: "s", Life: 2, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 1}, now)
-		own := standing{hash: policy.HashName("self"), candidate: true, reaches: true}
-		is.Equal(known.look(now).decider(service, own).id, "large")
-		known.take(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 2, Revision: 3, HostClass: 5}, now)
-		is.True(known.look(now).decider(service, own) == nil) // cut off from the store
+		known.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 5}, now)
+		known.record(&wire.GatewayBeat{Id: "small", Address: "s", Life: 2, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 1}, now)
+		own := selfCandidacy{hash: policy.HashName("self"), eligible: true, reachesStore: true}
+		is.Equal(known.newView(now).decider(service, own).id, "large")
+		known.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 2, Revision: 3, HostClass: 5}, now)
+		is.True(known.newView(now).decider(service, own) == nil) // cut off from the store
 	}
 }
 
-// TestWhoIsAboutToEndDecidesNoMore: the others pass it over at once, and two that decide
+// TestLeavingGatewayDoesNotDecide: the others pass it over at once, and two that decide
 // would go on for as long as its last answers take.
-func TestWhoIsAboutToEndDecidesNoMore(t *testing.T) {
+func TestLeavingGatewayDoesNotDecide(t *testing.T) {
 	is := is.New(t)
-	service := bareService()
+	service := newTestService()
 	now := time.Now()
-	service.table.take(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
+	service.table.record(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
 	service.table.class = 5
 	is.True(service.Decides(fakeService))
 	service.leaving.Store(true)
@@ -325,8 +325,8 @@
 
 func gatewayID(place int) string { return fmt.Sprintf("g-%d", place) }
 
-// lookOf is what one of several gateways sees that hears all the others.
-func lookOf(self, gateways int, reaches, loaded func(place int) bool) *view {
+// viewOf is what one of several gateways sees that hears all the others.
+func viewOf(self, gateways int, reaches, loaded func(place int) bool) *view {
 	now := time.Unix(1000, 0)
 	known := newTable(gatewayID(self), nil, "", 7000)
 	for other := range gateways {
@@ -337,30 +337,30 @@
 		if loaded(other) {
 			revision = 3
 		}
-		known.take(&wire.GatewayBeat{
+		known.record(&wire.GatewayBeat{
 			Id: gatewayID(other), Address: fmt.Sprint(other), Life: uint64(other + 1), Sequence: 1,
 			Revision: revision, StoreReachable: reaches(other),
 		}, now)
 	}
-	return known.look(now)
+	return known.newView(now)
 }
 
-// TestASilentOneDecidesNoMore: who is frozen or cut off is passed over before it counts
+// TestSilentGatewayDoesNotDecide: who is frozen or cut off is passed over before it counts
 // as lost.
-func TestASilentOneDecidesNoMore(t *testing.T) {
+func TestSilentGatewayDoesNotDecide(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	known := newTable("self", nil, "", 7000)
-	known.take(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
-	idle := standing{hash: policy.HashName("self")}
-	is.True(known.look(now).decider(1, idle) != nil)
-	is.True(known.look(now.Add(watcherSilent)).decider(1, idle) != nil)
-	is.True(known.look(now.Add(watcherSilent+tick)).decider(1, idle) == nil)
+	known.record(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
+	idle := selfCandidacy{hash: policy.HashName("self")}
+	is.True(known.newView(now).decider(1, idle) != nil)
+	is.True(known.newView(now.Add(watcherTimeout)).decider(1, idle) != nil)
+	is.True(known.newView(now.Add(watcherTimeout+tick)).decider(1, idle) == nil)
 }
 
-// TestRolloutDatagramsAreSmall: a gateway that decides among hundreds answers each of
+// TestRolloutDatagramSizes: a gateway that decides among hundreds answers each of
 // their reports, so that docs/CAPACITY.md reckons with these sizes.
-func TestRolloutDatagramsAreSmall(t *testing.T) {
+func TestRolloutDatagramSizes(t *testing.T) {
 	is := is.New(t)
 	report := rollout.Report{Service: 1 << 31, Order: 5000, Age: 9 * time.Second, Stage: rollout.Canary, Others: 12, Requests: 900, Exposed: 60}
 	for route := range uint32(3) {
@@ -368,9 +368,9 @@
 			report.Tallies = append(report.Tallies, rollout.Tally{Route: 1<<31 + route, Target: 1<<31 + target, Answers: 300, Failed: 3, Slow: 2})
 		}
 	}
-	beat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 90000, Brief: true, Bare: true, RolloutReports: []*wire.RolloutReport{reportMessage(report)}}
-	is.True(proto.Size(beat) < 280) // three routes, five targets and the others
-	beat.RolloutReports = nil
-	beat.RolloutGrants = []*wire.RolloutGrant{grantMessage(rollout.Grant{Service: 1 << 31, Order: 5000, Stage: rollout.Canary, Age: 9 * time.Second, For: 2 * time.Second, Wanted: []uint32{1, 2}}, 90000)}
-	is.True(proto.Size(beat) < 60)
+	heartbeat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 90000, Brief: true, Bare: true, RolloutReports: []*wire.RolloutReport{reportMessage(report)}}
+	is.True(proto.Size(heartbeat) < 280) // three routes, five targets and the others
+	heartbeat.RolloutReports = nil
+	heartbeat.RolloutGrants = []*wire.RolloutGrant{grantMessage(rollout.Grant{Service: 1 << 31, Order: 5000, Stage: rollout.Canary, Age: 9 * time.Second, For: 2 * time.Second, Wanted: []uint32{1, 2}}, 90000)}
+	is.True(proto.Size(heartbeat) < 60)
 }
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -25,132 +25,131 @@
 )
 
 const (
-	// tick is the time between two looks at what there is to report.
+	// tick is the time between two rounds, in which the process checks what there is to report.
 	tick = 80 * time.Millisecond
-	// leastRest is the least time between two rounds: hundreds of gateways that are found
-	// within a moment are answered by a few rounds, not by one each.
-	leastRest = 15 * time.Millisecond
-	// beatMost is the longest time between two beats to a peer.
-	beatMost = 320 * time.Millisecond
-	// mostPlacements and mostKnown bound what one beat carries.
-	mostPlacements = 32
-	mostKnown      = 6
-	// mostCounts is up to how many counts by target a beat among many gateways has
-	// all of them. In a surge there are more, and loads must be reported as often
-	// as ever: then it has only the largest, fewCounts.
-	mostCounts = 16
-	fewCounts  = 4
-	// mostSuspects bounds the suspected targets that a beat names.
-	mostSuspects = 24
-	// countsEvery is how long it may take to send each peer a beat, so that the beats
-	// have more of the counts.
-	countsEvery = time.Second
-	// headSize and countSize are the bytes of a beat without counts and of a count.
-	headSize  = 50
-	countSize = 5
-	// introduceEvery is how many beats to a peer go by between two that say
-	// who sends them; introduceFirst is how many do at the beginning.
-	introduceEvery = 24
-	introduceFirst = 4
-	// fewPeers is how many peers get everything in beats; with more of
-	// them a beat carries no placements, so that loads are reported more often.
-	fewPeers = 8
-	// receiveBuffer is the largest datagram that is read, in bytes.
+	// minRoundInterval is the minimum time between two rounds: a few rounds answer hundreds of
+	// gateways that are found within a moment, instead of one round for each.
+	minRoundInterval = 15 * time.Millisecond
+	// maxHeartbeatInterval is the longest time between two heartbeats to a peer.
+	maxHeartbeatInterval = 320 * time.Millisecond
+	// maxPlacements and maxKnownAddresses limit the content of one heartbeat.
+	maxPlacements     = 32
+	maxKnownAddresses = 6
+	// allCountsLimit is the number of counts by target up to which a heartbeat in a large fleet
+	// carries all of them. In a surge there are more, and loads have to be reported as often as
+	// before: then it carries only the largest, at least minCounts.
+	allCountsLimit = 16
+	minCounts      = 4
+	// maxSuspects limits the suspected targets in a heartbeat.
+	maxSuspects = 24
+	// countsInterval is how long sending a heartbeat to each peer may take so that heartbeats can
+	// carry more counts.
+	countsInterval = time.Second
+	// Sizes in bytes of a heartbeat without counts, and of one count.
+	baseHeartbeatSize = 50
+	countSize         = 5
+	// senderEvery is the number of heartbeats to a peer after which one names its sender again; the
+	// first senderFirst of them always do.
+	senderEvery = 24
+	senderFirst = 4
+	// fullMeshLimit is the number of peers up to which heartbeats carry everything. With more peers
+	// they carry no placements, so that loads are reported more often.
+	fullMeshLimit = 8
+	// receiveBuffer is the size of the largest datagram that is read, in bytes.
 	receiveBuffer = 4096
-	// sentKept is for how many beats the time of sending is remembered.
-	sentKept = 1024
-	// pullTimeout bounds the fetching of a replica.
+	// sentHistory is the number of heartbeats whose sending time is remembered.
+	sentHistory = 1024
+	// pullTimeout limits the fetching of a replica.
 	pullTimeout = time.Second
-	// pullPatience is how long a gateway that asks the store itself waits for
-	// the store's answer before it asks a peer that is ahead.
-	pullPatience = 150 * time.Millisecond
+	// storeAnswerDelay is how long a gateway that asks the store itself waits for the store's
+	// answer before it pulls from a peer that is ahead.
+	storeAnswerDelay = 150 * time.Millisecond
 )
 
-// Replica is the process's copy of what the store holds.
+// Replica is the process's copy of the store's content.
 type Replica interface {
-	// Revision is the store's revision that the copy has reached.
+	// Revision returns the store revision that the copy has reached.
 	Revision() int64
-	// Pull is a question for what the copy lacks.
+	// Pull returns a request for what the copy lacks.
 	Pull() *wire.ReplicaPull
 	// Page answers a pull.
 	Page(pull *wire.ReplicaPull) *wire.ReplicaPage
-	// Absorb takes a peer's page; one that can't be read changes nothing.
+	// Absorb applies a peer's page; a page that can't be read changes nothing.
 	Absorb(page *wire.ReplicaPage) error
-	// Reachable says whether the last call to the store was answered.
+	// Reachable reports whether the last call to the store was answered.
 	Reachable() bool
 }
 
-// Watcher is notified of peers found and lost, replicas fetched and refused targets.
+// Watcher is notified of peers found and lost, replicas fetched, and refused and suspected
+// targets.
 type Watcher interface {
 	PeerFound(id, address string)
 	PeerLost(id, address string, silent time.Duration)
 	ReplicaFetched(id string, from, to int64, err error)
-	// TargetRefused: a target refused a connection of another gateway; the peer
-	// that passed it on need not be that one.
+	// TargetRefused reports that a target refused a connection of another gateway; from is the peer
+	// that forwarded this, which may be a different one.
 	TargetRefused(target, from string)
-	// TargetSuspected: a target is left out since several gateways got no answer from
-	// it; the peer is the last of them to say so.
+	// TargetSuspected reports that a target is excluded because several gateways got no answer from
+	// it; from is the last of them.
 	TargetSuspected(target, from string)
-	// QuarantineChanged: a request is held back from now on, or no more, since the peer
-	// says so.
+	// QuarantineChanged reports that a request is held from now on, or no longer, due to a record
+	// from a peer.
 	QuarantineChanged(change quarantine.Change, from string)
 }
 
-// Options are what the service works with.
+// Options configures a Service.
 type Options struct {
-	// ID names this process.
+	// ID identifies this process.
 	ID string
-	// Address is where it takes beats and links, IP:port.
+	// Address is where the process receives heartbeats and links, as IP:port.
 	Address string
-	// Class is that of this process's host.
+	// Class is the class of this process's host.
 	Class Class
-	// Seeds are such addresses of other gateways.
+	// Seeds are the addresses of other gateways from the settings.
 	Seeds []string
-	// Budget is how many bytes a second it sends in beats.
+	// Budget is the number of bytes a second that the process sends in heartbeats.
 	Budget   int
 	Replica  Replica
 	Proof    *freshness.Proof
 	Balancer *balance.Balancer
-	// Quarantine is what this process knows of requests under which targets ended.
+	// Quarantine holds this process's records of requests under which targets crashed.
 	Quarantine *quarantine.Table
 	Watcher    Watcher
-	// Stale is the age of the proof at which this process asks the store whoever
-	// else does.
+	// Stale is the age of the proof at which this process asks the store even if others do.
 	Stale time.Duration
-	// Lag is how late this process's timers fire; nil is not at all.
+	// Lag returns how late this process's timers fire; nil means not at all.
 	Lag func() time.Duration
-	// Counted is called with what is known of the peers in every round of beats.
+	// OnCensus is called with the current counts of peers in every round of heartbeats.
 	OnCensus func(census Census)
 }
 
-// Service exchanges beats with other gateways.
+// Service exchanges heartbeats with other gateways.
 type Service struct {
-	options Options
-	conn    *net.UDPConn
-	dialer  link.Dialer
-	life    uint64
-	// hash is that of this process's id.
+	options     Options
+	conn        *net.UDPConn
+	dialer      link.Dialer
+	incarnation uint64
+	// hash is the hash of this process's id.
 	hash   uint64
 	bucket *rate.Limiter
-	// directoryBucket bounds the directory's part of it.
+	// directoryBucket limits the directory's part of the budget.
 	directoryBucket *rate.Limiter
 	leaving         atomic.Bool
-	// urgent asks for a beat to all peers.
+	// urgent requests a heartbeat to all peers.
 	urgent atomic.Bool
-	urged  chan struct{}
+	wakeup chan struct{}
 
 	mu    sync.Mutex
 	table *table
-	// seen is the last view of the table; nil once it shows no longer what is
-	// known.
-	seen     *view
-	sequence uint64
-	// sentAt is when a beat was sent, by its sequence.
-	sentAt [sentKept]time.Time
-	// refused are targets at whose addresses nothing listens, of which a few peers are to be
-	// notified in the next round.
+	// cachedView is the last view of the table; nil if the table has changed since.
+	cachedView *view
+	sequence   uint64
+	// sentAt holds the sending times of heartbeats by their sequence number.
+	sentAt [sentHistory]time.Time
+	// refused are targets at whose addresses nothing listens; a few peers are notified of them in
+	// the next round.
 	refused []uint32
-	// lastCounts and the others are what the last round of beats reported.
+	// What the last round of heartbeats reported.
 	lastCounts   []balance.Count
 	lastTotals   []balance.Total
 	lastFills    []balance.Placement
@@ -161,11 +160,11 @@
 	pulling     bool
 	// askedAt is when the parent was last asked for its proof.
 	askedAt time.Time
-	// directory is this gateway's part in keeping track of placements.
+	// directory is this gateway's part of the placement directory.
 	directory *directory
-	// crashes are the records of requests under which targets ended that wait to be sent.
-	crashes *crashMail
-	// rollouts is nil where none are carried.
+	// crashes holds the crash records that wait to be sent.
+	crashes *crashQueue
+	// rollouts is nil if roll-outs are not handled.
 	rollouts Rollouts
 
 	// wholePages counts the whole copies that are being sent.
@@ -177,31 +176,31 @@
 	wait          sync.WaitGroup
 }
 
-// New returns a service that owns the socket; Start begins its work.
+// New returns a service that owns the socket; Start starts it.
 func New(options Options, conn *net.UDPConn, dialer link.Dialer) *Service {
 	service := &Service{
 		options:         options,
 		conn:            conn,
 		dialer:          dialer,
-		life:            rand.Uint64(),
+		incarnation:     rand.Uint64(),
 		hash:            policy.HashName(options.ID),
 		bucket:          rate.NewLimiter(rate.Limit(options.Budget), max(options.Budget, receiveBuffer)),
 		directoryBucket: rate.NewLimiter(rate.Limit(directoryShare*float64(options.Budget)), max(options.Budget, receiveBuffer)),
-		urged:           make(chan struct{}, 1),
+		wakeup:          make(chan struct{}, 1),
 		table:           newTable(options.ID, options.Seeds, options.Address, options.Budget),
 
 		directory: newDirectory(),
 	}
 	service.table.class = options.Class
-	service.table.begin(clock.Now())
+	service.table.markStarted(clock.Now())
 	if options.Quarantine == nil {
 		options.Quarantine = quarantine.New()
 	}
-	service.crashes = newCrashMail(options.Quarantine, options.Budget)
+	service.crashes = newCrashQueue(options.Quarantine, options.Budget)
 	return service
 }
 
-// Start begins to exchange beats.
+// Start starts the exchange of heartbeats.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -210,7 +209,7 @@
 	return nil
 }
 
-// Close ends the exchange and waits.
+// Close stops the exchange and waits for its goroutines.
 func (s *Service) Close() error {
 	s.cancel()
 	err := s.conn.Close()
@@ -218,41 +217,41 @@
 	return errors.Wrap(err, "close the peers' socket")
 }
 
-// Leave notifies the peers that this process is about to end.
+// Leave tells the peers that this process is about to stop.
 func (s *Service) Leave() {
 	s.leaving.Store(true)
 	s.wake()
 }
 
-// Urge has a change of the store that must be in force soon sent at once to the
-// peers that get the store's changes from this process.
+// Urge sends an urgent change of the store at once to the peers that get the store's changes from
+// this process.
 func (s *Service) Urge() {
 	s.urgent.Store(true)
 	s.wake()
 }
 
-// wake has the next round begin now.
+// wake starts the next round at once.
 func (s *Service) wake() {
 	select {
-	case s.urged <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// viewLife is how long a view of the table is used: among many peers, beats
-// come more often than their standing changes.
-const viewLife = tick
+// viewTTL is how long a view of the table is used. In a large fleet, heartbeats arrive more often
+// than the state of the peers changes.
+const viewTTL = tick
 
-// look gives a view of the table; s.mu is held.
-func (s *Service) look(now time.Time) *view {
-	if s.seen == nil || now.Sub(s.seen.at) >= viewLife || now.Before(s.seen.at) {
+// currentView returns a view of the table. The caller holds s.mu.
+func (s *Service) currentView(now time.Time) *view {
+	if s.cachedView == nil || now.Sub(s.cachedView.at) >= viewTTL || now.Before(s.cachedView.at) {
 		s.table.loaded = s.options.Replica.Revision() > 0
-		s.seen = s.table.look(now)
+		s.cachedView = s.table.newView(now)
 	}
-	return s.seen
+	return s.cachedView
 }
 
-// Traffic is the bytes of beats sent and received so far.
+// Traffic returns the bytes of heartbeats sent and received so far.
 func (s *Service) Traffic() (sent, received int64) {
 	return s.sentBytes.Load(), s.receivedBytes.Load()
 }
@@ -261,40 +260,40 @@
 	for ctx.Err() == nil {
 		s.round(clock.Check())
 		s.reportRollouts(clock.Now())
-		if !wait.For(ctx, leastRest) {
+		if !wait.For(ctx, minRoundInterval) {
 			return
 		}
-		timer := time.NewTimer(tick - leastRest)
+		timer := time.NewTimer(tick - minRoundInterval)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-s.urged:
+		case <-s.wakeup:
 		}
 		timer.Stop()
 	}
 }
 
-// round sends what is due and asks for what is missing.
+// round sends what is due and fetches what is missing.
 func (s *Service) round(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, lost := range s.table.expire(now) {
-		s.seen = nil
-		s.options.Watcher.PeerLost(lost.id, lost.address, now.Sub(lost.lastBeat))
-		s.crashes.reshuffle = true
+		s.cachedView = nil
+		s.options.Watcher.PeerLost(lost.id, lost.address, now.Sub(lost.lastHeartbeat))
+		s.crashes.peersChanged = true
 	}
 	s.sendCrashes(now)
 	s.sendRefused(now)
-	for _, address := range s.table.silent(now) {
-		s.send(address, s.beat(nil, now), false)
+	for _, address := range s.table.dueAddresses(now) {
+		s.send(address, s.fullHeartbeat(nil, now), false)
 	}
 	s.askParent(now)
 	s.directory.expire(now)
 	counts := s.options.Balancer.InFlight()
 	revision := s.options.Replica.Revision()
-	urgent := s.urgent.Swap(false) && s.passOn(now)
+	urgent := s.urgent.Swap(false) && s.notifyChildren(now)
 	changed := revision != s.lastRevision || !slices.Equal(counts, s.lastCounts)
-	if changed || urgent || now.Sub(s.lastRound) >= beatMost {
+	if changed || urgent || now.Sub(s.lastRound) >= maxHeartbeatInterval {
 		s.lastCounts, s.lastRevision, s.lastRound = counts, revision, now
 		s.lastTotals = s.options.Balancer.Totals()
 		s.lastFills = s.options.Balancer.Fills()
@@ -303,49 +302,48 @@
 	s.catchUp(now)
 }
 
-// askParent asks the parent for its proof, if there is one and it is time.
+// askParent asks the parent for its proof if there is a parent and proofInterval has passed.
 func (s *Service) askParent(now time.Time) {
-	if now.Sub(s.askedAt) < proofEvery {
+	if now.Sub(s.askedAt) < proofInterval {
 		return
 	}
-	parent := s.look(now).parent()
+	parent := s.currentView(now).parent()
 	if parent == nil {
 		return
 	}
 	s.askedAt = now
 	parent.unanswered++
-	question := s.brief(parent, now)
+	question := s.briefHeartbeat(parent, now)
 	question.WantsProof = true
 	s.send(parent.address, question, true)
 }
 
-// passOn notifies the children of what is urgent, if there are many peers. It
-// returns true if all are to be notified instead, by one of those who ask the
-// store: the others would only repeat it to each other, and have no room left
-// for their loads.
-func (s *Service) passOn(now time.Time) bool {
-	seen := s.look(now)
-	if !seen.many {
-		return seen.asks()
+// notifyChildren sends the children a heartbeat in a large fleet. It returns true if all peers are
+// to be notified instead, by one of those that ask the store: the others would only repeat it to
+// each other, and would have no bytes left for their loads.
+func (s *Service) notifyChildren(now time.Time) bool {
+	current := s.currentView(now)
+	if !current.large {
+		return current.asksStore()
 	}
-	for _, child := range seen.children() {
-		s.send(child.address, s.brief(child, now), true)
+	for _, child := range current.children() {
+		s.send(child.address, s.briefHeartbeat(child, now), true)
 	}
 	return false
 }
 
-// inTurn puts peers in the order of their beats: who has waited longest comes first. Those
-// that have waited alike, as all have in a fleet that begins, come in an order of this
-// gateway's own: in one that all share, the last would hear nobody until the first had heard
-// everybody. Before all others come those that have heard nobody yet: a gateway that the
-// settings name as a seed has no bytes for hundreds at once.
-func inTurn(live []*peer, own uint64) {
+// sortForBroadcast sorts peers in the order in which they get heartbeats. Peers that hear no
+// others yet come first: a gateway that the settings name as a seed has no bytes for hundreds of
+// them at once. Then come those that have waited longest. Those that have waited equally long, as
+// all have in a starting fleet, are in an order of this gateway's own: if all gateways shared one
+// order, the last peer would hear no others until the first had heard all.
+func sortForBroadcast(live []*peer, own uint64) {
 	slices.SortFunc(live, func(a, b *peer) int {
-		return cmp.Or(compareBool(b.alone, a.alone), a.reportedAt.Compare(b.reportedAt), cmp.Compare(policy.Score(own, a.hash), policy.Score(own, b.hash)))
+		return cmp.Or(compareBool(b.alone, a.alone), a.heartbeatSentAt.Compare(b.heartbeatSentAt), cmp.Compare(policy.Score(own, a.hash), policy.Score(own, b.hash)))
 	})
 }
 
-// compareBool puts false before true.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -356,19 +354,19 @@
 	return 1
 }
 
-// broadcast sends a beat to each live peer in turn, as far as the budget goes. What is urgent
-// goes to all, and the budget is made up for later.
+// broadcast sends a heartbeat to each live peer in turn, as far as the budget allows. Urgent
+// heartbeats go to all peers, and the budget is charged for them afterwards.
 func (s *Service) broadcast(now time.Time, urgent bool) {
-	live := slices.Clone(s.look(now).live)
-	s.options.OnCensus(s.table.count(len(live)))
-	inTurn(live, s.hash)
+	live := slices.Clone(s.currentView(now).live)
+	s.options.OnCensus(s.table.census(len(live)))
+	sortForBroadcast(live, s.hash)
 	for _, to := range live {
-		reported := to.reported
-		if !s.send(to.address, s.beat(to, now), urgent) {
-			to.reported = reported // the placements wait for the next beat
+		reported := to.nextPlacement
+		if !s.send(to.address, s.fullHeartbeat(to, now), urgent) {
+			to.nextPlacement = reported // the placements wait for the next heartbeat
 			return
 		}
-		to.reportedAt = now
+		to.heartbeatSentAt = now
 	}
 }
 
@@ -380,18 +378,18 @@
 			return
 		}
 		if err != nil {
-			// A datagram sent to a closed port comes back as an error.
+			// A datagram that was sent to a closed port comes back as an error.
 			if !wait.For(context.Background(), time.Millisecond) {
 				return
 			}
 			continue
 		}
 		s.receivedBytes.Add(int64(n))
-		beat := new(wire.GatewayBeat)
-		if proto.Unmarshal(buffer[:n], beat) != nil || beat.GetLife() == s.life || beat.GetId() == s.options.ID {
+		heartbeat := new(wire.GatewayBeat)
+		if proto.Unmarshal(buffer[:n], heartbeat) != nil || heartbeat.GetLife() == s.incarnation || heartbeat.GetId() == s.options.ID {
 			continue
 		}
 		now := clock.Now()
-		s.takeRollouts(beat, s.take(beat, now), now)
+		s.handleRollouts(heartbeat, s.handleHeartbeat(heartbeat, now), now)
 	}
 }
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -65,24 +65,24 @@
 }
 
 // quiet is a watcher that says nothing.
-type quietWatcher struct{}
+type noopWatcher struct{}
 
-func (quietWatcher) PeerFound(string, string)                    {}
-func (quietWatcher) PeerLost(string, string, time.Duration)      {}
-func (quietWatcher) ReplicaFetched(string, int64, int64, error)  {}
-func (quietWatcher) TargetRefused(string, string)                {}
-func (quietWatcher) TargetSuspected(string, string)              {}
-func (quietWatcher) QuarantineChanged(quarantine.Change, string) {}
+func (noopWatcher) PeerFound(string, string)                    {}
+func (noopWatcher) PeerLost(string, string, time.Duration)      {}
+func (noopWatcher) ReplicaFetched(string, int64, int64, error)  {}
+func (noopWatcher) TargetRefused(string, string)                {}
+func (noopWatcher) TargetSuspected(string, string)              {}
+func (noopWatcher) QuarantineChanged(quarantine.Change, string) {}
 
 // noting is a watcher that counts refused targets.
-type noting struct {
-	quietWatcher
-	refused atomic.Int32
-	doubted atomic.Int32
+type countingWatcher struct {
+	noopWatcher
+	refused   atomic.Int32
+	suspected atomic.Int32
 }
 
-func (n *noting) TargetRefused(string, string)   { n.refused.Add(1) }
-func (n *noting) TargetSuspected(string, string) { n.doubted.Add(1) }
+func (n *countingWatcher) TargetRefused(string, string)   { n.refused.Add(1) }
+func (n *countingWatcher) TargetSuspected(string, string) { n.suspected.Add(1) }
 
 // node is a gateway as far as its peers see it.
 type node struct {
@@ -90,7 +90,7 @@
 	replica  *fakeReplica
 	proof    *freshness.Proof
 	balancer *balance.Balancer
-	watcher  *noting
+	watcher  *countingWatcher
 }
 
 // newNode listens on a port of loopback and serves links from memory.
@@ -102,26 +102,26 @@
 // newNodeWith is newNode with something done to the service before it starts.
 func newNodeWith(t *testing.T, id string, network *link.Memory, prepare func(service *Service), seeds ...string) *node {
 	t.Helper()
-	return newNodeAt(t, testsOwn+":0", id, network, prepare, seeds...)
+	return newNodeAt(t, testLoopback+":0", id, network, prepare, seeds...)
 }
 
-// testsOwn is an address of loopback that no other package's tests use: gateways call an
+// testLoopback is an address of loopback that no other package's tests use: gateways call an
 // address at which one has ended for minutes, and would take who listens there next for one
 // of theirs.
-const testsOwn = "127.0.0.2"
+const testLoopback = "127.0.0.2"
 
 // newNodeAt is newNodeWith at an address, IP:port.
 func newNodeAt(t *testing.T, address, id string, network *link.Memory, prepare func(service *Service), seeds ...string) *node {
 	t.Helper()
-	at, err := net.ResolveUDPAddr("udp", address)
+	resolved, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := net.ListenUDP("udp", at)
+	conn, err := net.ListenUDP("udp", resolved)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &node{replica: &fakeReplica{reachable: true}, proof: new(freshness.Proof), balancer: balance.New(balance.DefaultOptions()), watcher: new(noting)}
+	n := &node{replica: &fakeReplica{reachable: true}, proof: new(freshness.Proof), balancer: balance.New(balance.DefaultOptions()), watcher: new(countingWatcher)}
 	n.balancer.Put(balance.Target{ID: "t", Service: "s", Address: "t"}, time.Now())
 	n.service = New(Options{
 		ID: id, Address: conn.LocalAddr().String(), Seeds: seeds, Budget: 100_000,
@@ -137,34 +137,34 @@
 }
 
 // until waits until something holds.
-func until(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("waited in vain until %s", description)
 		}
 	}
 }
 
-func TestPeersTellEachOther(t *testing.T) {
+func TestHeartbeatExchange(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
 	three := newNode(t, "three", network, one.service.options.Address)
-	until(t, "all know all", func() bool {
+	waitFor(t, "all know all", func() bool {
 		return one.service.Live() == 2 && two.service.Live() == 2 && three.service.Live() == 2
 	})
 	pick, ok := two.balancer.Choose(balance.Query{Service: "s"}, time.Now())
 	is.True(ok)
 	two.balancer.Confirm(pick.Target.ID, balance.Query{Parts: []uint64{42 << 32}})
-	until(t, "the load and the placement are known", func() bool {
+	waitFor(t, "the load and the placement are known", func() bool {
 		seen, _ := three.balancer.Choose(balance.Query{Service: "s"}, time.Now())
 		three.balancer.Release("t", balance.Neutral, time.Now())
 		return seen.Load == 1 && len(three.balancer.AllPlacements(10)) == 1
@@ -172,69 +172,69 @@
 	is.Equal(three.balancer.AllPlacements(10)[0], balance.Placement{Part: 42, Target: uint32(policy.HashName("t") >> 32)})
 }
 
-// TestAPeersProofServes: a gateway that the store turns away goes on by what
+// TestPeerProofAndReplica: a gateway that the store turns away goes on by what
 // a peer proves, and gets the store's content from it.
-func TestAPeersProofServes(t *testing.T) {
+func TestPeerProofAndReplica(t *testing.T) {
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
 	two.replica.set(0, false)
 	one.replica.set(7, true)
 	one.proof.Note(time.Now())
-	until(t, "the replica and a proof have come", func() bool {
+	waitFor(t, "the replica and a proof have come", func() bool {
 		_, proven := two.proof.Age(time.Now())
 		return two.replica.Revision() == 7 && proven
 	})
 }
 
-// TestNoProofForWhatIsNotHeld: a proof about a revision that this process has
+// TestProofOfUnappliedRevisionIsIgnored: a proof about a revision that this process has
 // not applied proves nothing here.
-func TestNoProofForWhatIsNotHeld(t *testing.T) {
+func TestProofOfUnappliedRevisionIsIgnored(t *testing.T) {
 	is := is.New(t)
-	service := bareService()
+	service := newTestService()
 	service.sequence = 3
 	service.sentAt[3] = start
-	beat := &wire.GatewayBeat{Id: "x", Echo: 3, HasProof: true, ProofAgeMs: 200, Revision: 8}
-	service.takeProof(beat)
+	heartbeat := &wire.GatewayBeat{Id: "x", Echo: 3, HasProof: true, ProofAgeMs: 200, Revision: 8}
+	service.applyProof(heartbeat)
 	_, proven := service.options.Proof.Age(start)
 	is.True(!proven)
-	beat.Revision = 7
-	service.takeProof(beat)
+	heartbeat.Revision = 7
+	service.applyProof(heartbeat)
 	age, _ := service.options.Proof.Age(start.Add(time.Second))
 	is.Equal(age, 1200*time.Millisecond) // from the sending of the question, less the age
 }
 
-// TestAProofNeedsAnEcho: a beat that answers none of this life's may have
+// TestProofRequiresEcho: a beat that answers none of this life's may have
 // lain anywhere for any time.
-func TestAProofNeedsAnEcho(t *testing.T) {
+func TestProofRequiresEcho(t *testing.T) {
 	cases := map[string]uint64{"none": 0, "from the future": 9, "long forgotten": 1}
 	for name, echo := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
+			service := newTestService()
 			service.sequence = 3
 			if name == "long forgotten" {
-				service.sequence = 1 + sentKept
+				service.sequence = 1 + sentHistory
 			}
-			service.takeProof(&wire.GatewayBeat{Id: "x", Echo: echo, HasProof: true, Revision: 7})
+			service.applyProof(&wire.GatewayBeat{Id: "x", Echo: echo, HasProof: true, Revision: 7})
 			_, proven := service.options.Proof.Age(start)
 			is.True(!proven)
 		})
 	}
 }
 
-func bareService() *Service {
-	return New(Options{Replica: &fakeReplica{revision: 7, reachable: true}, Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}}, nil, nil)
+func newTestService() *Service {
+	return New(Options{Replica: &fakeReplica{revision: 7, reachable: true}, Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: noopWatcher{}}, nil, nil)
 }
 
-// TestOnlyThoseWhoAskAreUrgent: found as LIMIT on vasconcelos-gorjeta-grown
+// TestUrgentBroadcastOnlyByWatchers: found as LIMIT on vasconcelos-gorjeta-grown
 // scale-2, where every gateway told every other of each change of the list at
 // once, and none had bytes left to tell its load: they saw a mean of 0.4 where
 // it was 3.8.
-func TestOnlyThoseWhoAskAreUrgent(t *testing.T) {
+func TestUrgentBroadcastOnlyByWatchers(t *testing.T) {
 	cases := map[string]struct {
 		before int
-		spent  bool
+		sends  bool
 	}{
 		"an asker":         {watchers - 1, true},
 		"one that is told": {watchers, false},
@@ -243,66 +243,66 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			network := link.NewMemory()
-			conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testsOwn)})
+			conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
 			is.NoErr(err)
 			defer func() { _ = conn.Close() }()
 			service := New(Options{
 				ID: "self", Address: conn.LocalAddr().String(), Budget: 1, Replica: &fakeReplica{revision: 7, reachable: true},
-				Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, OnCensus: func(Census) {},
+				Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: noopWatcher{}, OnCensus: func(Census) {},
 			}, conn, network.From("self"))
 			now := time.Now()
 			for number := range 200 {
-				beat := beatOf(fmt.Sprint(number), 1)
-				beat.Life = uint64(number + 2)
-				beat.Address = "127.0.0.1:9"
-				beat.Revision = 7 // one that holds nothing is not asked
-				if askScore(beat.GetId()) > askScore("self") == (tc.before > 0) {
-					service.table.take(beat, now)
+				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+				heartbeat.Life = uint64(number + 2)
+				heartbeat.Address = "127.0.0.1:9"
+				heartbeat.Revision = 7 // one that holds nothing is not asked
+				if askScore(heartbeat.GetId()) > askScore("self") == (tc.before > 0) {
+					service.table.record(heartbeat, now)
 				}
-				if service.table.look(now).rank == tc.before {
+				if service.table.newView(now).rank == tc.before {
 					break
 				}
 			}
-			is.Equal(service.table.look(now).rank, tc.before)
+			is.Equal(service.table.newView(now).rank, tc.before)
 			service.bucket.AllowN(now, receiveBuffer) // the budget is spent
 			sent, _ := service.Traffic()
 			service.Urge()
 			service.round(now)
 			after, _ := service.Traffic()
-			is.Equal(after > sent, tc.spent)
+			is.Equal(after > sent, tc.sends)
 		})
 	}
 }
 
-// TestPeersAreToldInTurn: found as LIMIT on vmt-grid-grown scale-2, where the
+// TestBroadcastInTurn: found as LIMIT on vmt-grid-grown scale-2, where the
 // peers that each round told were drawn at random: some heard nothing for over
 // a second, took the sender for lost and forgot its load.
-func TestPeersAreToldInTurn(t *testing.T) {
+func TestBroadcastInTurn(t *testing.T) {
 	is := is.New(t)
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testsOwn)})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
 	is.NoErr(err)
 	defer func() { _ = conn.Close() }()
-	service := bareService()
+	service := newTestService()
 	service.conn = conn
 	service.options.OnCensus = func(Census) {}
 	now := time.Now()
 	const peers = 29
 	for number := range peers {
-		beat := beatOf(fmt.Sprint(number), 1)
-		beat.Life, beat.Address = uint64(number+2), "127.0.0.1:9"
-		service.table.take(beat, now)
+		heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+		heartbeat.Life, heartbeat.Address = uint64(number+2), "127.0.0.1:9"
+		service.table.record(heartbeat, now)
 	}
 	rounds := 0
 	for ; rounds < 2*peers; rounds++ {
 		service.bucket = rate.NewLimiter(0, 400) // room for a few beats
 		service.broadcast(now.Add(time.Duration(rounds)*time.Millisecond), false)
-		untold := 0
+		waiting := 0
 		for _, known := range service.table.live(now) {
-			if known.reportedAt.IsZero() {
-				untold++
+			if known.heartbeatSentAt.IsZero() {
+				waiting++
 			}
 		}
-		if untold == 0 {
+		if waiting == 0 {
 			break
 		}
 	}
@@ -313,12 +313,12 @@
 	service.bucket = rate.NewLimiter(0, 0)
 	service.broadcast(now.Add(time.Second), false)
 	for _, known := range service.table.live(now) {
-		is.Equal(known.reported, 0)
+		is.Equal(known.nextPlacement, 0)
 	}
 }
 
-// TestTheBudgetBoundsBeats: whatever there is to tell, no more is sent.
-func TestTheBudgetBoundsBeats(t *testing.T) {
+// TestHeartbeatBudget: whatever there is to tell, no more is sent.
+func TestHeartbeatBudget(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
--- a/internal/peer/begin_test.go
+++ b/internal/peer/settled_test.go
@@ -8,9 +8,9 @@
 	"github.com/capersaddle/capersaddle/internal/link"
 )
 
-// TestANewGatewayHasNotSettled: its standing is asked for before it is started, and counted as
+// TestNewGatewayIsNotSettled: its standing is asked for before it is started, and counted as
 // that of one that has had the time to hear all others.
-func TestANewGatewayHasNotSettled(t *testing.T) {
+func TestNewGatewayIsNotSettled(t *testing.T) {
 	is := is.New(t)
 	n := newNodeWith(t, "a", link.NewMemory(), func(service *Service) { service.Census() })
 	n.service.mu.Lock()
--- a/internal/peer/start_test.go
+++ b/internal/peer/start_test.go
@@ -21,74 +21,74 @@
 	// next is to whom each of them sends next.
 	next []int
 	now  time.Time
-	draw *rand.Rand
+	rng  *rand.Rand
 }
 
 // beatsPerSecond is how many beats of 110 bytes 7,000 bytes a second allow.
 const beatsPerSecond = 64
 
 func newStartingFleet(count, readers int) *startingFleet {
-	f := &startingFleet{readers: readers, now: start, draw: rand.New(rand.NewPCG(1, 2))}
+	f := &startingFleet{readers: readers, now: start, rng: rand.New(rand.NewPCG(1, 2))}
 	for i := range count {
-		made := newTable(fmt.Sprint(i), nil, "", 7000)
-		made.begin(start.Add(time.Duration(f.draw.IntN(300)) * time.Millisecond))
-		made.loaded = true
-		f.tables = append(f.tables, made)
-		f.next = append(f.next, f.draw.IntN(count))
+		t := newTable(fmt.Sprint(i), nil, "", 7000)
+		t.markStarted(start.Add(time.Duration(f.rng.IntN(300)) * time.Millisecond))
+		t.loaded = true
+		f.tables = append(f.tables, t)
+		f.next = append(f.next, f.rng.IntN(count))
 	}
 	// A few hear each other by the settings' seeds, and each gets its copy from one that has it.
 	for i := range count {
-		for range fewPeers + 2 {
-			f.beat(f.draw.IntN(count), i)
+		for range fullMeshLimit + 2 {
+			f.sendHeartbeat(f.rng.IntN(count), i)
 		}
 		if i >= readers {
-			source := f.draw.IntN(i)
-			f.beat(source, i)
-			f.tables[i].follow(fmt.Sprint(source))
+			source := f.rng.IntN(i)
+			f.sendHeartbeat(source, i)
+			f.tables[i].setSource(fmt.Sprint(source))
 		}
 	}
 	return f
 }
 
 // beat has one gateway send a beat to another.
-func (f *startingFleet) beat(from, to int) {
+func (f *startingFleet) sendHeartbeat(from, to int) {
 	if from == to {
 		return
 	}
-	beat := beatOf(fmt.Sprint(from), uint64(f.now.Sub(start)/time.Millisecond)+1)
-	beat.Life = uint64(from + 2)
+	heartbeat := heartbeatFrom(fmt.Sprint(from), uint64(f.now.Sub(start)/time.Millisecond)+1)
+	heartbeat.Life = uint64(from + 2)
 	if from < f.readers || f.tables[from].source != nil {
-		beat.Revision = 1
+		heartbeat.Revision = 1
 	}
-	beat.Follows = f.tables[from].followed(f.now) != nil
-	f.tables[to].take(beat, f.now)
+	heartbeat.Follows = f.tables[from].activeSource(f.now) != nil
+	f.tables[to].record(heartbeat, f.now)
 }
 
 // step passes some time; it returns how many ask the store at its end.
-func (f *startingFleet) step(long time.Duration) int {
-	f.now = f.now.Add(long)
+func (f *startingFleet) step(elapsed time.Duration) int {
+	f.now = f.now.Add(elapsed)
 	for from := range f.tables {
-		for range int(beatsPerSecond * long.Seconds()) {
+		for range int(beatsPerSecond * elapsed.Seconds()) {
 			f.next[from] = (f.next[from] + 1) % len(f.tables)
-			f.beat(from, f.next[from])
+			f.sendHeartbeat(from, f.next[from])
 		}
 	}
 	asking := 0
 	for _, known := range f.tables {
-		if known.look(f.now).asks() {
+		if known.newView(f.now).asksStore() {
 			asking++
 		}
 	}
 	return asking
 }
 
-// TestAFleetThatBeginsAsksTheStoreLittle: 385 gateways that began together made 1,600 watches
+// TestStoreWatchesAtFleetStart: 385 gateways that began together made 1,600 watches
 // of the store in their first five seconds, since each knew of too few others. Pattern: all
 // processes of a large fleet begin at the same moment.
-func TestAFleetThatBeginsAsksTheStoreLittle(t *testing.T) {
+func TestStoreWatchesAtFleetStart(t *testing.T) {
 	cases := map[string]struct {
-		count       int
-		step, lasts time.Duration
+		count          int
+		step, duration time.Duration
 	}{
 		"60 gateways":  {60, 500 * time.Millisecond, 12 * time.Second},
 		"385 gateways": {385, time.Second, 16 * time.Second},
@@ -103,24 +103,24 @@
 			// read the store, and a few times those of the two that are to go on with it.
 			asked := 0
 			last := 0
-			for range tc.lasts / tc.step {
+			for range tc.duration / tc.step {
 				last = f.step(tc.step)
 				asked += last
 				is.True(last >= 1) // somebody always asks
 			}
 			watches := float64(asked) * tc.step.Seconds()
-			if most := 4*watchers*tc.lasts.Seconds() + readers; watches > most {
-				t.Errorf("%v watches, at most %v", watches, most)
+			if limit := 4*watchers*tc.duration.Seconds() + readers; watches > limit {
+				t.Errorf("%v watches, at most %v", watches, limit)
 			}
 			is.Equal(last, watchers)
 		})
 	}
 }
 
-// TestNobodyFollowsInACircle: whom the gateways ask for proofs leads to one that asks the
+// TestParentsAreAcyclicAtStart: whom the gateways ask for proofs leads to one that asks the
 // store, at each moment of a start but for the one between the first gateway that goes by the
 // order of all and the last: a proof is good for longer.
-func TestNobodyFollowsInACircle(t *testing.T) {
+func TestParentsAreAcyclicAtStart(t *testing.T) {
 	f := newStartingFleet(200, 20)
 	circles := 0
 	const step = 500 * time.Millisecond
@@ -128,68 +128,68 @@
 		f.step(step)
 		parents := make(map[string]*peer)
 		for _, known := range f.tables {
-			parents[known.self] = known.look(f.now).parent()
+			parents[known.self] = known.newView(f.now).parent()
 		}
 		for self := range parents {
 			steps := 0
-			for above := self; parents[above] != nil; above = parents[above].id {
+			for ancestor := self; parents[ancestor] != nil; ancestor = parents[ancestor].id {
 				if steps++; steps > len(f.tables) {
 					circles++
 					break
 				}
 			}
 		}
-		if since := f.now.Sub(start); circles > 0 && (since < settleLeast || since > settleLeast+step) {
+		if since := f.now.Sub(start); circles > 0 && (since < minSettleTime || since > minSettleTime+step) {
 			t.Fatalf("%d ask in a circle at %v", circles, since)
 		}
 		circles = 0
 	}
 }
 
-// TestAFollowerLetsGo: one whose source leaves, ends, begins anew or no longer answers goes by
+// TestFollowingEnds: one whose source leaves, ends, begins anew or no longer answers goes by
 // what it knows of the others.
-func TestAFollowerLetsGo(t *testing.T) {
+func TestFollowingEnds(t *testing.T) {
 	cases := map[string]struct {
-		strike  func(known *table)
+		event   func(known *table)
 		follows bool
 	}{
 		"nothing": {func(*table) {}, true},
 		"it leaves": {func(known *table) {
-			beat := beatOf("1", 9)
-			beat.Life, beat.Leaving = 3, true
-			known.take(beat, start)
+			heartbeat := heartbeatFrom("1", 9)
+			heartbeat.Life, heartbeat.Leaving = 3, true
+			known.record(heartbeat, start)
 		}, false},
 		"another life": {func(known *table) {
-			beat := beatOf("1", 1)
-			beat.Life = 99
-			known.take(beat, start)
+			heartbeat := heartbeatFrom("1", 1)
+			heartbeat.Life = 99
+			known.record(heartbeat, start)
 		}, false},
-		"no answers": {func(known *table) { known.peers["1"].unanswered = mostUnanswered }, false},
+		"no answers": {func(known *table) { known.peers["1"].unanswered = maxUnanswered }, false},
 		"settled":    {func(known *table) { known.startedAt = start.Add(-time.Minute) }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			known := tables(20)["0"]
-			known.begin(start)
-			known.follow("1")
-			tc.strike(known)
-			seen := known.look(start)
-			is.Equal(seen.source != nil, tc.follows)
+			known.markStarted(start)
+			known.setSource("1")
+			tc.event(known)
+			current := known.newView(start)
+			is.Equal(current.source != nil, tc.follows)
 			if tc.follows {
-				is.Equal(seen.parent().id, "1")
-				is.True(!seen.asks())
-				is.Equal(len(seen.children()), 0)
+				is.Equal(current.parent().id, "1")
+				is.True(!current.asksStore())
+				is.Equal(len(current.children()), 0)
 			}
 		})
 	}
 }
 
-// TestFollowersAreNoParents: who has just begun is not taken for one that asks the store.
-func TestFollowersAreNoParents(t *testing.T) {
+// TestFollowersAreNotCandidates: who has just begun is not taken for one that asks the store.
+func TestFollowersAreNotCandidates(t *testing.T) {
 	is := is.New(t)
 	known := tables(20)["0"]
-	first := known.look(start).candidates[0]
-	known.take(&wire.GatewayBeat{Id: first.id, Life: first.life, Address: first.address, Sequence: 2, StoreReachable: true, Follows: true}, start)
-	is.True(known.look(start).candidates[0] != first)
+	first := known.newView(start).candidates[0]
+	known.record(&wire.GatewayBeat{Id: first.id, Life: first.incarnation, Address: first.address, Sequence: 2, StoreReachable: true, Follows: true}, start)
+	is.True(known.newView(start).candidates[0] != first)
 }
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -10,168 +10,165 @@
 )
 
 const (
-	// lostAfter without a beat a peer counts as lost; later where there are so
-	// many that each gets beats less often: after beatsMissed beats.
-	lostAfter   = 2 * time.Second
-	beatsMissed = 3
-	// usualBeat is the usual size of a beat, in bytes.
-	usualBeat = 110
-	// forgetAfter without a beat its address is forgotten, unless it is a
-	// seed.
+	// minLostAfter is the silence after which a peer counts as lost. It is longer in a fleet so
+	// large that heartbeats are rarer: maxMissedHeartbeats heartbeats.
+	minLostAfter        = 2 * time.Second
+	maxMissedHeartbeats = 3
+	// typicalHeartbeatSize is in bytes.
+	typicalHeartbeatSize = 110
+	// forgetAfter is the silence after which a peer's address is forgotten, unless it is a seed.
 	forgetAfter = 5 * time.Minute
 )
 
-// peer is one other gateway.
+// peer is another gateway.
 type peer struct {
-	id       string
-	life     uint64
-	address  string
-	lastBeat time.Time
-	// sequence is the last one got from it.
+	id            string
+	incarnation   uint64
+	address       string
+	lastHeartbeat time.Time
+	// sequence is the last sequence number received from it.
 	sequence uint64
 	revision int64
-	// proofAge is that of its proof when the beat was sent; negative for none.
+	// proofAge is the age of its proof when it sent the heartbeat; negative for none.
 	proofAge time.Duration
-	// reachesStore says that its last call to the store was answered.
+	// reachesStore reports that its last call to the store was answered.
 	reachesStore bool
 	leaving      bool
-	// alone says that it heard nobody when it sent its last beat.
+	// alone reports that it heard no other gateway when it sent its last heartbeat.
 	alone bool
-	// follows says that it has just begun and follows another gateway.
+	// follows reports that it has recently started and follows another gateway.
 	follows bool
-	// lag is how late its timers fired when it sent its last beat.
+	// lag is how late its timers fired when it sent its last heartbeat.
 	lag time.Duration
-	// lost says that its loss has been reported.
+	// lost reports that its loss has been reported.
 	lost bool
-	// reported is the number of the next placement to report to it.
-	reported int
-	// reportedAt is when the last beat was sent to it.
-	reportedAt time.Time
-	// beats counts the beats sent to it.
-	beats int
-	// failedAt is when a pull from it last failed.
-	failedAt time.Time
-	// class is its host's; askScore is its place among those of the class in the
-	// order of those who ask the store.
+	// nextPlacement is the number of the next placement to report to it.
+	nextPlacement int
+	// heartbeatSentAt is when the last heartbeat was sent to it.
+	heartbeatSentAt time.Time
+	// heartbeatsSent counts the heartbeats sent to it.
+	heartbeatsSent int
+	// pullFailedAt is when a pull from it last failed.
+	pullFailedAt time.Time
+	// class is its host's class; askScore orders the peers of a class in the order of asking the
+	// store.
 	class    Class
 	askScore uint64
-	// hash is that of its id.
+	// hash is the hash of its id.
 	hash uint64
-	// unanswered counts the questions to it since its last beat.
+	// unanswered counts the proof questions to it since its last heartbeat.
 	unanswered int
-	// comparedAt is when it was last sent the requests that are held back here, since it
-	// holds others back.
-	comparedAt time.Time
-	// unfound counts the questions for parts that it left unanswered since its
-	// last beat. Where bytes are short it answers fewer of them, and may still be
-	// the parent, or ask the store.
-	unfound int
+	// quarantineSentAt is when the held requests were last sent to it because its hash differed.
+	quarantineSentAt time.Time
+	// unansweredLookups counts the directory lookups that it left unanswered since its last
+	// heartbeat. A peer that is short of bytes answers fewer of them, and may still be the parent
+	// or ask the store.
+	unansweredLookups int
 }
 
-// table is what a gateway knows of the others. One goroutine at a time uses
-// it.
+// table holds what a gateway knows of its peers. It is not safe for concurrent use.
 type table struct {
 	self string
-	// class is that of this process's host.
+	// class is the class of this process's host.
 	class Class
 	peers map[string]*peer
-	// lives are the same by the number of their present life.
-	lives map[uint64]*peer
-	// addresses are those of gateways from which no beats come, with what was sent
-	// there.
-	addresses map[string]calls
+	// byIncarnation indexes the peers by their current incarnation.
+	byIncarnation map[uint64]*peer
+	// addresses are the addresses of gateways from which no heartbeats arrive, with the attempts to
+	// contact them.
+	addresses map[string]contactAttempts
 	seeds     []string
-	// budget is how many bytes a second each gateway sends in beats.
+	// budget is the number of bytes a second that each gateway sends in heartbeats.
 	budget int
-	// startedAt is when this gateway began, and source the peer from which its first copy of
-	// the store came; nil if it has read the store itself.
+	// startedAt is when this gateway started. source is the peer from which it pulled its first
+	// copy of the store; nil if it has read the store itself.
 	startedAt time.Time
 	source    *peer
-	// hasSettled says that it has had the time to hear the others.
+	// hasSettled reports that it has had the time to hear the others.
 	hasSettled bool
-	// loaded says that it has a copy.
+	// loaded reports that it has a copy of the store.
 	loaded bool
 }
 
-func newTable(self string, seeds []string, own string, budget int) *table {
-	t := &table{self: self, budget: max(budget, 1), peers: make(map[string]*peer), lives: make(map[uint64]*peer), addresses: make(map[string]calls)}
+func newTable(self string, seeds []string, ownAddress string, budget int) *table {
+	t := &table{self: self, budget: max(budget, 1), peers: make(map[string]*peer), byIncarnation: make(map[uint64]*peer), addresses: make(map[string]contactAttempts)}
 	for _, seed := range seeds {
-		if seed != own {
+		if seed != ownAddress {
 			t.seeds = append(t.seeds, seed)
-			t.addresses[seed] = calls{}
+			t.addresses[seed] = contactAttempts{}
 		}
 	}
 	return t
 }
 
-// change is what a beat brought about.
+// change is the effect of a heartbeat on the table.
 type change int
 
 const (
 	unchanged change = iota
-	// found: the peer is new, or was lost, or has begun another life.
+	// found: the peer is new, was lost, or has a new incarnation.
 	found
-	// outdated: the beat is older than one that was taken already.
+	// outdated: the heartbeat is older than one that was recorded before.
 	outdated
 )
 
-// take notes a beat. The peer is nil if the beat leaves out who sent it and
-// that is not known.
-func (t *table) take(beat *wire.GatewayBeat, now time.Time) (*peer, change) {
-	if beat.GetId() == "" {
-		known := t.lives[beat.GetLife()]
+// record applies a heartbeat to the table. The peer is nil if the heartbeat doesn't name its
+// sender and its incarnation is unknown.
+func (t *table) record(heartbeat *wire.GatewayBeat, now time.Time) (*peer, change) {
+	if heartbeat.GetId() == "" {
+		known := t.byIncarnation[heartbeat.GetLife()]
 		if known == nil {
 			return nil, outdated
 		}
-		beat.Id, beat.Address, beat.HostClass = known.id, known.address, uint32(known.class)
+		heartbeat.Id, heartbeat.Address, heartbeat.HostClass = known.id, known.address, uint32(known.class)
 	}
-	known, ok := t.peers[beat.GetId()]
-	if ok && known.life == beat.GetLife() && beat.GetSequence() <= known.sequence {
+	known, ok := t.peers[heartbeat.GetId()]
+	if ok && known.incarnation == heartbeat.GetLife() && heartbeat.GetSequence() <= known.sequence {
 		return known, outdated
 	}
 	result := unchanged
-	if !ok || known.life != beat.GetLife() {
+	if !ok || known.incarnation != heartbeat.GetLife() {
 		if ok {
-			delete(t.lives, known.life)
+			delete(t.byIncarnation, known.incarnation)
 		}
-		known = &peer{id: beat.GetId(), life: beat.GetLife(), askScore: askScore(beat.GetId()), hash: policy.HashName(beat.GetId())}
-		t.peers[known.id], t.lives[known.life] = known, known
+		known = &peer{id: heartbeat.GetId(), incarnation: heartbeat.GetLife(), askScore: askScore(heartbeat.GetId()), hash: policy.HashName(heartbeat.GetId())}
+		t.peers[known.id], t.byIncarnation[known.incarnation] = known, known
 		result = found
 	}
 	if known.lost {
 		known.lost = false
 		result = found
 	}
-	known.address = beat.GetAddress()
-	known.class = Class(min(beat.GetHostClass(), mostClass))
-	known.lastBeat = now
-	known.unanswered, known.unfound = 0, 0
-	known.sequence = beat.GetSequence()
-	if beat.GetBare() {
+	known.address = heartbeat.GetAddress()
+	known.class = Class(min(heartbeat.GetHostClass(), maxClass))
+	known.lastHeartbeat = now
+	known.unanswered, known.unansweredLookups = 0, 0
+	known.sequence = heartbeat.GetSequence()
+	if heartbeat.GetBare() {
 		return known, result
 	}
-	known.revision = beat.GetRevision()
-	known.reachesStore = beat.GetStoreReachable()
-	known.leaving = beat.GetLeaving()
-	known.follows = beat.GetFollows()
-	known.alone = beat.GetAlone()
-	known.lag = time.Duration(beat.GetLagMs()) * time.Millisecond
+	known.revision = heartbeat.GetRevision()
+	known.reachesStore = heartbeat.GetStoreReachable()
+	known.leaving = heartbeat.GetLeaving()
+	known.follows = heartbeat.GetFollows()
+	known.alone = heartbeat.GetAlone()
+	known.lag = time.Duration(heartbeat.GetLagMs()) * time.Millisecond
 	known.proofAge = -1
-	if beat.GetHasProof() {
-		known.proofAge = time.Duration(beat.GetProofAgeMs()) * time.Millisecond
+	if heartbeat.GetHasProof() {
+		known.proofAge = time.Duration(heartbeat.GetProofAgeMs()) * time.Millisecond
 	}
 	delete(t.addresses, known.address)
 	return known, result
 }
 
-// discover notes addresses of gateways that are not known yet.
+// discover adds the addresses of unknown gateways.
 func (t *table) discover(addresses []string, own string) {
 	for _, address := range addresses {
 		if address == own || t.hasPeerAt(address) {
 			continue
 		}
 		if _, ok := t.addresses[address]; !ok {
-			t.addresses[address] = calls{}
+			t.addresses[address] = contactAttempts{}
 		}
 	}
 }
@@ -185,22 +182,22 @@
 	return false
 }
 
-// beatInterval is how long it takes a gateway to send each of its peers a beat.
-func (t *table) beatInterval() time.Duration {
-	return time.Duration(len(t.peers)*usualBeat) * time.Second / time.Duration(t.budget)
+// heartbeatInterval returns how long a gateway takes to send each of its peers a heartbeat.
+func (t *table) heartbeatInterval() time.Duration {
+	return time.Duration(len(t.peers)*typicalHeartbeatSize) * time.Second / time.Duration(t.budget)
 }
 
-// lostAfter is how long a peer may be silent before it counts as lost.
+// lostAfter returns how long a peer may be silent before it counts as lost.
 func (t *table) lostAfter() time.Duration {
-	return max(lostAfter, beatsMissed*t.beatInterval())
+	return max(minLostAfter, maxMissedHeartbeats*t.heartbeatInterval())
 }
 
-// live are the peers that sent a beat lately, in the order of their ids.
+// live returns the peers that sent a heartbeat recently, ordered by id.
 func (t *table) live(now time.Time) []*peer {
 	var peers []*peer
 	longest := t.lostAfter()
 	for _, known := range t.peers {
-		if now.Sub(known.lastBeat) <= longest {
+		if now.Sub(known.lastHeartbeat) <= longest {
 			peers = append(peers, known)
 		}
 	}
@@ -208,23 +205,23 @@
 	return peers
 }
 
-// Census is how many other gateways there are.
+// Census counts the other gateways.
 type Census struct {
-	// Live sent a beat lately.
+	// Live is the number of gateways that sent a heartbeat recently.
 	Live int
-	// Known are those that may be there: also those that were lost in the last few
-	// minutes, since they may only be cut off from this one.
+	// Known is the number of gateways that may be running. It includes those that were lost in the
+	// last few minutes, since they may only be cut off from this one.
 	Known int
-	// Silent is how many addresses of gateways there are from which no beat comes: of
-	// those that were lost in the last few minutes, or that the settings name.
+	// Silent is the number of addresses from which no heartbeat arrives: those of gateways that
+	// were lost in the last few minutes, and those from the settings.
 	Silent int
-	// Before is how many of these come before this gateway in an order that all
-	// gateways share.
+	// Preceding is the number of known gateways that precede this one in an order that all gateways
+	// share.
 	Preceding int
 }
 
-// count counts the peers, of which so many are live.
-func (t *table) count(live int) Census {
+// census counts the peers, given the number of live ones.
+func (t *table) census(live int) Census {
 	census := Census{Live: live, Silent: len(t.addresses)}
 	own := policy.HashName(t.self)
 	for _, known := range t.peers {
@@ -239,62 +236,61 @@
 	return census
 }
 
-// expire returns the peers that have just become lost, and forgets those that
-// have been for long.
+// expire returns the peers that have just become lost, and removes those that have been lost for
+// forgetAfter.
 func (t *table) expire(now time.Time) []*peer {
 	var lost []*peer
 	longest := t.lostAfter()
 	for id, known := range t.peers {
-		silent := now.Sub(known.lastBeat)
+		silent := now.Sub(known.lastHeartbeat)
 		if silent > longest && !known.lost {
 			known.lost = true
 			lost = append(lost, known)
 		}
 		if silent > forgetAfter {
 			delete(t.peers, id)
-			delete(t.lives, known.life)
+			delete(t.byIncarnation, known.incarnation)
 			delete(t.addresses, known.address)
 			if slices.Contains(t.seeds, known.address) {
-				t.addresses[known.address] = calls{}
+				t.addresses[known.address] = contactAttempts{}
 			}
 		}
 	}
 	return lost
 }
 
-// calls are the beats to an address from which no beat comes.
-type calls struct {
+// contactAttempts counts the heartbeats to an address from which none arrives.
+type contactAttempts struct {
 	last  time.Time
 	count int
 }
 
 const (
-	// callFirst is the time between the first two beats to an address that is
-	// silent; it doubles up to callMost. Gateways that begin together, and
-	// not quite at once, find each other soon.
-	callFirst = 60 * time.Millisecond
-	callMost  = time.Second
+	// firstRetryDelay is the delay after the first heartbeat to a silent address; it doubles up to
+	// maxRetryDelay. A short first delay lets gateways that start at slightly different times find
+	// each other quickly.
+	firstRetryDelay = 60 * time.Millisecond
+	maxRetryDelay   = time.Second
 )
 
-// due says whether another beat is to be sent now.
-func (c calls) due(now time.Time) bool {
-	const mostDoublings = 5
-	pause := min(callFirst<<min(c.count, mostDoublings), callMost)
-	return c.count == 0 || now.Sub(c.last) >= pause
+// due reports whether another heartbeat is to be sent now.
+func (c contactAttempts) due(now time.Time) bool {
+	const maxDoublings = 5
+	delay := min(firstRetryDelay<<min(c.count, maxDoublings), maxRetryDelay)
+	return c.count == 0 || now.Sub(c.last) >= delay
 }
 
-// silent are the addresses to which a beat is due although none comes from
-// them.
-func (t *table) silent(now time.Time) []string {
+// dueAddresses returns the silent addresses to which a heartbeat is due.
+func (t *table) dueAddresses(now time.Time) []string {
 	for _, known := range t.peers {
 		if _, ok := t.addresses[known.address]; known.lost && !ok {
-			t.addresses[known.address] = calls{}
+			t.addresses[known.address] = contactAttempts{}
 		}
 	}
 	var due []string
-	for address, made := range t.addresses {
-		if made.due(now) {
-			t.addresses[address] = calls{last: now, count: made.count + 1}
+	for address, attempts := range t.addresses {
+		if attempts.due(now) {
+			t.addresses[address] = contactAttempts{last: now, count: attempts.count + 1}
 			due = append(due, address)
 		}
 	}
