--- a/internal/peer/tree_test.go
+++ b/internal/peer/tree_test.go
@@ -19,36 +19,36 @@
 
 // tables are what each of so many gateways knows, if each has heard all.
 func tables(count int) map[string]*table {
-	made := make(map[string]*table, count)
+	all := make(map[string]*table, count)
 	for self := range count {
 		id := fmt.Sprint(self)
-		made[id] = newTable(id, nil, "", 7000)
+		all[id] = newTable(id, nil, "", 7000)
 		for other := range count {
 			if other != self {
-				beat := beatOf(fmt.Sprint(other), 1)
-				beat.Life = uint64(other + 2)
-				made[id].take(beat, start)
+				heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
+				heartbeat.Life = uint64(other + 2)
+				all[id].record(heartbeat, start)
 			}
 		}
 	}
-	return made
+	return all
 }
 
-// TestTheTreeReachesAll: among gateways that see each other, all hear from
+// TestTreeReachesAllGateways: among gateways that see each other, all hear from
 // those who ask the store, over few steps, and nobody tells more than fanOut.
-func TestTheTreeReachesAll(t *testing.T) {
-	for _, count := range []int{fewPeers + 2, 30, 100, 370} {
+func TestTreeReachesAllGateways(t *testing.T) {
+	for _, count := range []int{fullMeshLimit + 2, 30, 100, 370} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			is := is.New(t)
 			all := tables(count)
 			parents := make(map[string]string)
 			asking := 0
 			for id, known := range all {
-				if parent := known.look(start).parent(); parent != nil {
+				if parent := known.newView(start).parent(); parent != nil {
 					parents[id] = parent.id
 				} else {
 					asking++
-					is.True(known.look(start).asks())
+					is.True(known.newView(start).asksStore())
 				}
 			}
 			is.Equal(asking, watchers)
@@ -56,41 +56,41 @@
 			for id, parent := range parents {
 				children[parent]++
 				steps := 0
-				for above := id; above != ""; above = parents[above] {
+				for ancestor := id; ancestor != ""; ancestor = parents[ancestor] {
 					steps++
 				}
 				is.True(steps <= 3) // itself, one that passes on, one that asks
 			}
 			for id, known := range all {
 				is.True(children[id] <= fanOut)
-				is.Equal(len(known.look(start).children()), children[id]) // both sides agree
+				is.Equal(len(known.newView(start).children()), children[id]) // both sides agree
 			}
 		})
 	}
 }
 
-// TestNobodyIsHisOwnAncestor: whatever a gateway believes of the others, its
+// TestParentPrecedesChild: whatever a gateway believes of the others, its
 // parent stands before it in the order that all share.
-func TestNobodyIsHisOwnAncestor(t *testing.T) {
+func TestParentPrecedesChild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := newTable("self", nil, "", 7000)
 		for other := range rapid.IntRange(0, 60).Draw(t, "peers") {
-			beat := beatOf(fmt.Sprint(other), 1)
-			beat.Life = uint64(other + 2)
-			beat.StoreReachable = rapid.Bool().Draw(t, "reaches")
-			beat.Leaving = rapid.Bool().Draw(t, "leaving")
-			heard := start.Add(-time.Duration(rapid.IntRange(0, 20000).Draw(t, "silent_ms")) * time.Millisecond)
-			known.take(beat, heard)
+			heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
+			heartbeat.Life = uint64(other + 2)
+			heartbeat.StoreReachable = rapid.Bool().Draw(t, "reaches")
+			heartbeat.Leaving = rapid.Bool().Draw(t, "leaving")
+			lastHeartbeat := start.Add(-time.Duration(rapid.IntRange(0, 20000).Draw(t, "silent_ms")) * time.Millisecond)
+			known.record(heartbeat, lastHeartbeat)
 			known.peers[fmt.Sprint(other)].unanswered = rapid.IntRange(0, 4).Draw(t, "unanswered")
 		}
-		parent := known.look(start).parent()
+		parent := known.newView(start).parent()
 		if parent == nil {
 			return
 		}
-		if askScore(parent.id) <= askScore("self") || parent.leaving || !parent.reachesStore || parent.unanswered >= mostUnanswered {
+		if askScore(parent.id) <= askScore("self") || parent.leaving || !parent.reachesStore || parent.unanswered >= maxUnanswered {
 			t.Fatalf("parent is %+v", parent)
 		}
-		for _, child := range known.look(start).children() {
+		for _, child := range known.newView(start).children() {
 			if askScore(child.id) >= askScore("self") {
 				t.Fatalf("child is %+v", child)
 			}
@@ -98,32 +98,32 @@
 	})
 }
 
-// TestASilentParentIsPassedOver: a parent that leaves questions unanswered is
+// TestUnresponsiveParentIsReplaced: a parent that leaves questions unanswered is
 // replaced long before it counts as lost.
-func TestASilentParentIsPassedOver(t *testing.T) {
+func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	is := is.New(t)
 	known := tables(300)["17"]
-	first := known.look(start).parent()
-	first.unanswered = mostUnanswered
-	second := known.look(start).parent()
+	first := known.newView(start).parent()
+	first.unanswered = maxUnanswered
+	second := known.newView(start).parent()
 	is.True(second != nil && second != first)
-	beat := beatOf(first.id, 2)
-	beat.Life = first.life
-	known.take(beat, start)
-	is.Equal(known.look(start).parent(), first) // heard again
+	heartbeat := heartbeatFrom(first.id, 2)
+	heartbeat.Life = first.incarnation
+	known.record(heartbeat, start)
+	is.Equal(known.newView(start).parent(), first) // heard again
 }
 
-// TestManyPeersAreNotLost: with 300 peers each is told every few seconds only;
+// TestLossTimeoutGrowsWithPeers: with 300 peers each is told every few seconds only;
 // after 2 s of silence most of them counted as lost, and each gateway asked
 // the store itself (sweep of vmt-grid-grown at 300 machines).
-func TestManyPeersAreNotLost(t *testing.T) {
+func TestLossTimeoutGrowsWithPeers(t *testing.T) {
 	cases := map[string]struct {
 		peers  int
 		silent time.Duration
 		live   bool
 	}{
-		"few":                    {3, lostAfter, true},
-		"few, silent":            {3, lostAfter + time.Millisecond, false},
+		"few":                    {3, minLostAfter, true},
+		"few, silent":            {3, minLostAfter + time.Millisecond, false},
 		"many, between two":      {300, 5 * time.Second, true},
 		"many, silent for three": {300, 20 * time.Second, false},
 	}
@@ -135,25 +135,25 @@
 	}
 }
 
-// treeNode is a service on a socket of its own that others' beats are handed
+// newUnstartedService is a service on a socket of its own that others' beats are handed
 // to by hand.
-func treeNode(t *testing.T, id string, revision int64) *Service {
+func newUnstartedService(t *testing.T, id string, revision int64) *Service {
 	t.Helper()
-	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testsOwn)})
+	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	s := New(Options{
 		ID: id, Address: conn.LocalAddr().String(), Budget: 7000, Replica: &fakeReplica{revision: revision, reachable: true},
-		Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: quietWatcher{}, OnCensus: func(Census) {},
+		Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: noopWatcher{}, OnCensus: func(Census) {},
 	}, conn, nil)
 	s.pulling = true // no links here
 	return s
 }
 
 // received reads one beat from a service's socket.
-func received(t *testing.T, s *Service) *wire.GatewayBeat {
+func readHeartbeat(t *testing.T, s *Service) *wire.GatewayBeat {
 	t.Helper()
 	buffer := make([]byte, receiveBuffer)
 	_ = s.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
@@ -161,55 +161,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	beat := new(wire.GatewayBeat)
-	if err := proto.Unmarshal(buffer[:n], beat); err != nil {
+	heartbeat := new(wire.GatewayBeat)
+	if err := proto.Unmarshal(buffer[:n], heartbeat); err != nil {
 		t.Fatal(err)
 	}
-	return beat
+	return heartbeat
 }
 
-// TestAQuestionIsAnsweredAtOnce: the answer brings a proof and the revision,
+// TestProofQuestionIsAnsweredAtOnce: the answer brings a proof and the revision,
 // and leaves what was told of loads as it was, also when the budget is spent.
-func TestAQuestionIsAnsweredAtOnce(t *testing.T) {
+func TestProofQuestionIsAnsweredAtOnce(t *testing.T) {
 	is := is.New(t)
-	parent, child := treeNode(t, "parent", 9), treeNode(t, "child", 9)
+	parent, child := newUnstartedService(t, "parent", 9), newUnstartedService(t, "child", 9)
 	parent.bucket = rate.NewLimiter(0, 0)
 	parent.options.Proof.Note(time.Now())
 	now := time.Now()
-	hello := child.beat(nil, now)
-	parent.take(hello, now)
+	hello := child.fullHeartbeat(nil, now)
+	parent.handleHeartbeat(hello, now)
 	parent.options.Balancer.Put(balance.Target{ID: "t", Service: "s"}, time.Now())
 	parent.options.Balancer.Observe("child", []balance.Count{{Target: policy.HashName("t"), Count: 3}}, now)
-	greeting := parent.beat(nil, now)
-	child.take(greeting, now)
-	question := child.brief(child.table.peers["parent"], now)
+	greeting := parent.fullHeartbeat(nil, now)
+	child.handleHeartbeat(greeting, now)
+	question := child.briefHeartbeat(child.table.peers["parent"], now)
 	question.WantsProof = true
-	parent.take(question, now)
-	answer := received(t, child)
+	parent.handleHeartbeat(question, now)
+	answer := readHeartbeat(t, child)
 	is.True(answer.GetBrief())
-	child.take(answer, now)
+	child.handleHeartbeat(answer, now)
 	_, proven := child.options.Proof.Age(now)
 	is.True(proven)
 	pick, _ := parent.options.Balancer.Choose(balance.Query{Service: "s"}, now)
 	is.Equal(pick.Load, 3)
 }
 
-// TestUrgentWordGoesDownTheTree: among many, each is told once, by its parent.
-func TestUrgentWordGoesDownTheTree(t *testing.T) {
+// TestUrgentChangeReachesEachChildOnce: among many, each is told once, by its parent.
+func TestUrgentChangeReachesEachChildOnce(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{30, 100} {
-		told := 0
+		notified := 0
 		for _, known := range tables(count) {
-			told += len(known.look(start).children())
+			notified += len(known.newView(start).children())
 		}
-		is.Equal(told, count-watchers)
+		is.Equal(notified, count-watchers)
 	}
 }
 
-// TestWhoHoldsNothingPullsAtOnce: after a loss of power of all 24 gateways of
+// TestEmptyReplicaPullsAtOnce: after a loss of power of all 24 gateways of
 // vasconcelos-gorjeta-grown most had the store's content, 450 KB, 0.4 s after
 // their start and refused 255 requests meanwhile; the first had it after 0.06 s.
-func TestWhoHoldsNothingPullsAtOnce(t *testing.T) {
+func TestEmptyReplicaPullsAtOnce(t *testing.T) {
 	cases := map[string]struct {
 		revision  int64
 		reachable bool
@@ -222,11 +222,11 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			service := bareService()
+			service := newTestService()
 			service.options.Replica.(*fakeReplica).set(tc.revision, tc.reachable)
 			now := time.Now()
 			service.behindSince = now
-			is.New(t).Equal(service.answerIsNear(now), tc.waits)
+			is.New(t).Equal(service.awaitsStore(now), tc.waits)
 		})
 	}
 }
@@ -236,32 +236,32 @@
 // gateway looked half as full as they were.
 func TestCountsThatFit(t *testing.T) {
 	cases := map[string]struct {
-		peers, least, most int
+		peers, minCounts, maxCounts int
 	}{
 		"nine":       {9, 40, 40},
 		"twenty-six": {25, 24, 40},
-		"a hundred":  {102, fewCounts, fewCounts},
-		"370":        {369, fewCounts, fewCounts},
+		"a hundred":  {102, minCounts, minCounts},
+		"370":        {369, minCounts, minCounts},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s := treeNode(t, "self", 9)
+			s := newUnstartedService(t, "self", 9)
 			now := time.Now()
 			for number := range tc.peers {
-				beat := beatOf(fmt.Sprint(number), 1)
-				beat.Life, beat.Address = uint64(number+2), "127.0.0.1:9"
-				s.table.take(beat, now)
+				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+				heartbeat.Life, heartbeat.Address = uint64(number+2), "127.0.0.1:9"
+				s.table.record(heartbeat, now)
 			}
 			for i := range 40 {
 				s.lastCounts = append(s.lastCounts, balance.Count{Target: uint64(i+1) << 32, Count: 1 + i%3})
 			}
-			beat := s.brief(s.table.peers["0"], now)
-			s.addLoads(beat, now)
-			is.True(len(beat.GetCounts()) >= tc.least && len(beat.GetCounts()) <= tc.most)
-			if len(beat.GetCounts()) > fewCounts {
-				bytes := float64(proto.Size(beat) * tc.peers)
-				is.True(bytes <= (1-directoryShare)*float64(s.options.Budget)*countsEvery.Seconds())
+			heartbeat := s.briefHeartbeat(s.table.peers["0"], now)
+			s.addLoads(heartbeat, now)
+			is.True(len(heartbeat.GetCounts()) >= tc.minCounts && len(heartbeat.GetCounts()) <= tc.maxCounts)
+			if len(heartbeat.GetCounts()) > minCounts {
+				bytes := float64(proto.Size(heartbeat) * tc.peers)
+				is.True(bytes <= (1-directoryShare)*float64(s.options.Budget)*countsInterval.Seconds())
 			}
 		})
 	}
