--- a/internal/peer/broadcast_test.go
+++ b/internal/peer/broadcast_test.go
@@ -11,10 +11,10 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// TestHeartbeatsReachAllPeersAtStart: of 385 gateways that began together all sent their
-// first beats to those whose ids come first; the last heard nobody for seconds, took themselves
-// for alone, and read and watched the store. Pattern: all processes of a large fleet begin at
-// the same moment, and bytes suffice for a sixth of them a second.
+// TestHeartbeatsReachAllPeersAtStart guards against a shared order of first heartbeats when all
+// gateways of a large fleet start together and have bytes for a sixth of their peers a second. All
+// 385 gateways of a fleet sent their first heartbeats to the gateways with the lowest ids; the
+// last ones heard none for seconds, took themselves for alone, and read and watched the store.
 func TestHeartbeatsReachAllPeersAtStart(t *testing.T) {
 	is := is.New(t)
 	const count, perRound = 385, 64
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestLongestWaitComesFirst whatever the gateway's own order is.
+// TestLongestWaitComesFirst checks that waiting time precedes the gateway's own order.
 func TestLongestWaitComesFirst(t *testing.T) {
 	is := is.New(t)
 	known := tables(30)["0"]
@@ -56,9 +56,9 @@
 	is.Equal(live[0], longest)
 }
 
-// TestIsolatedPeersComeFirst: a gateway that the settings name as a seed hears hundreds
-// at once that hear nobody but it. They are answered before those that hear others, and their
-// addresses are passed on before others', so that more gateways call them.
+// TestIsolatedPeersComeFirst checks the order at a gateway that the settings name as a seed, which
+// hears hundreds of gateways at once that hear no other. They get heartbeats before those that
+// hear others, and their addresses are passed on first, so that more gateways contact them.
 func TestIsolatedPeersComeFirst(t *testing.T) {
 	is := is.New(t)
 	n := newUnstartedService(t, "self", 1)
@@ -74,7 +74,7 @@
 	live := n.table.live(now)
 	for _, known := range live {
 		if known.alone {
-			known.heartbeatSentAt = now // even so
+			known.heartbeatSentAt = now // they come first all the same
 		}
 	}
 	sortForBroadcast(live, n.hash)
@@ -84,10 +84,10 @@
 	addresses := n.sampleAddresses(now, "")
 	is.Equal(len(addresses), maxKnownAddresses)
 	for _, address := range addresses {
-		is.True(strings.HasSuffix(address, "0")) // theirs
+		is.True(strings.HasSuffix(address, "0")) // an address of an isolated peer
 	}
 	heartbeat := heartbeatFrom("0", 2)
 	heartbeat.Life = 2
 	known, _ := n.table.record(heartbeat, now)
-	is.True(!known.alone) // it has heard somebody since
+	is.True(!known.alone) // it has heard another gateway since
 }
--- a/internal/peer/class_test.go
+++ b/internal/peer/class_test.go
@@ -18,17 +18,17 @@
 		cores, linkMbps float64
 		class           Class
 	}{
-		"not known":                  {0, 0, 0},
-		"a core that is not known":   {0, 200, 0},
-		"a link that is not known":   {0.8, 0, 0},
-		"no number":                  {math.NaN(), 10, 0},
-		"less than the smallest":     {0.01, 1, 1},
+		"unknown":                    {0, 0, 0},
+		"unknown cores":              {0, 200, 0},
+		"unknown link":               {0.8, 0, 0},
+		"not a number":               {math.NaN(), 10, 0},
+		"below the smallest class":   {0.01, 1, 1},
 		"a tenth of a core":          {0.101, 10, 2},
 		"a seventh of a core":        {0.144, 10, 2},
 		"a fast host on a slow link": {0.8, 10, 2},
 		"a slow host on a fast link": {0.12, 1000, 2},
 		"a large host":               {0.8, 200, 5},
-		"more than any duty needs":   {64, 100000, 8},
+		"above the largest class":    {64, 100000, 8},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// classTables are what each of many gateways knows, on hosts of the classes given.
+// classTables returns the table of each of a number of gateways on hosts of the given classes.
 func classTables(classes []Class) map[string]*table {
 	all := make(map[string]*table, len(classes))
 	for self, class := range classes {
@@ -59,7 +59,7 @@
 	return heartbeat
 }
 
-// hostClasses are the classes of so many hosts, of which the first few are large.
+// hostClasses returns the classes of count hosts, the first few of which are large.
 func hostClasses(count, large int) []Class {
 	classes := make([]Class, count)
 	for i := range classes {
@@ -71,19 +71,19 @@
 	return classes
 }
 
-// TestLargerHostsAskStoreFirst: all agree that those who ask the store are on the largest
-// hosts, and that no small host passes on what a large one could.
+// TestLargerHostsAskStoreFirst checks that all gateways agree that those on the largest hosts ask
+// the store, and that no large host has a small host as its parent.
 func TestLargerHostsAskStoreFirst(t *testing.T) {
 	cases := map[string]struct {
 		classes []Class
 		askers  Class
 	}{
-		"28 hosts, 8 large":            {hostClasses(28, 8), 5},
-		"300 hosts, 84 large":          {hostClasses(300, 84), 5},
-		"two large ones":               {hostClasses(100, 2), 5},
-		"all alike":                    {hostClasses(30, 0), 2},
-		"older gateways tell no class": {append(make([]Class, 20), 2, 2), 2},
-		"only older gateways":          {make([]Class, 20), 0},
+		"28 hosts, 8 large":                   {hostClasses(28, 8), 5},
+		"300 hosts, 84 large":                 {hostClasses(300, 84), 5},
+		"two large hosts":                     {hostClasses(100, 2), 5},
+		"equal hosts":                         {hostClasses(30, 0), 2},
+		"some older gateways without a class": {append(make([]Class, 20), 2, 2), 2},
+		"only older gateways":                 {make([]Class, 20), 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestLossOfLastLargeHost: the next class takes its place once it is silent, and
-// gives it back.
+// TestLossOfLastLargeHost checks that a host of the next class replaces a large host once that is
+// silent, and that the large host takes over again when it returns.
 func TestLossOfLastLargeHost(t *testing.T) {
 	is := is.New(t)
 	tables := classTables(hostClasses(30, 1))
@@ -146,14 +146,15 @@
 	is.Equal(len(asking(later, "")), watchers)
 }
 
-// TestHeartbeatWithoutSenderKeepsClass: most beats don't say who sends them.
+// TestHeartbeatWithoutSenderKeepsClass checks that a heartbeat without its sender's identity, as
+// most are, keeps the class.
 func TestHeartbeatWithoutSenderKeepsClass(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", nil, "", 7000)
 	known.record(heartbeatOfClass("1", 7, 5), start)
 	taken, _ := known.record(&wire.GatewayBeat{Life: 7, Sequence: 2, StoreReachable: true}, start)
 	is.Equal(taken.class, Class(5))
-	replaced := heartbeatOfClass("1", 7, 3) // its host was replaced
+	replaced := heartbeatOfClass("1", 7, 3) // the host was replaced
 	replaced.Sequence = 3
 	taken, _ = known.record(replaced, start)
 	is.Equal(taken.class, Class(3))
@@ -163,8 +164,8 @@
 	is.Equal(taken.class, Class(maxClass))
 }
 
-// TestWholeCopiesComeFromLargeHosts: whoever begins asks one of the large hosts that have a
-// copy, each of them in turn, and a small one only while the large ones refuse.
+// TestWholeCopiesComeFromLargeHosts checks that a starting gateway asks any one of the large hosts
+// that have a copy, and a small host only while the large ones refuse.
 func TestWholeCopiesComeFromLargeHosts(t *testing.T) {
 	const refused = time.Second
 	cases := map[string]struct {
@@ -173,10 +174,10 @@
 		classes  []Class
 		sources  int
 	}{
-		"a process that holds nothing":    {0, 0, []Class{5}, 3},
-		"one large host refuses":          {0, 1, []Class{5}, 2},
-		"all large hosts refuse":          {0, 3, []Class{2}, 5},
-		"one that lacks the last changes": {5, 0, []Class{2}, 1}, // the one that has most
+		"an empty replica":                      {0, 0, []Class{5}, 3},
+		"one large host refuses":                {0, 1, []Class{5}, 2},
+		"all large hosts refuse":                {0, 3, []Class{2}, 5},
+		"a replica that lacks the last changes": {5, 0, []Class{2}, 1}, // the peer with the highest revision
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -207,7 +208,8 @@
 	}
 }
 
-// TestDirectoryShareByClass: by class + 1, and all agree.
+// TestDirectoryShareByClass checks that hosts keep parts in proportion to class + 1, and that all
+// gateways agree on the keepers.
 func TestDirectoryShareByClass(t *testing.T) {
 	is := is.New(t)
 	const parts, large = 20000, 8
@@ -224,8 +226,8 @@
 	is.True(each < 2.2) // (5 + 1) / (2 + 1)
 }
 
-// TestWeightedScoreKeepsOrderOfEqualShares: hosts that are alike keep what they
-// kept before there were classes.
+// TestWeightedScoreKeepsOrderOfEqualShares checks that among equal hosts the keepers are the same
+// as without classes.
 func TestWeightedScoreKeepsOrderOfEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.Uint64().Draw(t, "a"), rapid.Uint64().Draw(t, "b")
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -14,10 +14,10 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// many is enough gateways not to tell each other everything.
+// largeFleet is a number of gateways that makes a fleet large.
 const largeFleet = fullMeshLimit + 4
 
-// newLargeFleet are gateways that have discovered each other.
+// newLargeFleet starts largeFleet gateways that have discovered each other.
 func newLargeFleet(t *testing.T) []*node {
 	t.Helper()
 	network := link.NewMemory()
@@ -25,7 +25,7 @@
 	for i := 1; i < largeFleet; i++ {
 		nodes = append(nodes, newNode(t, fmt.Sprintf("node-%d", i), network, nodes[0].service.options.Address))
 	}
-	waitFor(t, "all know all", func() bool {
+	waitFor(t, "all gateways see all others", func() bool {
 		for _, known := range nodes {
 			if known.service.Live() != largeFleet-1 {
 				return false
@@ -36,7 +36,7 @@
 	return nodes
 }
 
-// keeperOf is the one gateway that takes itself for the keeper of a part.
+// keeperOf returns the one gateway that considers itself the keeper of a part.
 func keeperOf(t *testing.T, nodes []*node, part uint32) int {
 	t.Helper()
 	keeper := -1
@@ -57,7 +57,7 @@
 	return keeper
 }
 
-// others are two gateways that do not keep track of a part.
+// otherThan returns two gateways that don't keep a part.
 func otherThan(keeper int) (one, other int) {
 	return (keeper + 1) % largeFleet, (keeper + 2) % largeFleet
 }
@@ -70,8 +70,7 @@
 	return func() bool { return known.balancer.Holds(placementOf(part)) }
 }
 
-// TestFindPlacement: what one gateway has placed another one finds by
-// asking the gateway that keeps track of it.
+// TestFindPlacement checks that a gateway finds another one's placement by asking the keeper.
 func TestFindPlacement(t *testing.T) {
 	is := is.New(t)
 	nodes := newLargeFleet(t)
@@ -79,19 +78,19 @@
 	keeper := keeperOf(t, nodes, part)
 	placer, asker := otherThan(keeper)
 	query := balance.Query{Service: "s", Parts: []uint64{part << 32}, Tokens: []int{5000}}
-	waitFor(t, "the keeper knows", func() bool {
+	waitFor(t, "the keeper holds the placement", func() bool {
 		placed := nodes[placer].balancer.Confirm("t", query)
 		nodes[placer].service.Placed(placed)
 		return holds(nodes[keeper], part)()
 	})
-	waitFor(t, "the asker finds it", func() bool {
+	waitFor(t, "the asker finds the placement", func() bool {
 		return nodes[asker].service.Find(t.Context(), []uint32{part}) == balance.Answered && holds(nodes[asker], part)()
 	})
-	is.Equal(nodes[keeper].service.Find(t.Context(), []uint32{part}), balance.NotAsked) // it would ask itself
+	is.Equal(nodes[keeper].service.Find(t.Context(), []uint32{part}), balance.NotAsked) // it is the keeper itself
 }
 
-// TestWaitersAreNotified: a gateway that asks for a part which is being
-// read is notified as soon as it has been.
+// TestWaitersAreNotified checks that a gateway that looks up a part which is still being read is
+// notified as soon as it has been read.
 func TestWaitersAreNotified(t *testing.T) {
 	nodes := newLargeFleet(t)
 	const part = 43
@@ -99,7 +98,7 @@
 	placer, asker := otherThan(keeper)
 	query := balance.Query{Service: "s", Parts: []uint64{part << 32}, Tokens: []int{5000}}
 	var done <-chan struct{}
-	waitFor(t, "the asker learns of the reading", func() bool {
+	waitFor(t, "the asker learns that the part is being read", func() bool {
 		pick, _ := nodes[placer].balancer.Choose(query, time.Now())
 		nodes[placer].service.Filling(pick.Fills)
 		nodes[asker].service.Find(t.Context(), []uint32{part})
@@ -115,8 +114,8 @@
 	<-done
 }
 
-// TestLostKeeperIsReplaced: a question that nobody answers ends, and
-// after a few of them another gateway is asked.
+// TestLostKeeperIsReplaced checks that a lookup without an answer ends, and that another gateway
+// is asked after a few of them.
 func TestLostKeeperIsReplaced(t *testing.T) {
 	is := is.New(t)
 	nodes := newLargeFleet(t)
@@ -125,23 +124,24 @@
 	asker, _ := otherThan(keeper)
 	is.NoErr(nodes[keeper].service.Close())
 	is.Equal(nodes[asker].service.Find(t.Context(), []uint32{part}), balance.Unanswered)
-	waitFor(t, "another gateway answers, or this one keeps track itself", func() bool {
+	waitFor(t, "another gateway answers, or this one is the keeper", func() bool {
 		return nodes[asker].service.Find(t.Context(), []uint32{part}) != balance.Unanswered
 	})
 }
 
-// TestFindInSmallFleet: few gateways tell each other everything.
+// TestFindInSmallFleet checks that no lookups are sent in a small fleet, where heartbeats carry
+// all placements.
 func TestFindInSmallFleet(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
-	waitFor(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
+	waitFor(t, "both gateways see each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
 	is.Equal(two.service.Find(t.Context(), []uint32{1}), balance.NotAsked)
 }
 
-// TestKeepersAreBalanced: each of many gateways keeps track of about its share of
-// the parts, and all agree on whose it is.
+// TestKeepersAreBalanced checks that each gateway of a large fleet keeps about its share of the
+// parts, and that all agree on the keepers.
 func TestKeepersAreBalanced(t *testing.T) {
 	is := is.New(t)
 	const gateways, parts = 103, 5000
@@ -165,15 +165,15 @@
 	is.Equal(len(kept), gateways)
 }
 
-// TestDirectoryBudget: in a surge on the large site questions and
-// placements used up the budget: loads were not reported any more, gateways lost
-// each other and took targets that held 150 requests for nearly empty.
+// TestDirectoryBudget guards against lookups and placements that use up the byte budget. In a
+// surge on a large site loads were no longer reported, gateways lost each other and took targets
+// with 150 requests in flight for nearly empty.
 func TestDirectoryBudget(t *testing.T) {
 	is := is.New(t)
 	nodes := newLargeFleet(t)
 	service := nodes[0].service
 	service.mu.Lock()
-	service.directoryBucket = rate.NewLimiter(0, 100) // room for a few
+	service.directoryBucket = rate.NewLimiter(0, 100) // room for a few datagrams
 	service.mu.Unlock()
 	parts := make([]uint32, 200)
 	for i := range parts {
@@ -184,11 +184,12 @@
 	is.True(len(asked) < 10)
 	service.finishQuestions(asked, false)
 	service.mu.Lock()
-	is.Equal(len(service.directory.questions), 0) // those that were not sent wait for nothing
+	is.Equal(len(service.directory.questions), 0) // lookups that were not sent are not kept open
 	service.mu.Unlock()
 }
 
-// TestBareHeartbeatKeepsReportedState: what was reported before stands.
+// TestBareHeartbeatKeepsReportedState checks that a heartbeat without the sender's state doesn't
+// overwrite it.
 func TestBareHeartbeatKeepsReportedState(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", nil, "", 7000)
@@ -201,18 +202,17 @@
 	is.True(taken.reachesStore)
 	is.Equal(taken.revision, int64(9))
 	is.Equal(taken.proofAge, 70*time.Millisecond)
-	is.Equal(taken.lastHeartbeat, start.Add(time.Second)) // but it lives
+	is.Equal(taken.lastHeartbeat, start.Add(time.Second)) // but the peer is alive
 	is.Equal(taken.unanswered, 0)
 	is.Equal(taken.unansweredLookups, 0)
 	is.Equal(taken.sequence, uint64(2))
 	_, change = known.record(&wire.GatewayBeat{Life: 777, Sequence: 1, Brief: true, Bare: true}, start)
-	is.Equal(change, outdated) // nobody knows who sent it
+	is.Equal(change, outdated) // the sender is unknown
 }
 
-// TestUnansweredLookupsKeepTreeRank: a peer that answers no question for parts,
-// as in a surge, is asked for none, and keeps its place in the tree: when it lost
-// that as well, more gateways than two took themselves for the first and asked the
-// store.
+// TestUnansweredLookupsKeepTreeRank checks that a peer that answers no lookups, as in a surge, is
+// sent no more of them but keeps its rank in the tree. When it lost its rank as well, more than
+// two gateways took themselves for the first and asked the store.
 func TestUnansweredLookupsKeepTreeRank(t *testing.T) {
 	is := is.New(t)
 	known := tables(30)["0"]
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// FuzzBeat: no datagram, whoever sent it, brings a process down.
+// FuzzBeat checks that no datagram crashes the process.
 func FuzzBeat(f *testing.F) {
 	data, err := proto.Marshal(&wire.GatewayBeat{Id: "a", Life: 1, Sequence: 2, Echo: 1, HasProof: true, Known: []string{"x"}})
 	if err != nil {
@@ -22,7 +22,7 @@
 			return
 		}
 		service := newTestService()
-		service.pulling = true // no links here
+		service.pulling = true // there are no links in this test
 		service.handleHeartbeat(heartbeat, time.Unix(1000, 0))
 	})
 }
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -20,17 +20,17 @@
 
 const fatal = quarantine.Fingerprint(0xfa7a1)
 
-// table is what a gateway knows of requests under which targets ended.
+// table returns the gateway's crash records.
 func (n *node) table() *quarantine.Table { return n.service.crashes.table }
 
-// crashed has a gateway find that a life of a target ended under a request.
+// recordCrash records at a gateway that an instance of a target crashed under a request.
 func (n *node) recordCrash(fingerprint quarantine.Fingerprint, instance quarantine.Instance) {
 	if change := n.table().Crashed(fingerprint, instance, time.Now()); change.Changed {
 		n.service.Spread(change)
 	}
 }
 
-// held says whether all of some gateways hold a request back.
+// allHold reports whether all of the gateways hold a request.
 func allHold(nodes []*node, fingerprint quarantine.Fingerprint) bool {
 	for _, known := range nodes {
 		if !known.table().Held(fingerprint, time.Now()) {
@@ -40,7 +40,7 @@
 	return true
 }
 
-// few are so many gateways that have discovered each other.
+// newFleet starts count gateways that have discovered each other.
 func newFleet(t *testing.T, network *link.Memory, count int) []*node {
 	t.Helper()
 	nodes := []*node{newNode(t, "node-0", network)}
@@ -62,7 +62,7 @@
 		}
 	}()
 	defer func() { complete = !t.Failed() }()
-	waitFor(t, "all know all", func() bool {
+	waitFor(t, "all gateways see all others", func() bool {
 		for _, known := range nodes {
 			if known.service.Live() != len(nodes)-1 {
 				return false
@@ -72,27 +72,27 @@
 	})
 }
 
-// describe says what a gateway knows of the others.
+// describe returns what a gateway knows of the others, for failure messages.
 func (n *node) describe() string {
 	n.service.mu.Lock()
 	defer n.service.mu.Unlock()
 	var text strings.Builder
-	fmt.Fprintf(&text, "%s at %s, life %x:", n.service.options.ID, n.service.options.Address, n.service.incarnation)
+	fmt.Fprintf(&text, "%s at %s, incarnation %x:", n.service.options.ID, n.service.options.Address, n.service.incarnation)
 	for id, known := range n.service.table.peers {
-		fmt.Fprintf(&text, " %s at %s, life %x, heard %v ago, lost %v;", id, known.address, known.incarnation, clock.Since(known.lastHeartbeat), known.lost)
+		fmt.Fprintf(&text, " %s at %s, incarnation %x, last heartbeat %v ago, lost %v;", id, known.address, known.incarnation, clock.Since(known.lastHeartbeat), known.lost)
 	}
 	for address, attempts := range n.service.table.addresses {
-		fmt.Fprintf(&text, " %s called %d times, %v ago;", address, attempts.count, clock.Since(attempts.last))
+		fmt.Fprintf(&text, " %s contacted %d times, last %v ago;", address, attempts.count, clock.Since(attempts.last))
 	}
 	return text.String()
 }
 
-// TestCrashesAreSummedOverGateways: three ends that three gateways saw are three, and all
-// learn of it, also of many.
+// TestCrashesAreSummedOverGateways checks that three crashes seen by three gateways add up, and
+// that all gateways learn of it, in a small fleet and in a large one.
 func TestCrashesAreSummedOverGateways(t *testing.T) {
 	cases := map[string]func(t *testing.T) []*node{
-		"few":  func(t *testing.T) []*node { return newFleet(t, link.NewMemory(), 4) },
-		"many": newLargeFleet,
+		"small fleet": func(t *testing.T) []*node { return newFleet(t, link.NewMemory(), 4) },
+		"large fleet": newLargeFleet,
 	}
 	for name, gateways := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -101,8 +101,8 @@
 			for i := range 3 {
 				nodes[i].recordCrash(fatal, quarantine.Instance(i))
 			}
-			nodes[3].recordCrash(fatal+1, 7) // another request under way at one of the ends
-			waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
+			nodes[3].recordCrash(fatal+1, 7) // another request that was in flight at one of the crashes
+			waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
 			for _, known := range nodes {
 				is.True(!known.table().Held(fatal+1, time.Now()))
 			}
@@ -110,15 +110,15 @@
 	}
 }
 
-// TestClearReachesAllGateways: whoever has it answered whole, or has an operator lift it.
+// TestClearReachesAllGateways checks that an answer at one gateway ends the hold at all gateways.
 func TestClearReachesAllGateways(t *testing.T) {
 	nodes := newLargeFleet(t)
 	for instance := range 3 {
 		nodes[0].recordCrash(fatal, quarantine.Instance(instance))
 	}
-	waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
+	waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
 	nodes[largeFleet-1].service.Spread(nodes[largeFleet-1].table().Answered(fatal, time.Now()))
-	waitFor(t, "all send it again", func() bool {
+	waitFor(t, "no gateway holds the request", func() bool {
 		for _, known := range nodes {
 			if known.table().Held(fatal, time.Now()) {
 				return false
@@ -128,14 +128,14 @@
 	})
 }
 
-// TestRecordsSurviveRollingRestart: each sees one end, is killed, and begins anew
-// without anything; what it saw is known all the same.
+// TestRecordsSurviveRollingRestart checks that crashes stay recorded if each gateway sees one
+// crash, is killed and restarts without any state.
 func TestRecordsSurviveRollingRestart(t *testing.T) {
 	network := link.NewMemory()
 	nodes := newFleet(t, network, 4)
 	for i := range 3 {
 		nodes[i].recordCrash(fatal, quarantine.Instance(i))
-		waitFor(t, "another one knows", func() bool {
+		waitFor(t, "another gateway has the record", func() bool {
 			for j, known := range nodes {
 				if records := known.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
 					return true
@@ -146,15 +146,15 @@
 		nodes[i] = restart(t, nodes[i], network, nodes[3])
 		waitForFullMesh(t, nodes)
 	}
-	waitFor(t, "all hold it back", func() bool { return allHold(nodes, fatal) })
-	for i := range nodes { // and all of them once more
+	waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
+	for i := range nodes { // restart each of them once more
 		nodes[i] = restart(t, nodes[i], network, nodes[(i+1)%len(nodes)])
 		waitForFullMesh(t, nodes)
-		waitFor(t, "the new one holds it back", func() bool { return allHold(nodes[i:i+1], fatal) })
+		waitFor(t, "the restarted gateway holds the request", func() bool { return allHold(nodes[i:i+1], fatal) })
 	}
 }
 
-// restart ends a gateway and begins it again at its address, without anything.
+// restart stops a gateway and starts it again at the same address without any state.
 func restart(t *testing.T, before *node, network *link.Memory, seed *node) *node {
 	t.Helper()
 	is.New(t).NoErr(before.service.Close())
@@ -162,19 +162,21 @@
 	return newNodeAt(t, options.Address, options.ID, network, func(*Service) {}, seed.service.options.Address)
 }
 
-// TestDigestMismatchSendsRecords: every datagram about it was lost.
+// TestDigestMismatchSendsRecords checks that the hash in heartbeats makes up for the loss of all
+// datagrams with records.
 func TestDigestMismatchSendsRecords(t *testing.T) {
 	nodes := newFleet(t, link.NewMemory(), 2)
 	for instance := range 3 {
 		nodes[0].table().Crashed(fatal, quarantine.Instance(instance), time.Now()) // nothing is sent
 	}
-	waitFor(t, "the other holds it back", func() bool { return allHold(nodes, fatal) })
-	nodes[1].table().Lift(fatal, time.Now()) // nor here
-	waitFor(t, "the first sends it again", func() bool { return !nodes[0].table().Held(fatal, time.Now()) })
+	waitFor(t, "the other gateway holds the request", func() bool { return allHold(nodes, fatal) })
+	nodes[1].table().Lift(fatal, time.Now()) // nothing is sent here either
+	waitFor(t, "the first gateway no longer holds the request", func() bool { return !nodes[0].table().Held(fatal, time.Now()) })
 }
 
-// TestCrashRecordBudget: thousands of requests at once, as when a data centre is lost or
-// a release is bad, cost no more than their share, and those that are held back go first.
+// TestCrashRecordBudget checks that thousands of suspect requests at once, as after the loss of a
+// data centre or a faulty release, use no more than their share of bytes, and that held requests
+// are sent first.
 func TestCrashRecordBudget(t *testing.T) {
 	is := is.New(t)
 	const budget, rounds = 7000, 40
@@ -200,10 +202,11 @@
 	}
 	after, _ := service.Traffic()
 	is.True(after-sent <= 2*budget)
-	is.Equal(len(service.crashes.pending), 0) // what did not fit is not kept
+	is.Equal(len(service.crashes.pending), 0) // what did not fit is dropped
 }
 
-// TestKeepersAreConsistent: of a request, whoever looks, if they know the same gateways.
+// TestKeepersAreConsistent checks that gateways that know the same peers agree on the keepers of a
+// request.
 func TestKeepersAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(2, 12).Draw(t, "gateways")
@@ -230,15 +233,15 @@
 	})
 }
 
-// TestCrashRecordSize: what a datagram of crash records holds, in bytes.
+// TestCrashRecordSize limits the size in bytes of a datagram of crash records.
 func TestCrashRecordSize(t *testing.T) {
 	cases := map[string]struct {
 		records, crashes, maxSize int
 	}{
-		"one request, its first end":  {1, 1, 45},
-		"three requests":              {3, 1, 90},
-		"one that is held back":       {1, 3, 55},
-		"as many as a datagram takes": {maxCrashRecords, 3, 1200},
+		"one request, first crash": {1, 1, 45},
+		"three requests":           {3, 1, 90},
+		"one held request":         {1, 3, 55},
+		"full datagram":            {maxCrashRecords, 3, 1200},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -256,8 +259,8 @@
 	}
 }
 
-// BenchmarkEnd is what a gateway does when a target ends under 64 of its requests, among
-// many gateways: it finds the keepers of each and makes the datagrams.
+// BenchmarkEnd measures the work of a gateway of a large fleet when a target crashes under 64 of
+// its requests: finding the keepers of each.
 func BenchmarkEnd(b *testing.B) {
 	for _, gateways := range []int{100, 370} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
@@ -274,13 +277,13 @@
 	}
 }
 
-// listener is a gateway that says who it is, and reads what it is sent.
+// listener is a socket that poses as a gateway and reads what it is sent.
 type listener struct {
 	t    *testing.T
 	conn *net.UDPConn
 }
 
-// listen has a node find a listener.
+// listen announces a new listener to a gateway.
 func listen(t *testing.T, to *node) *listener {
 	t.Helper()
 	is := is.New(t)
@@ -296,7 +299,7 @@
 	return &listener{t, conn}
 }
 
-// next is the next beat of which something holds.
+// next returns the next heartbeat that matches.
 func (l *listener) next(matches func(heartbeat *wire.GatewayBeat) bool) *wire.GatewayBeat {
 	l.t.Helper()
 	is := is.New(l.t)
@@ -312,11 +315,10 @@
 	}
 }
 
-// TestNewGatewayGetsRecordsAtOnce: those that find it hand it what is held back before it
-// has found them.
-//
-// Seen: it dropped them, since they didn't say who sent them, and let one more target end under
-// each fatal request. It got them with the next full beat, some tenths of a second later.
+// TestNewGatewayGetsRecordsAtOnce guards against records that a starting gateway can't use.
+// Gateways that find it send it the held requests before it has found them. It dropped these
+// datagrams because they didn't name their sender, and let one more target crash under each fatal
+// request until the next full heartbeat, some tenths of a second later.
 func TestNewGatewayGetsRecordsAtOnce(t *testing.T) {
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
@@ -328,14 +330,13 @@
 	is.Equal(got.GetAddress(), first.service.options.Address)
 }
 
-// TestRefusedTargetsShareDatagram: those that are found within a moment are in one datagram.
-//
-// Seen: with a fifth of the targets lost, the datagrams of one target each took the bytes of loads.
+// TestRefusedTargetsShareDatagram guards against one datagram for each refused target: with a
+// fifth of the targets lost, they used up the bytes of the loads.
 func TestRefusedTargetsShareDatagram(t *testing.T) {
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
 	other := listen(t, first)
-	waitFor(t, "it is found", func() bool { return first.service.Live() == 1 })
+	waitFor(t, "the listener is found", func() bool { return first.service.Live() == 1 })
 	refused := make([]uint32, 40)
 	for i := range refused {
 		refused[i] = uint32(i)
@@ -349,7 +350,7 @@
 	is.Equal(got.GetRefused(), refused)
 }
 
-// TestRepostBudget: whatever number of them there is.
+// TestRepostBudget checks that records that are sent again use few bytes, whatever their number.
 func TestRepostBudget(t *testing.T) {
 	is := is.New(t)
 	const budget, seconds = 7000, 10
@@ -362,5 +363,5 @@
 		}
 	}
 	is.True(sent > 0)
-	is.True(sent <= budget+int(repostShare*budget*seconds)) // what it may have saved up, and the share
+	is.True(sent <= budget+int(repostShare*budget*seconds)) // the initial burst and the share
 }
--- a/internal/peer/refused_test.go
+++ b/internal/peer/refused_test.go
@@ -11,11 +11,11 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// TestRefusedTargetReachesAllGateways: what one gateway finds out reaches the others,
-// though it tells only a few of them.
+// TestRefusedTargetReachesAllGateways checks that all gateways learn of a refused target, though
+// each gateway notifies only a few others.
 func TestRefusedTargetReachesAllGateways(t *testing.T) {
 	nodes := newLargeFleet(t)
-	waitFor(t, "all others leave the target out", func() bool {
+	waitFor(t, "all others exclude the target", func() bool {
 		nodes[0].service.Refused("t")
 		for _, known := range nodes[1:] {
 			if known.watcher.refused.Load() == 0 {
@@ -26,7 +26,8 @@
 	})
 }
 
-// TestKnownRefusalIsNotForwarded: who knows already tells nobody, so that news dies out.
+// TestKnownRefusalIsNotForwarded checks that a gateway doesn't forward a refused target that it
+// knows already, so that the spreading ends.
 func TestKnownRefusalIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	nodes := newLargeFleet(t)
@@ -42,7 +43,8 @@
 	is.Equal(after, sent)
 }
 
-// TestSuspectsAreExchanged: over the real sockets.
+// TestSuspectsAreExchanged checks over real sockets that suspicions of two gateways exclude a
+// target at a third.
 func TestSuspectsAreExchanged(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
@@ -50,7 +52,7 @@
 	two := newNode(t, "two", network, one.service.options.Address)
 	three := newNode(t, "three", network, one.service.options.Address)
 	three.balancer.Put(balance.Target{ID: "sound", Service: "s", Address: "u"}, time.Now())
-	waitFor(t, "the third leaves the target out", func() bool {
+	waitFor(t, "the third gateway excludes the target", func() bool {
 		one.balancer.Release("t", balance.Lost, time.Now())
 		two.balancer.Release("t", balance.Lost, time.Now())
 		return three.watcher.suspected.Load() > 0
--- a/internal/peer/replica_test.go
+++ b/internal/peer/replica_test.go
@@ -13,11 +13,11 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// countingStream counts what is sent; nothing else is called.
+// countingStream counts the messages that are sent; no other method is called.
 type countingStream struct {
 	link.Stream
 	sent int
-	// page is the last one that was sent.
+	// page is the last page that was sent.
 	page *wire.ReplicaPage
 }
 
@@ -29,14 +29,13 @@
 	return nil
 }
 
-// unreadable is a replica that can take no page.
+// unreadableReplica is a replica that rejects all pages.
 type unreadableReplica struct{ fakeReplica }
 
-func (*unreadableReplica) Absorb(*wire.ReplicaPage) error { return errors.New("not to be read") }
+func (*unreadableReplica) Absorb(*wire.ReplicaPage) error { return errors.New("unreadable page") }
 
-// TestConcurrentWholeCopiesAreLimited: hundreds of gateways that begin together must not
-// share one small host's link for so long that no copy arrives in time. Changes
-// are always sent.
+// TestConcurrentWholeCopiesAreLimited guards against hundreds of gateways that start together and
+// share one small host's link for so long that no copy arrives in time. Changes are always sent.
 func TestConcurrentWholeCopiesAreLimited(t *testing.T) {
 	cases := map[string]struct {
 		inFlight int32
@@ -44,7 +43,7 @@
 		sent     int
 	}{
 		"a whole copy":                {0, 0, 1},
-		"the last that fits":          {maxWholePages - 1, 0, 1},
+		"the last one allowed":        {maxWholePages - 1, 0, 1},
 		"one too many":                {maxWholePages, 0, 0},
 		"changes beside whole copies": {maxWholePages, 3, 1},
 	}
@@ -56,20 +55,20 @@
 			stream := new(countingStream)
 			service.Handle(t.Context(), &wire.Open{Kind: &wire.Open_Replica{Replica: &wire.ReplicaPull{Since: tc.since}}}, stream)
 			is.Equal(stream.sent, tc.sent)
-			is.Equal(service.wholePages.Load(), tc.inFlight) // the count is given back
+			is.Equal(service.wholePages.Load(), tc.inFlight) // the counter is decremented again
 		})
 	}
 }
 
-// TestNewGatewaysPullFromDifferentPeers: all that begin together used to ask the
-// first of the peers that hold the store's content.
+// TestNewGatewaysPullFromDifferentPeers guards against gateways that start together and all pull
+// from the first of the peers that hold the store's content.
 func TestNewGatewaysPullFromDifferentPeers(t *testing.T) {
 	cases := map[string]struct {
 		own  int64
 		same bool
 	}{
-		"a process that holds nothing":    {0, false},
-		"one that lacks the last changes": {5, true},
+		"an empty replica":                      {0, false},
+		"a replica that lacks the last changes": {5, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +76,7 @@
 			service := newTestService()
 			service.options.Replica = &fakeReplica{revision: tc.own}
 			now := time.Now()
-			for number := range 6 { // too few for a tree, in which the parent is asked first
+			for number := range 6 { // too few for a tree, where the parent is asked first
 				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
 				heartbeat.Life, heartbeat.Revision = uint64(number+2), 9
 				service.table.record(heartbeat, now)
@@ -92,8 +91,8 @@
 	}
 }
 
-// TestPageCarriesProof: a gateway that begins may vouch for keys as soon as it has
-// another one's copy; what the copy proves is as old as the question at least.
+// TestPageCarriesProof checks that a starting gateway can vouch for keys as soon as it has another
+// one's copy, and that the proof is at least as old as the request for the copy.
 func TestPageCarriesProof(t *testing.T) {
 	const (
 		onTheWay = 300 * time.Millisecond
@@ -106,8 +105,8 @@
 	}{
 		"with a proof":               {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(fakeReplica), true},
 		"from a gateway without one": {&wire.ReplicaPage{Revision: 5}, new(fakeReplica), false},
-		"that can't be read":         {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadableReplica), false},
-		"an answer that has no page": {nil, new(fakeReplica), false},
+		"unreadable page":            {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadableReplica), false},
+		"reply without a page":       {nil, new(fakeReplica), false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -133,17 +132,17 @@
 	}
 }
 
-// TestPageProofAge: a page says the age of its sender's proof, rounded up.
+// TestPageProofAge checks that a page carries the age of its sender's proof, rounded up.
 func TestPageProofAge(t *testing.T) {
 	cases := map[string]struct {
 		age    time.Duration
 		proven bool
 		ms     uint32
 	}{
-		"none":              {0, false, 0},
-		"an old one":        {2300 * time.Millisecond, true, 2301},
-		"a part of one ms":  {100 * time.Microsecond, true, 1},
-		"of this very time": {0, true, 1},
+		"no proof":       {0, false, 0},
+		"old proof":      {2300 * time.Millisecond, true, 2301},
+		"less than 1 ms": {100 * time.Microsecond, true, 1},
+		"age zero":       {0, true, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -15,8 +15,8 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// fakeRollouts reports about one service whenever asked, and grants what it is told to.
-// It asks who decides wherever the service calls it: no lock may be held there.
+// fakeRollouts reports about one service whenever asked, and returns fixed grants. It calls the
+// service back in each method, which deadlocks if a lock is held.
 type fakeRollouts struct {
 	service *Service
 
@@ -27,7 +27,7 @@
 	grants  []receivedGrant
 }
 
-// taken is a grant as it came.
+// receivedGrant is a grant with the arguments that came with it.
 type receivedGrant struct {
 	from   string
 	grant  rollout.Grant
@@ -102,7 +102,7 @@
 	Tallies: []rollout.Tally{{Route: 1, Target: 2, Answers: 30, Failed: 3, Slow: 1}, {Route: 1, Answers: 400, Failed: 2, Slow: 5}},
 }
 
-// newRolloutNode is a started node that carries roll-outs.
+// newRolloutNode starts a node that handles roll-outs.
 func newRolloutNode(t *testing.T, id string, network *link.Memory, seeds ...string) (*node, *fakeRollouts) {
 	t.Helper()
 	fake := &fakeRollouts{reports: make(map[string]rollout.Report), due: []rollout.Report{sampleReport}}
@@ -114,8 +114,8 @@
 	return n, fake
 }
 
-// TestDeciderAnswersReports over real sockets: one of three decides, gets the
-// others' reports whole, and its grants are for the moment at which they were asked for.
+// TestDeciderAnswersReports checks over real sockets that one of three gateways decides, gets the
+// others' complete reports, and that its grants carry the time at which they were requested.
 func TestDeciderAnswersReports(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
@@ -136,9 +136,9 @@
 		}
 		return found
 	}
-	waitFor(t, "one decides alone", func() bool { return nodes[decider()] != nil && len(nodes[decider()].service.LiveIDs()) == 2 })
+	waitFor(t, "exactly one gateway decides", func() bool { return nodes[decider()] != nil && len(nodes[decider()].service.LiveIDs()) == 2 })
 	chosen := decider()
-	waitFor(t, "the others have reported", func() bool { return len(fakes[chosen].receivedReports()) == 2 })
+	waitFor(t, "the decider has all reports", func() bool { return len(fakes[chosen].receivedReports()) == 2 })
 	for from, report := range fakes[chosen].receivedReports() {
 		is.Equal(report.Life, nodes[from].service.incarnation)
 		report.Life = 0
@@ -148,7 +148,7 @@
 		if id == chosen {
 			continue
 		}
-		waitFor(t, id+" has a grant", func() bool { return len(fake.receivedGrants()) > 0 })
+		waitFor(t, id+" has received a grant", func() bool { return len(fake.receivedGrants()) > 0 })
 		got := fake.receivedGrants()[0]
 		is.Equal(got.from, chosen)
 		is.Equal(got.grant.Wanted, []uint32{7})
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestNoticeReachesAllWithoutTerm: nobody has asked for it, so that it has no
-// time to hold for, whatever it says.
+// TestNoticeReachesAllWithoutTerm checks that a notice reaches all gateways, and that it grants no
+// time, whatever it contains, since no gateway has requested it.
 func TestNoticeReachesAllWithoutTerm(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
@@ -166,28 +166,28 @@
 	two, receiver := newRolloutNode(t, "two", network, one.service.options.Address)
 	sender.reportNothing()
 	receiver.reportNothing()
-	waitFor(t, "they know each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
+	waitFor(t, "both gateways see each other", func() bool { return one.service.Live() == 1 && two.service.Live() == 1 })
 	sender.mu.Lock()
 	sender.notices = []rollout.Grant{{Service: serviceHash(fakeService), Order: 12, Stage: rollout.Move, For: time.Hour}}
 	sender.mu.Unlock()
-	waitFor(t, "the notice is there", func() bool { return len(receiver.receivedGrants()) == 1 })
+	waitFor(t, "the notice has arrived", func() bool { return len(receiver.receivedGrants()) == 1 })
 	got := receiver.receivedGrants()[0]
 	is.Equal(got.grant.For, time.Duration(0))
 	is.True(got.sentAt.IsZero())
 }
 
-// TestGrantWithoutReportIsIgnored: a grant for a report that this process never sent,
-// or long ago, would hold from no known moment.
+// TestGrantWithoutReportIsIgnored guards against grants for reports that this process never sent
+// or sent long ago: the start of their term is unknown.
 func TestGrantWithoutReportIsIgnored(t *testing.T) {
 	cases := map[string]struct {
 		answered uint64
 		taken    int
 	}{
-		"a report of now":      {1500, 1},
-		"an old one":           {1500 - sentHistory, 0},
-		"one never sent":       {1501, 0},
-		"a notice":             {0, 1},
-		"far beyond all known": {1 << 60, 0},
+		"a recent report":              {1500, 1},
+		"an old report":                {1500 - sentHistory, 0},
+		"a report that was never sent": {1501, 0},
+		"a notice":                     {0, 1},
+		"a sequence far ahead":         {1 << 60, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -210,7 +210,7 @@
 	message := new(wire.RolloutReport)
 	is.NoErr(proto.Unmarshal(data, message))
 	is.Equal(reportOf(message), sampleReport)
-	message.Failed = message.Failed[:1] // a column is shorter
+	message.Failed = message.Failed[:1] // one column is shorter
 	is.Equal(len(reportOf(message).Tallies), 1)
 	message.Stage = 99
 	is.Equal(reportOf(message).Stage, rollout.Hold)
@@ -260,8 +260,8 @@
 	}
 }
 
-// TestExactlyOneDecider: among gateways that hear the same, exactly one decides about each
-// service, one that knows what the store holds and reaches it if any does.
+// TestExactlyOneDecider checks that among gateways that hear the same peers exactly one decides
+// about each service. It has a copy of the store's content, and reaches the store if any does.
 func TestExactlyOneDecider(t *testing.T) {
 	const gateways = 28
 	cases := map[string]struct {
@@ -269,11 +269,11 @@
 		loaded    func(place int) bool
 		mayDecide func(place int) bool
 	}{
-		"all reach the store":  {func(int) bool { return true }, func(int) bool { return true }, func(int) bool { return true }},
-		"none reaches it":      {func(int) bool { return false }, func(int) bool { return true }, func(int) bool { return true }},
-		"one reaches it":       {func(place int) bool { return place == 5 }, func(int) bool { return true }, func(place int) bool { return place == 5 }},
-		"half of them reach":   {func(place int) bool { return place%2 == 0 }, func(int) bool { return true }, func(place int) bool { return place%2 == 0 }},
-		"half have just begun": {func(int) bool { return true }, func(place int) bool { return place%2 == 0 }, func(place int) bool { return place%2 == 0 }},
+		"all reach the store": {func(int) bool { return true }, func(int) bool { return true }, func(int) bool { return true }},
+		"none reaches it":     {func(int) bool { return false }, func(int) bool { return true }, func(int) bool { return true }},
+		"one reaches it":      {func(place int) bool { return place == 5 }, func(int) bool { return true }, func(place int) bool { return place == 5 }},
+		"half of them reach":  {func(place int) bool { return place%2 == 0 }, func(int) bool { return true }, func(place int) bool { return place%2 == 0 }},
+		"half have no copy":   {func(int) bool { return true }, func(place int) bool { return place%2 == 0 }, func(place int) bool { return place%2 == 0 }},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -294,7 +294,8 @@
 	}
 }
 
-// TestLargestHostDecides before all smaller ones, if it reaches the store.
+// TestLargestHostDecides checks that a large host decides before all smaller ones if it reaches
+// the store.
 func TestLargestHostDecides(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -306,12 +307,12 @@
 		own := selfCandidacy{hash: policy.HashName("self"), eligible: true, reachesStore: true}
 		is.Equal(known.newView(now).decider(service, own).id, "large")
 		known.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 2, Revision: 3, HostClass: 5}, now)
-		is.True(known.newView(now).decider(service, own) == nil) // cut off from the store
+		is.True(known.newView(now).decider(service, own) == nil) // the large host is cut off from the store
 	}
 }
 
-// TestLeavingGatewayDoesNotDecide: the others pass it over at once, and two that decide
-// would go on for as long as its last answers take.
+// TestLeavingGatewayDoesNotDecide checks that a leaving gateway stops deciding at once. The others
+// skip it at once, so there would be two deciders for as long as its last answers take.
 func TestLeavingGatewayDoesNotDecide(t *testing.T) {
 	is := is.New(t)
 	service := newTestService()
@@ -325,7 +326,7 @@
 
 func gatewayID(place int) string { return fmt.Sprintf("g-%d", place) }
 
-// viewOf is what one of several gateways sees that hears all the others.
+// viewOf returns the view of one of several gateways that hears all the others.
 func viewOf(self, gateways int, reaches, loaded func(place int) bool) *view {
 	now := time.Unix(1000, 0)
 	known := newTable(gatewayID(self), nil, "", 7000)
@@ -345,8 +346,8 @@
 	return known.newView(now)
 }
 
-// TestSilentGatewayDoesNotDecide: who is frozen or cut off is passed over before it counts
-// as lost.
+// TestSilentGatewayDoesNotDecide checks that a gateway that is frozen or cut off is skipped before
+// it counts as lost.
 func TestSilentGatewayDoesNotDecide(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -358,8 +359,8 @@
 	is.True(known.newView(now.Add(watcherTimeout+tick)).decider(1, idle) == nil)
 }
 
-// TestRolloutDatagramSizes: a gateway that decides among hundreds answers each of
-// their reports, so that docs/CAPACITY.md reckons with these sizes.
+// TestRolloutDatagramSizes limits the sizes that docs/CAPACITY.md assumes: a decider among
+// hundreds of gateways answers each of their reports.
 func TestRolloutDatagramSizes(t *testing.T) {
 	is := is.New(t)
 	report := rollout.Report{Service: 1 << 31, Order: 5000, Age: 9 * time.Second, Stage: rollout.Canary, Others: 12, Requests: 900, Exposed: 60}
@@ -369,7 +370,7 @@
 		}
 	}
 	heartbeat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 90000, Brief: true, Bare: true, RolloutReports: []*wire.RolloutReport{reportMessage(report)}}
-	is.True(proto.Size(heartbeat) < 280) // three routes, five targets and the others
+	is.True(proto.Size(heartbeat) < 280) // three routes with five targets each, and the rows of the other targets
 	heartbeat.RolloutReports = nil
 	heartbeat.RolloutGrants = []*wire.RolloutGrant{grantMessage(rollout.Grant{Service: 1 << 31, Order: 5000, Stage: rollout.Canary, Age: 9 * time.Second, For: 2 * time.Second, Wanted: []uint32{1, 2}}, 90000)}
 	is.True(proto.Size(heartbeat) < 60)
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -20,7 +20,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// fakeReplica is a copy of the store with a revision only.
+// fakeReplica is a copy of the store with a revision but no content.
 type fakeReplica struct {
 	mu        sync.Mutex
 	revision  int64
@@ -64,7 +64,7 @@
 	f.revision, f.reachable = revision, reachable
 }
 
-// quiet is a watcher that says nothing.
+// noopWatcher is a watcher that does nothing.
 type noopWatcher struct{}
 
 func (noopWatcher) PeerFound(string, string)                    {}
@@ -74,7 +74,7 @@
 func (noopWatcher) TargetSuspected(string, string)              {}
 func (noopWatcher) QuarantineChanged(quarantine.Change, string) {}
 
-// noting is a watcher that counts refused targets.
+// countingWatcher is a watcher that counts refused and suspected targets.
 type countingWatcher struct {
 	noopWatcher
 	refused   atomic.Int32
@@ -84,7 +84,7 @@
 func (n *countingWatcher) TargetRefused(string, string)   { n.refused.Add(1) }
 func (n *countingWatcher) TargetSuspected(string, string) { n.suspected.Add(1) }
 
-// node is a gateway as far as its peers see it.
+// node is a gateway with the parts that its peers interact with.
 type node struct {
 	service  *Service
 	replica  *fakeReplica
@@ -99,18 +99,18 @@
 	return newNodeWith(t, id, network, func(*Service) {}, seeds...)
 }
 
-// newNodeWith is newNode with something done to the service before it starts.
+// newNodeWith is newNode with a function that prepares the service before it starts.
 func newNodeWith(t *testing.T, id string, network *link.Memory, prepare func(service *Service), seeds ...string) *node {
 	t.Helper()
 	return newNodeAt(t, testLoopback+":0", id, network, prepare, seeds...)
 }
 
-// testLoopback is an address of loopback that no other package's tests use: gateways call an
-// address at which one has ended for minutes, and would take who listens there next for one
-// of theirs.
+// testLoopback is a loopback address that no other package's tests use. Gateways keep contacting
+// the address of a stopped gateway for minutes, and would take another test's process at this
+// address for one of their peers.
 const testLoopback = "127.0.0.2"
 
-// newNodeAt is newNodeWith at an address, IP:port.
+// newNodeAt is newNodeWith at a given address, IP:port.
 func newNodeAt(t *testing.T, address, id string, network *link.Memory, prepare func(service *Service), seeds ...string) *node {
 	t.Helper()
 	resolved, err := net.ResolveUDPAddr("udp", address)
@@ -136,7 +136,7 @@
 	return n
 }
 
-// until waits until something holds.
+// waitFor waits until a condition holds.
 func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -147,7 +147,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("waited in vain until %s", description)
+			t.Fatalf("timed out waiting until %s", description)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 	one := newNode(t, "one", network)
 	two := newNode(t, "two", network, one.service.options.Address)
 	three := newNode(t, "three", network, one.service.options.Address)
-	waitFor(t, "all know all", func() bool {
+	waitFor(t, "all gateways see all others", func() bool {
 		return one.service.Live() == 2 && two.service.Live() == 2 && three.service.Live() == 2
 	})
 	pick, ok := two.balancer.Choose(balance.Query{Service: "s"}, time.Now())
@@ -172,8 +172,8 @@
 	is.Equal(three.balancer.AllPlacements(10)[0], balance.Placement{Part: 42, Target: uint32(policy.HashName("t") >> 32)})
 }
 
-// TestPeerProofAndReplica: a gateway that the store turns away goes on by what
-// a peer proves, and gets the store's content from it.
+// TestPeerProofAndReplica checks that a gateway that can't reach the store gets its content and a
+// proof from a peer.
 func TestPeerProofAndReplica(t *testing.T) {
 	network := link.NewMemory()
 	one := newNode(t, "one", network)
@@ -181,14 +181,14 @@
 	two.replica.set(0, false)
 	one.replica.set(7, true)
 	one.proof.Note(time.Now())
-	waitFor(t, "the replica and a proof have come", func() bool {
+	waitFor(t, "the replica and a proof have arrived", func() bool {
 		_, proven := two.proof.Age(time.Now())
 		return two.replica.Revision() == 7 && proven
 	})
 }
 
-// TestProofOfUnappliedRevisionIsIgnored: a proof about a revision that this process has
-// not applied proves nothing here.
+// TestProofOfUnappliedRevisionIsIgnored checks that a proof of a revision that this process has
+// not applied is ignored.
 func TestProofOfUnappliedRevisionIsIgnored(t *testing.T) {
 	is := is.New(t)
 	service := newTestService()
@@ -201,11 +201,11 @@
 	heartbeat.Revision = 7
 	service.applyProof(heartbeat)
 	age, _ := service.options.Proof.Age(start.Add(time.Second))
-	is.Equal(age, 1200*time.Millisecond) // from the sending of the question, less the age
+	is.Equal(age, 1200*time.Millisecond) // the time since the heartbeat was sent, plus the age
 }
 
-// TestProofRequiresEcho: a beat that answers none of this life's may have
-// lain anywhere for any time.
+// TestProofRequiresEcho checks that a heartbeat that answers none of this incarnation's heartbeats
+// proves nothing, since it may have been delayed by any time.
 func TestProofRequiresEcho(t *testing.T) {
 	cases := map[string]uint64{"none": 0, "from the future": 9, "long forgotten": 1}
 	for name, echo := range cases {
@@ -227,17 +227,16 @@
 	return New(Options{Replica: &fakeReplica{revision: 7, reachable: true}, Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: noopWatcher{}}, nil, nil)
 }
 
-// TestUrgentBroadcastOnlyByWatchers: found as LIMIT on vasconcelos-gorjeta-grown
-// scale-2, where every gateway told every other of each change of the list at
-// once, and none had bytes left to tell its load: they saw a mean of 0.4 where
-// it was 3.8.
+// TestUrgentBroadcastOnlyByWatchers guards against a large fleet in which each gateway sent each
+// other one every change of the list at once. No bytes were left for loads, and gateways saw a
+// mean of 0.4 requests in flight where it was 3.8.
 func TestUrgentBroadcastOnlyByWatchers(t *testing.T) {
 	cases := map[string]struct {
 		before int
 		sends  bool
 	}{
-		"an asker":         {watchers - 1, true},
-		"one that is told": {watchers, false},
+		"a watcher":       {watchers - 1, true},
+		"another gateway": {watchers, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -255,7 +254,7 @@
 				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
 				heartbeat.Life = uint64(number + 2)
 				heartbeat.Address = "127.0.0.1:9"
-				heartbeat.Revision = 7 // one that holds nothing is not asked
+				heartbeat.Revision = 7 // a peer with an empty replica is not asked
 				if askScore(heartbeat.GetId()) > askScore("self") == (tc.before > 0) {
 					service.table.record(heartbeat, now)
 				}
@@ -274,9 +273,8 @@
 	}
 }
 
-// TestBroadcastInTurn: found as LIMIT on vmt-grid-grown scale-2, where the
-// peers that each round told were drawn at random: some heard nothing for over
-// a second, took the sender for lost and forgot its load.
+// TestBroadcastInTurn guards against random choice of the peers that get a heartbeat in each
+// round: some got none for over a second, took the sender for lost and dropped its loads.
 func TestBroadcastInTurn(t *testing.T) {
 	is := is.New(t)
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
@@ -294,7 +292,7 @@
 	}
 	rounds := 0
 	for ; rounds < 2*peers; rounds++ {
-		service.bucket = rate.NewLimiter(0, 400) // room for a few beats
+		service.bucket = rate.NewLimiter(0, 400) // room for a few heartbeats
 		service.broadcast(now.Add(time.Duration(rounds)*time.Millisecond), false)
 		waiting := 0
 		for _, known := range service.table.live(now) {
@@ -306,8 +304,8 @@
 			break
 		}
 	}
-	is.True(rounds <= peers/2) // at least two in each round, each in its turn
-	// What a beat that was not sent would have told waits for the next one.
+	is.True(rounds <= peers/2) // at least two in each round, each in turn
+	// Placements of a heartbeat that was not sent wait for the next one.
 	service.options.Balancer.Put(balance.Target{ID: "t", Service: "s"}, time.Now())
 	service.options.Balancer.Confirm("t", balance.Query{Parts: []uint64{1 << 32}})
 	service.bucket = rate.NewLimiter(0, 0)
@@ -317,7 +315,8 @@
 	}
 }
 
-// TestHeartbeatBudget: whatever there is to tell, no more is sent.
+// TestHeartbeatBudget checks that no more is sent than the budget allows, whatever there is to
+// report.
 func TestHeartbeatBudget(t *testing.T) {
 	is := is.New(t)
 	network := link.NewMemory()
@@ -329,5 +328,5 @@
 	is.True(!one.service.send("127.0.0.1:9", &wire.GatewayBeat{Id: "one"}, false))
 	one.service.mu.Unlock()
 	after, _ := one.service.Traffic()
-	is.True(after-sent < 200) // nothing but what was under way
+	is.True(after-sent < 200) // only what was in flight already
 }
--- a/internal/peer/settled_test.go
+++ b/internal/peer/settled_test.go
@@ -8,8 +8,8 @@
 	"github.com/capersaddle/capersaddle/internal/link"
 )
 
-// TestNewGatewayIsNotSettled: its standing is asked for before it is started, and counted as
-// that of one that has had the time to hear all others.
+// TestNewGatewayIsNotSettled guards against a query before Start that computes the state with a
+// zero start time: the gateway then counted as one that has had the time to hear all others.
 func TestNewGatewayIsNotSettled(t *testing.T) {
 	is := is.New(t)
 	n := newNodeWith(t, "a", link.NewMemory(), func(service *Service) { service.Census() })
--- a/internal/peer/start_test.go
+++ b/internal/peer/start_test.go
@@ -11,20 +11,19 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// startingFleet are the tables of gateways that begin together, each with a copy of the store
-// but for the first ones, who read it, and that send each other beats as fast as their bytes
-// allow.
+// startingFleet holds the tables of gateways that start together and send each other heartbeats as
+// fast as their bytes allow. The first ones have read the store; the others have pulled a copy.
 type startingFleet struct {
 	tables []*table
-	// readers are the first ones, that have read the store.
+	// readers is the number of gateways at the beginning of tables that have read the store.
 	readers int
-	// next is to whom each of them sends next.
+	// next holds the index of the gateway that each one sends to next.
 	next []int
 	now  time.Time
 	rng  *rand.Rand
 }
 
-// beatsPerSecond is how many beats of 110 bytes 7,000 bytes a second allow.
+// beatsPerSecond is the number of heartbeats of 110 bytes that 7,000 bytes a second allow.
 const beatsPerSecond = 64
 
 func newStartingFleet(count, readers int) *startingFleet {
@@ -36,7 +35,8 @@
 		f.tables = append(f.tables, t)
 		f.next = append(f.next, f.rng.IntN(count))
 	}
-	// A few hear each other by the settings' seeds, and each gets its copy from one that has it.
+	// Each gateway hears a few others, as through the settings' seeds, and pulls its copy from one
+	// that has it.
 	for i := range count {
 		for range fullMeshLimit + 2 {
 			f.sendHeartbeat(f.rng.IntN(count), i)
@@ -50,7 +50,7 @@
 	return f
 }
 
-// beat has one gateway send a beat to another.
+// sendHeartbeat sends a heartbeat from one gateway to another.
 func (f *startingFleet) sendHeartbeat(from, to int) {
 	if from == to {
 		return
@@ -64,7 +64,7 @@
 	f.tables[to].record(heartbeat, f.now)
 }
 
-// step passes some time; it returns how many ask the store at its end.
+// step advances the time, and returns the number of gateways that ask the store afterwards.
 func (f *startingFleet) step(elapsed time.Duration) int {
 	f.now = f.now.Add(elapsed)
 	for from := range f.tables {
@@ -82,9 +82,9 @@
 	return asking
 }
 
-// TestStoreWatchesAtFleetStart: 385 gateways that began together made 1,600 watches
-// of the store in their first five seconds, since each knew of too few others. Pattern: all
-// processes of a large fleet begin at the same moment.
+// TestStoreWatchesAtFleetStart guards against a load peak on the store when all gateways of a
+// large fleet start together. Since each knew too few others, 385 gateways made 1,600 watches of
+// the store in their first five seconds.
 func TestStoreWatchesAtFleetStart(t *testing.T) {
 	cases := map[string]struct {
 		count          int
@@ -99,27 +99,27 @@
 			is := is.New(t)
 			const readers = 40
 			f := newStartingFleet(tc.count, readers)
-			// As a watch lasts a second, so many of them are made at most: one of each that has
-			// read the store, and a few times those of the two that are to go on with it.
+			// A watch lasts a second. The limit is one watch for each gateway that has read the
+			// store, and a few times those of the two permanent watchers.
 			asked := 0
 			last := 0
 			for range tc.duration / tc.step {
 				last = f.step(tc.step)
 				asked += last
-				is.True(last >= 1) // somebody always asks
+				is.True(last >= 1) // there is always one that asks
 			}
 			watches := float64(asked) * tc.step.Seconds()
 			if limit := 4*watchers*tc.duration.Seconds() + readers; watches > limit {
-				t.Errorf("%v watches, at most %v", watches, limit)
+				t.Errorf("%v watches, want at most %v", watches, limit)
 			}
 			is.Equal(last, watchers)
 		})
 	}
 }
 
-// TestParentsAreAcyclicAtStart: whom the gateways ask for proofs leads to one that asks the
-// store, at each moment of a start but for the one between the first gateway that goes by the
-// order of all and the last: a proof is good for longer.
+// TestParentsAreAcyclicAtStart checks that the chain of parents ends at a gateway that asks the
+// store at each moment of a start. The exception is the time between the first and the last
+// gateway that switches to the shared order, which is shorter than a proof is valid.
 func TestParentsAreAcyclicAtStart(t *testing.T) {
 	f := newStartingFleet(200, 20)
 	circles := 0
@@ -140,32 +140,32 @@
 			}
 		}
 		if since := f.now.Sub(start); circles > 0 && (since < minSettleTime || since > minSettleTime+step) {
-			t.Fatalf("%d ask in a circle at %v", circles, since)
+			t.Fatalf("%d gateways in a cycle of parents at %v", circles, since)
 		}
 		circles = 0
 	}
 }
 
-// TestFollowingEnds: one whose source leaves, ends, begins anew or no longer answers goes by
-// what it knows of the others.
+// TestFollowingEnds checks that a gateway whose source leaves, stops, restarts or no longer
+// answers relies on its own view of the fleet.
 func TestFollowingEnds(t *testing.T) {
 	cases := map[string]struct {
 		event   func(known *table)
 		follows bool
 	}{
-		"nothing": {func(*table) {}, true},
-		"it leaves": {func(known *table) {
+		"no event": {func(*table) {}, true},
+		"source leaves": {func(known *table) {
 			heartbeat := heartbeatFrom("1", 9)
 			heartbeat.Life, heartbeat.Leaving = 3, true
 			known.record(heartbeat, start)
 		}, false},
-		"another life": {func(known *table) {
+		"source restarts": {func(known *table) {
 			heartbeat := heartbeatFrom("1", 1)
 			heartbeat.Life = 99
 			known.record(heartbeat, start)
 		}, false},
-		"no answers": {func(known *table) { known.peers["1"].unanswered = maxUnanswered }, false},
-		"settled":    {func(known *table) { known.startedAt = start.Add(-time.Minute) }, false},
+		"source doesn't answer": {func(known *table) { known.peers["1"].unanswered = maxUnanswered }, false},
+		"settled":               {func(known *table) { known.startedAt = start.Add(-time.Minute) }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -185,7 +185,8 @@
 	}
 }
 
-// TestFollowersAreNotCandidates: who has just begun is not taken for one that asks the store.
+// TestFollowersAreNotCandidates checks that a gateway that follows another one is not counted
+// among those that ask the store.
 func TestFollowersAreNotCandidates(t *testing.T) {
 	is := is.New(t)
 	known := tables(20)["0"]
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -14,7 +14,7 @@
 	// large that heartbeats are rarer: maxMissedHeartbeats heartbeats.
 	minLostAfter        = 2 * time.Second
 	maxMissedHeartbeats = 3
-	// typicalHeartbeatSize is in bytes.
+	// typicalHeartbeatSize is the typical size of a heartbeat, in bytes.
 	typicalHeartbeatSize = 110
 	// forgetAfter is the silence after which a peer's address is forgotten, unless it is a seed.
 	forgetAfter = 5 * time.Minute
--- a/internal/peer/table_test.go
+++ b/internal/peer/table_test.go
@@ -25,14 +25,14 @@
 	is.Equal(change, found)
 	_, change = known.record(heartbeatFrom("1", 6), start)
 	is.Equal(change, unchanged)
-	_, change = known.record(heartbeatFrom("1", 6), start) // twice
+	_, change = known.record(heartbeatFrom("1", 6), start) // duplicate
 	is.Equal(change, outdated)
-	_, change = known.record(heartbeatFrom("1", 2), start) // overtaken on the way
+	_, change = known.record(heartbeatFrom("1", 2), start) // reordered in transit
 	is.Equal(change, outdated)
 	restarted := heartbeatFrom("1", 1)
 	restarted.Life = 2
 	_, change = known.record(restarted, start)
-	is.Equal(change, found) // another life begins to count anew
+	is.Equal(change, found) // a new incarnation starts its own sequence
 }
 
 func TestLossAndReturn(t *testing.T) {
@@ -42,9 +42,9 @@
 	is.Equal(len(known.expire(start.Add(minLostAfter))), 0)
 	later := start.Add(minLostAfter + time.Millisecond)
 	is.Equal(len(known.expire(later)), 1)
-	is.Equal(len(known.expire(later)), 0) // told once
+	is.Equal(len(known.expire(later)), 0) // reported once
 	is.Equal(len(known.live(later)), 0)
-	is.Equal(known.dueAddresses(later), []string{"10.0.0.1:1"}) // it is still tried
+	is.Equal(known.dueAddresses(later), []string{"10.0.0.1:1"}) // it is still contacted
 	_, change := known.record(heartbeatFrom("1", 2), later)
 	is.Equal(change, found)
 	is.Equal(len(known.live(later)), 1)
@@ -53,15 +53,15 @@
 func TestSeedsAreRetriedForever(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", []string{"10.0.0.1:1", "10.0.0.9:9"}, "10.0.0.9:9", 7000)
-	is.Equal(known.dueAddresses(start), []string{"10.0.0.1:1"}) // not itself
+	is.Equal(known.dueAddresses(start), []string{"10.0.0.1:1"}) // not its own address
 	is.Equal(len(known.dueAddresses(start)), 0)
 	known.record(heartbeatFrom("1", 1), start)
 	known.expire(start.Add(forgetAfter + time.Second))
 	is.Equal(known.dueAddresses(start.Add(forgetAfter+2*time.Second)), []string{"10.0.0.1:1"})
 }
 
-// TestStoreWatchers: among gateways that see each other just so many ask the store,
-// whoever reaches it; and one of them is the first.
+// TestStoreWatchers checks that among gateways that see each other exactly the required number ask
+// the store, of those that reach it, and that one of them is the first.
 func TestStoreWatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "gateways")
@@ -93,25 +93,24 @@
 	})
 }
 
-// TestPeerWithFailedPullComesLast: found as DRAIN on fresh-4d7b of
-// vmt-grid-grown and seen again on hunt-f5dd-7: a peer that is cut off in one
-// way was asked again and again while others held the same.
+// TestPeerWithFailedPullComesLast guards against repeated pulls from a peer that is cut off in one
+// direction while others hold the same revision. It was found in drain tests.
 func TestPeerWithFailedPullComesLast(t *testing.T) {
 	cases := map[string]struct {
 		revisions [2]int64
 		failed    [2]bool
 		want      string
 	}{
-		"the newest":                       {[2]int64{8, 9}, [2]bool{false, false}, "1"},
-		"the newest has failed":            {[2]int64{8, 9}, [2]bool{false, true}, "0"},
-		"both have failed":                 {[2]int64{9, 8}, [2]bool{true, true}, "0"},
-		"the only one that is ahead":       {[2]int64{7, 9}, [2]bool{false, true}, "1"},
-		"one that has not failed for long": {[2]int64{8, 9}, [2]bool{true, false}, "1"},
+		"highest revision":             {[2]int64{8, 9}, [2]bool{false, false}, "1"},
+		"highest revision has failed":  {[2]int64{8, 9}, [2]bool{false, true}, "0"},
+		"both have failed":             {[2]int64{9, 8}, [2]bool{true, true}, "0"},
+		"only one is ahead":            {[2]int64{7, 9}, [2]bool{false, true}, "1"},
+		"one without a recent failure": {[2]int64{8, 9}, [2]bool{true, false}, "1"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := newTestService() // at revision 7
+			service := newTestService() // its replica is at revision 7
 			for number, revision := range tc.revisions {
 				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
 				heartbeat.Life, heartbeat.Revision = uint64(number+2), revision
@@ -125,18 +124,18 @@
 	}
 }
 
-// TestSilentWatcherIsReplaced: whoever is next asks the store in the place of
-// one that has said nothing for a while, before it counts as lost.
+// TestSilentWatcherIsReplaced checks that the next gateway asks the store in place of a silent one
+// before that counts as lost.
 func TestSilentWatcherIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		others int
 		silent time.Duration
 		asks   bool
 	}{
-		"few, heard":   {watchers, 500 * time.Millisecond, false},
-		"few, silent":  {watchers, watcherTimeout + time.Millisecond, true},
-		"many, heard":  {fullMeshLimit + watchers, watcherTimeout + time.Millisecond, false},
-		"many, silent": {fullMeshLimit + watchers, watcherTimeoutLarge + time.Millisecond, true},
+		"small fleet, heard":  {watchers, 500 * time.Millisecond, false},
+		"small fleet, silent": {watchers, watcherTimeout + time.Millisecond, true},
+		"large fleet, heard":  {fullMeshLimit + watchers, watcherTimeout + time.Millisecond, false},
+		"large fleet, silent": {fullMeshLimit + watchers, watcherTimeoutLarge + time.Millisecond, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -146,7 +145,7 @@
 			for number := 0; added < tc.others; number++ {
 				id := fmt.Sprint(number)
 				if askScore(id) <= askScore("self") {
-					continue // it would not ask before this one
+					continue // it comes after this gateway
 				}
 				heartbeat := heartbeatFrom(id, 1)
 				heartbeat.Life = uint64(number + 2)
@@ -158,9 +157,9 @@
 	}
 }
 
-// TestRetryBackoffToSilentAddress: gateways that begin together
-// miss each other's first beats; with one a second they found each other 0.7 to
-// 1.1 s after their start (vasconcelos-gorjeta-grown trouble-1).
+// TestRetryBackoffToSilentAddress checks the delays between heartbeats to a silent address.
+// Gateways that start together miss each other's first heartbeats; with one a second they found
+// each other only 0.7 to 1.1 s after their start.
 func TestRetryBackoffToSilentAddress(t *testing.T) {
 	is := is.New(t)
 	known := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
@@ -171,7 +170,7 @@
 	is.True(sent[0] >= 4)
 	is.Equal(sent[5*time.Second], 1)
 	is.Equal(sent[9*time.Second], 1)
-	// One that is heard and lost again is called soon, too, and not for ever.
+	// A peer that was heard and lost again is contacted soon, too, but not forever.
 	known.record(heartbeatFrom("2", 1), start)
 	is.Equal(len(known.addresses), 1)
 	later := start.Add(minLostAfter + time.Millisecond)
--- a/internal/peer/tree_test.go
+++ b/internal/peer/tree_test.go
@@ -17,7 +17,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// tables are what each of so many gateways knows, if each has heard all.
+// tables returns the table of each of count gateways that have heard all the others.
 func tables(count int) map[string]*table {
 	all := make(map[string]*table, count)
 	for self := range count {
@@ -34,8 +34,9 @@
 	return all
 }
 
-// TestTreeReachesAllGateways: among gateways that see each other, all hear from
-// those who ask the store, over few steps, and nobody tells more than fanOut.
+// TestTreeReachesAllGateways checks that among gateways that see each other the tree connects all
+// of them to those that ask the store, within a few steps, and that no gateway has more than
+// fanOut children.
 func TestTreeReachesAllGateways(t *testing.T) {
 	for _, count := range []int{fullMeshLimit + 2, 30, 100, 370} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -59,7 +60,7 @@
 				for ancestor := id; ancestor != ""; ancestor = parents[ancestor] {
 					steps++
 				}
-				is.True(steps <= 3) // itself, one that passes on, one that asks
+				is.True(steps <= 3) // itself, one that forwards, one that asks the store
 			}
 			for id, known := range all {
 				is.True(children[id] <= fanOut)
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestParentPrecedesChild: whatever a gateway believes of the others, its
-// parent stands before it in the order that all share.
+// TestParentPrecedesChild checks that the parent of a gateway precedes it in the shared order,
+// whatever the gateway knows of the others.
 func TestParentPrecedesChild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		known := newTable("self", nil, "", 7000)
@@ -98,7 +99,7 @@
 	})
 }
 
-// TestUnresponsiveParentIsReplaced: a parent that leaves questions unanswered is
+// TestUnresponsiveParentIsReplaced checks that a parent that leaves questions unanswered is
 // replaced long before it counts as lost.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	is := is.New(t)
@@ -113,19 +114,19 @@
 	is.Equal(known.newView(start).parent(), first) // heard again
 }
 
-// TestLossTimeoutGrowsWithPeers: with 300 peers each is told every few seconds only;
-// after 2 s of silence most of them counted as lost, and each gateway asked
-// the store itself (sweep of vmt-grid-grown at 300 machines).
+// TestLossTimeoutGrowsWithPeers guards against a fixed timeout for lost peers. With 300 peers each
+// gets a heartbeat only every few seconds; after 2 s of silence most of them counted as lost, and
+// each gateway asked the store itself.
 func TestLossTimeoutGrowsWithPeers(t *testing.T) {
 	cases := map[string]struct {
 		peers  int
 		silent time.Duration
 		live   bool
 	}{
-		"few":                    {3, minLostAfter, true},
-		"few, silent":            {3, minLostAfter + time.Millisecond, false},
-		"many, between two":      {300, 5 * time.Second, true},
-		"many, silent for three": {300, 20 * time.Second, false},
+		"few peers":                               {3, minLostAfter, true},
+		"few peers, silent":                       {3, minLostAfter + time.Millisecond, false},
+		"many peers, between two heartbeats":      {300, 5 * time.Second, true},
+		"many peers, silent for three heartbeats": {300, 20 * time.Second, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -135,8 +136,8 @@
 	}
 }
 
-// newUnstartedService is a service on a socket of its own that others' beats are handed
-// to by hand.
+// newUnstartedService returns a service with a socket of its own that is not started; tests pass
+// heartbeats to it directly.
 func newUnstartedService(t *testing.T, id string, revision int64) *Service {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.ParseIP(testLoopback)})
@@ -148,11 +149,11 @@
 		ID: id, Address: conn.LocalAddr().String(), Budget: 7000, Replica: &fakeReplica{revision: revision, reachable: true},
 		Proof: new(freshness.Proof), Balancer: balance.New(balance.DefaultOptions()), Watcher: noopWatcher{}, OnCensus: func(Census) {},
 	}, conn, nil)
-	s.pulling = true // no links here
+	s.pulling = true // there are no links in this test
 	return s
 }
 
-// received reads one beat from a service's socket.
+// readHeartbeat reads one heartbeat from a service's socket.
 func readHeartbeat(t *testing.T, s *Service) *wire.GatewayBeat {
 	t.Helper()
 	buffer := make([]byte, receiveBuffer)
@@ -168,8 +169,8 @@
 	return heartbeat
 }
 
-// TestProofQuestionIsAnsweredAtOnce: the answer brings a proof and the revision,
-// and leaves what was told of loads as it was, also when the budget is spent.
+// TestProofQuestionIsAnsweredAtOnce checks that the answer brings a proof and the revision also if
+// the budget is spent, and that it leaves the reported loads unchanged.
 func TestProofQuestionIsAnsweredAtOnce(t *testing.T) {
 	is := is.New(t)
 	parent, child := newUnstartedService(t, "parent", 9), newUnstartedService(t, "child", 9)
@@ -194,7 +195,8 @@
 	is.Equal(pick.Load, 3)
 }
 
-// TestUrgentChangeReachesEachChildOnce: among many, each is told once, by its parent.
+// TestUrgentChangeReachesEachChildOnce checks that in a large fleet each gateway is notified once,
+// by its parent.
 func TestUrgentChangeReachesEachChildOnce(t *testing.T) {
 	is := is.New(t)
 	for _, count := range []int{30, 100} {
@@ -206,19 +208,20 @@
 	}
 }
 
-// TestEmptyReplicaPullsAtOnce: after a loss of power of all 24 gateways of
-// vasconcelos-gorjeta-grown most had the store's content, 450 KB, 0.4 s after
-// their start and refused 255 requests meanwhile; the first had it after 0.06 s.
+// TestEmptyReplicaPullsAtOnce guards against a starting gateway that waits for the store's answer.
+// After a loss of power of all 24 gateways of a deployment, most had the store's content, 450 KB,
+// only 0.4 s after their start and refused 255 requests until then; the first one had it after
+// 0.06 s.
 func TestEmptyReplicaPullsAtOnce(t *testing.T) {
 	cases := map[string]struct {
 		revision  int64
 		reachable bool
 		waits     bool
 	}{
-		"begins":             {0, true, false},
-		"asks the store":     {7, true, true},
-		"can't ask it":       {7, false, false},
-		"begins without one": {0, false, false},
+		"empty replica":                        {0, true, false},
+		"reaches the store":                    {7, true, true},
+		"can't reach the store":                {7, false, false},
+		"empty replica, can't reach the store": {0, false, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -231,9 +234,9 @@
 	}
 }
 
-// TestCountsThatFit: found as LIMIT after surges on a deployment of 26 gateways: a
-// beat had four of some forty counts, so targets that got one or two requests of each
-// gateway looked half as full as they were.
+// TestCountsThatFit guards against heartbeats with too few counts. In a deployment of 26 gateways,
+// after surges, a heartbeat had 4 of some 40 counts, so that targets that got one or two requests
+// from each gateway looked half as full as they were.
 func TestCountsThatFit(t *testing.T) {
 	cases := map[string]struct {
 		peers, minCounts, maxCounts int
