--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -27,11 +27,11 @@
 
 // Take is told of each change that is newer than what was known of its key. It
 // returns false for a value that can't be read although it matters.
-type Take func(change Item) (readable bool)
+type ChangeFunc func(change Item) (readable bool)
 
 // Copy is safe for concurrent use. Take is called while it is held.
 type Copy struct {
-	tell Take
+	tell ChangeFunc
 	// advice are the keys that only a process which begins needs. Their changes
 	// are not passed on to copies that hold the rest, and no patches of them are
 	// kept.
@@ -73,7 +73,7 @@
 
 // New returns an empty copy that tells take what is new. The keys of advice are
 // passed on only to copies that lack everything else too.
-func New(take Take, advice ...string) *Copy {
+func New(take ChangeFunc, advice ...string) *Copy {
 	c := &Copy{tell: take, records: make(map[string]*record), advice: make(map[string]bool), readable: true}
 	for _, key := range advice {
 		c.advice[key] = true
