--- a/internal/replica/pack.go
+++ b/internal/replica/pack.go
@@ -5,33 +5,32 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// patch makes the value of one revision of a key out of that of another: the
-// compressed new value, with the old one as its dictionary.
+// patch turns the value of one revision of a key into the value of another: it holds the
+// compressed new value, with the old one as the dictionary.
 type patch struct {
 	from, to int64
 	data     []byte
 }
 
 const (
-	// dictionary names the old value in a patch.
-	dictionary = 1
-	// leastWindow is how far back the compression looks at the least, in bytes;
-	// a power of two.
-	leastWindow = 64 << 10
-	// mostValue bounds a value, in bytes.
-	mostValue = 16 << 20
+	// dictionaryID identifies the old value in a patch.
+	dictionaryID = 1
+	// minWindow is the minimum window size of the compression, in bytes; a power of two.
+	minWindow = 64 << 10
+	// maxValue limits the size of a value, in bytes.
+	maxValue = 16 << 20
 )
 
-// windowFor is the smallest window over so many bytes.
+// windowFor returns the smallest window for size bytes.
 func windowFor(size int) int {
-	window := leastWindow
-	for window < size && window < mostValue {
+	window := minWindow
+	for window < size && window < maxValue {
 		window <<= 1
 	}
 	return window
 }
 
-// compress packs a value; old may be its dictionary.
+// compress compresses a value; old may be nil or a value to use as its dictionary.
 func compress(value, old []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -40,35 +39,35 @@
 		zstd.WithWindowSize(windowFor(len(value) + len(old))),
 	}
 	if old != nil {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, old))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, old))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		return nil, errors.Wrap(err, "compress a value")
+		return nil, errors.Wrap(err, "compress value")
 	}
 	return encoder.EncodeAll(value, nil), nil
 }
 
-// expand unpacks what compress has made; its checksum is checked.
-func expand(packed, old []byte) ([]byte, error) {
+// decompress reverses compress and verifies the checksum.
+func decompress(packed, old []byte) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1),
 		zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(mostValue),
+		zstd.WithDecoderMaxMemory(maxValue),
 	}
 	if old != nil {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, old))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, old))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
-		return nil, errors.Wrap(err, "expand a value")
+		return nil, errors.Wrap(err, "decompress value")
 	}
 	defer decoder.Close()
 	value, err := decoder.DecodeAll(packed, nil)
-	return value, errors.Wrap(err, "expand a value")
+	return value, errors.Wrap(err, "decompress value")
 }
 
-// makePatch leads from one version of a key to another.
+// makePatch returns the patch from one version of a key to another.
 func makePatch(from, to Item) (patch, error) {
 	data, err := compress(to.Value, from.Value)
 	if err != nil {
--- a/internal/replica/page.go
+++ b/internal/replica/page.go
@@ -10,11 +10,11 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Pull is a question for what this copy lacks.
+// Pull returns a request for what this copy lacks.
 func (c *Copy) Pull() *wire.ReplicaPull {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.doubtful {
+	if c.needsWhole {
 		return &wire.ReplicaPull{Packs: true, PacksPages: true}
 	}
 	pull := &wire.ReplicaPull{Since: c.revision, Packs: true, PacksPages: true}
@@ -27,9 +27,9 @@
 	return pull
 }
 
-// Page answers a pull: what has changed since its revision, and all there is
-// where removals since then may be unknown here, without the values that the
-// asking copy holds. A large page is packed.
+// Page answers a pull. The page contains the changes since the pull's revision, or the whole
+// content if removals since then may be unknown here; it omits the values that the asking copy
+// holds. A large page is packed.
 func (c *Copy) Page(pull *wire.ReplicaPull) *wire.ReplicaPage {
 	page := c.page(pull)
 	if pull.GetPacksPages() && proto.Size(page) >= largePage {
@@ -38,17 +38,17 @@
 	return page
 }
 
-// largePage is the size from which a page is packed, in bytes: a smaller one goes in
-// two packets or fewer anyway.
+// largePage is the size from which a page is packed, in bytes: a smaller one fits into two packets
+// anyway.
 const largePage = 2048
 
-// packItems compresses the items of a page. Entries of targets are alike but for a few
-// figures: 3,000 of them take a tenth of the bytes, so that a gateway on a link of 10
-// Mbit/s can pass a whole copy on in 0.1 s, not 0.6 s.
+// packItems compresses the items of a page. Entries of targets differ only in a few numbers: 3,000
+// of them take a tenth of the bytes, so that a gateway on a link of 10 Mbit/s can pass on a whole
+// copy in 0.1 s instead of 0.6 s.
 func packItems(page *wire.ReplicaPage) {
 	data, err := proto.Marshal(&wire.ReplicaPage{Items: page.GetItems()})
 	if err != nil {
-		return // it is sent as it is
+		return // the page is sent without packing
 	}
 	packed, err := compress(data, nil)
 	if err != nil {
@@ -57,23 +57,23 @@
 	page.Items, page.PackedItems = nil, packed
 }
 
-// itemsOf are the items of a page, packed or not.
+// itemsOf returns the items of a page, packed or not.
 func itemsOf(page *wire.ReplicaPage) ([]*wire.ReplicaItem, error) {
 	if len(page.GetPackedItems()) == 0 {
 		return page.GetItems(), nil
 	}
-	data, err := expand(page.GetPackedItems(), nil)
+	data, err := decompress(page.GetPackedItems(), nil)
 	if err != nil {
 		return nil, err
 	}
 	inner := new(wire.ReplicaPage)
 	if err := proto.Unmarshal(data, inner); err != nil {
-		return nil, errors.Wrap(err, "decode the items of a page")
+		return nil, errors.Wrap(err, "decode page items")
 	}
 	return inner.GetItems(), nil
 }
 
-// page is a page that is not packed.
+// page returns the page without packing.
 func (c *Copy) page(pull *wire.ReplicaPull) *wire.ReplicaPage {
 	held := make(map[string]int64, len(pull.GetHeld()))
 	for _, value := range pull.GetHeld() {
@@ -88,14 +88,14 @@
 		if known.Revision <= since && !page.Whole || known.Gone && page.Whole {
 			continue
 		}
-		if c.advice[key] && !page.Whole {
+		if c.startupOnly[key] && !page.Whole {
 			continue
 		}
 		item := &wire.ReplicaItem{Key: key, Revision: known.Revision, Gone: known.Gone}
 		switch {
 		case !pull.GetPacks():
 			item.Value = known.Value
-		case known.Revision <= since && !c.advice[key]:
+		case known.Revision <= since && !c.startupOnly[key]:
 			item.Kept = true
 		default:
 			known.pack(item, held[key])
@@ -105,8 +105,8 @@
 	return page
 }
 
-// pack puts the value into an item in the shortest way for who holds the value
-// of a revision; zero for none.
+// pack puts the value into an item in the shortest form for a receiver that holds the value of the
+// given revision; zero for none.
 func (r *record) pack(item *wire.ReplicaItem, held int64) {
 	if len(r.Value) < largeValue {
 		item.Value = r.Value
@@ -117,9 +117,9 @@
 		return
 	}
 	if held > 0 {
-		at := slices.IndexFunc(r.patches, func(p patch) bool { return p.from == held })
-		if at >= 0 {
-			for _, p := range r.patches[at:] {
+		index := slices.IndexFunc(r.patches, func(p patch) bool { return p.from == held })
+		if index >= 0 {
+			for _, p := range r.patches[index:] {
 				item.Patches = append(item.Patches, &wire.ReplicaPatch{From: p.from, To: p.to, Data: p.data})
 			}
 			return
@@ -136,26 +136,25 @@
 	item.Packed = r.packed
 }
 
-// arrived is one item of a page, unpacked.
-type arrived struct {
+// receivedItem is an unpacked item of a page.
+type receivedItem struct {
 	Item
-	by []patch
+	patches []patch
 }
 
-// Absorb takes another process's page. One that can't be unpacked changes
-// nothing.
+// Absorb applies another process's page. A page that can't be unpacked changes nothing.
 func (c *Copy) Absorb(page *wire.ReplicaPage) error {
 	sent, err := itemsOf(page)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.doubtful = true
+		c.needsWhole = true
 		return err
 	}
-	items := make([]arrived, 0, len(sent))
+	items := make([]receivedItem, 0, len(sent))
 	for _, packed := range sent {
 		item, err := c.unpack(packed)
-		c.doubtful = err != nil
+		c.needsWhole = err != nil
 		if err != nil {
 			return errors.Wrapf(err, "key %q at revision %d", packed.GetKey(), packed.GetRevision())
 		}
@@ -167,62 +166,62 @@
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
 		present[item.Key] = true
-		c.take(item.Item, item.by)
+		c.applyChange(item.Item, item.patches)
 	}
 	if page.GetWhole() {
 		c.dropMissing(present, page.GetRevision())
 	}
-	c.reach(page.GetRevision())
+	c.advanceTo(page.GetRevision())
 	return nil
 }
 
-// unpack reads one item of a page; c.mu is held.
-func (c *Copy) unpack(packed *wire.ReplicaItem) (arrived, error) {
-	item := arrived{Item: Item{Key: packed.GetKey(), Value: packed.GetValue(), Revision: packed.GetRevision(), Gone: packed.GetGone()}}
+// unpack reads one item of a page. The caller holds c.mu.
+func (c *Copy) unpack(packed *wire.ReplicaItem) (receivedItem, error) {
+	item := receivedItem{Item: Item{Key: packed.GetKey(), Value: packed.GetValue(), Revision: packed.GetRevision(), Gone: packed.GetGone()}}
 	known := c.records[item.Key]
 	if known != nil && known.Revision >= item.Revision {
-		return item, nil // it will be passed over
+		return item, nil // applyChange will ignore it
 	}
 	var err error
 	switch {
 	case packed.GetKept():
 		err = errNotHeld
 	case len(packed.GetPatches()) > 0:
-		item.Value, item.by, err = known.apply(packed.GetPatches(), item.Revision)
+		item.Value, item.patches, err = known.applyPatches(packed.GetPatches(), item.Revision)
 	case len(packed.GetPacked()) > 0:
-		item.Value, err = expand(packed.GetPacked(), nil)
+		item.Value, err = decompress(packed.GetPacked(), nil)
 	}
 	return item, err
 }
 
-var errNotHeld = errors.New("the page leaves out a value that is not held here")
+var errNotHeld = errors.New("page omits a value that this copy does not hold")
 
-var errOtherBase = errors.New("the change is of another value than the one held")
+var errBaseMismatch = errors.New("patch does not apply to the held value")
 
-// apply makes the value of a revision out of the record's own, which may be
-// newer than the one that the patches begin with.
-func (r *record) apply(patches []*wire.ReplicaPatch, revision int64) ([]byte, []patch, error) {
+// applyPatches computes the value of a revision from the record's own value, which may be newer
+// than the one that the patches start from.
+func (r *record) applyPatches(patches []*wire.ReplicaPatch, revision int64) ([]byte, []patch, error) {
 	if r == nil {
-		return nil, nil, errOtherBase
+		return nil, nil, errBaseMismatch
 	}
-	value, at := r.Value, r.Revision
-	var by []patch
+	value, current := r.Value, r.Revision
+	var applied []patch
 	for _, next := range patches {
-		if next.GetTo() <= at {
+		if next.GetTo() <= current {
 			continue
 		}
-		if next.GetFrom() != at {
-			return nil, nil, errOtherBase
+		if next.GetFrom() != current {
+			return nil, nil, errBaseMismatch
 		}
-		changed, err := expand(next.GetData(), value)
+		changed, err := decompress(next.GetData(), value)
 		if err != nil {
 			return nil, nil, err
 		}
-		value, at = changed, next.GetTo()
-		by = append(by, patch{from: next.GetFrom(), to: at, data: next.GetData()})
+		value, current = changed, next.GetTo()
+		applied = append(applied, patch{from: next.GetFrom(), to: current, data: next.GetData()})
 	}
-	if at != revision {
-		return nil, nil, errOtherBase
+	if current != revision {
+		return nil, nil, errBaseMismatch
 	}
-	return value, by, nil
+	return value, applied, nil
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,12 +1,10 @@
-// Package replica keeps a process's copy of what the platform's store holds,
-// by the revision of each key, and passes it on to other processes. Whatever
-// way a change comes by, from the store or from another process, the newest
-// revision of a key stays.
+// Package replica keeps a process's copy of the store's content, by the revision of each key, and
+// passes it on to other processes. Whether a change comes from the store or from another process,
+// the newest revision of a key wins.
 //
-// Large values are passed on as what has changed of them: a configuration of
-// a thousand routes would fill a small host's link when it is sent to each of
-// thirty gateways. Source: docs/design/platform.md, "Configuration and
-// servers".
+// Large values are passed on as patches: a configuration of a thousand routes would saturate a
+// small host's link if it were sent to each of thirty gateways. Source: docs/design/platform.md,
+// "Configuration and servers".
 package replica
 
 import (
@@ -18,77 +16,75 @@
 // Item is one key of the store, or a change of it.
 type Item struct {
 	Key string
-	// Value is not changed by anybody who holds the item.
+	// Value must not be modified by holders of the item.
 	Value    []byte
 	Revision int64
-	// Gone says that the key was removed; Value is nil then.
+	// Gone reports that the key was removed; Value is nil then.
 	Gone bool
 }
 
-// Take is told of each change that is newer than what was known of its key. It
-// returns false for a value that can't be read although it matters.
+// ChangeFunc is called with each change that is newer than the known revision of its key. It
+// returns false for a value that matters and can't be read.
 type ChangeFunc func(change Item) (readable bool)
 
-// Copy is safe for concurrent use. Take is called while it is held.
+// Copy is a copy of the store's content. It is safe for concurrent use. Its ChangeFunc is called
+// while its lock is held.
 type Copy struct {
-	tell ChangeFunc
-	// advice are the keys that only a process which begins needs. Their changes
-	// are not passed on to copies that hold the rest, and no patches of them are
-	// kept.
-	advice map[string]bool
+	onChange ChangeFunc
+	// startupOnly are the keys that only a starting process needs. Their changes are not passed on
+	// to copies that hold the rest, and no patches of them are kept.
+	startupOnly map[string]bool
 
 	mu sync.Mutex
-	// records holds removed keys too, so that an older word can't bring them
-	// back.
+	// records includes removed keys, so that an older change can't restore them.
 	records  map[string]*record
 	revision int64
 	// floor is the revision up to which removals may be unknown here.
 	floor int64
-	// readable is false once a value could not be read, until a whole reading.
+	// readable is false from the time that a value could not be read until the next whole reading.
 	readable bool
-	// doubtful says that a page could not be unpacked: the next pull asks for
-	// everything, whole.
-	doubtful bool
+	// needsWhole reports that a page could not be unpacked: the next pull asks for the whole
+	// content.
+	needsWhole bool
 }
 
-// record is what is known of one key.
+// record holds the state of one key.
 type record struct {
 	Item
-	// patches lead from older values to this one: each begins where the one
-	// before ends, and the last one ends at the item's revision.
+	// patches lead from older values to this one: each starts at the revision where the one before
+	// ends, and the last one ends at the item's revision.
 	patches []patch
-	// packed is the compressed value; nil until it was needed.
+	// packed is the compressed value; nil until it is first needed.
 	packed []byte
 }
 
 const (
-	// mostRemoved bounds how many removed keys are remembered.
-	mostRemoved = 4096
-	// mostPatches bounds how many changes of one key are kept.
-	mostPatches = 24
-	// largeValue is the size from which a value is passed on as its change, in
-	// bytes.
+	// maxRemoved limits the removed keys that are remembered.
+	maxRemoved = 4096
+	// maxPatches limits the patches that are kept of one key.
+	maxPatches = 24
+	// largeValue is the size from which a value is passed on as a patch, in bytes.
 	largeValue = 2048
 )
 
-// New returns an empty copy that tells take what is new. The keys of advice are
+// New returns an empty copy that calls onChange with each new change. The keys of startupOnly are
 // passed on only to copies that lack everything else too.
-func New(take ChangeFunc, advice ...string) *Copy {
-	c := &Copy{tell: take, records: make(map[string]*record), advice: make(map[string]bool), readable: true}
-	for _, key := range advice {
-		c.advice[key] = true
+func New(onChange ChangeFunc, startupOnly ...string) *Copy {
+	c := &Copy{onChange: onChange, records: make(map[string]*record), startupOnly: make(map[string]bool), readable: true}
+	for _, key := range startupOnly {
+		c.startupOnly[key] = true
 	}
 	return c
 }
 
-// Revision is the store's revision that the copy has reached.
+// Revision returns the store revision that the copy has reached.
 func (c *Copy) Revision() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision
 }
 
-// Value is what a key holds; nil if it is absent.
+// Value returns the value of a key; nil if it is absent.
 func (c *Copy) Value(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,99 +94,98 @@
 	return nil
 }
 
-// Change takes single changes up to a revision; it returns whether all values
-// could be read since the last whole reading.
-func (c *Copy) Change(changes []Item, at int64) bool {
+// Change applies single changes up to a revision. It reports whether all values could be read
+// since the last whole reading.
+func (c *Copy) Change(changes []Item, revision int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, change := range changes {
-		c.take(change, nil)
+		c.applyChange(change, nil)
 	}
-	return c.reach(at)
+	return c.advanceTo(revision)
 }
 
-// Replace takes a whole reading made at a revision: what it lacks is gone.
-func (c *Copy) Replace(items []Item, at int64) bool {
+// Replace applies a whole reading made at a revision: keys that it lacks are removed.
+func (c *Copy) Replace(items []Item, revision int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	present := make(map[string]bool, len(items))
 	c.readable = true
-	for _, found := range items {
-		present[found.Key] = true
-		c.take(found, nil)
+	for _, item := range items {
+		present[item.Key] = true
+		c.applyChange(item, nil)
 	}
-	c.dropMissing(present, at)
-	return c.reach(at)
+	c.dropMissing(present, revision)
+	return c.advanceTo(revision)
 }
 
-// dropMissing removes the keys that a whole reading made at a revision lacks.
-// What was added and removed again before it was never known here. c.mu is
-// held.
-func (c *Copy) dropMissing(present map[string]bool, at int64) {
-	c.floor = max(c.floor, at)
+// dropMissing removes the keys that a whole reading made at a revision lacks. Keys that were added
+// and removed again before it were never known here. The caller holds c.mu.
+func (c *Copy) dropMissing(present map[string]bool, revision int64) {
+	c.floor = max(c.floor, revision)
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
 		known := c.records[key]
-		if !known.Gone && !present[key] && known.Revision <= at {
-			c.take(Item{Key: key, Revision: at, Gone: true}, nil)
+		if !known.Gone && !present[key] && known.Revision <= revision {
+			c.applyChange(Item{Key: key, Revision: revision, Gone: true}, nil)
 		}
 	}
 }
 
-// reach notes that all changes up to a revision are known; c.mu is held.
-func (c *Copy) reach(at int64) bool {
-	c.revision = max(c.revision, at)
-	c.trim()
+// advanceTo records that all changes up to a revision are known. The caller holds c.mu.
+func (c *Copy) advanceTo(revision int64) bool {
+	c.revision = max(c.revision, revision)
+	c.trimRemoved()
 	return c.readable
 }
 
-// take hands one change on, unless a newer one of its key is known. The
-// patches that it came by are kept; without any, one is made. c.mu is held.
-func (c *Copy) take(change Item, by []patch) {
+// applyChange applies one change, unless a newer one of its key is known. The patches that brought
+// it are kept; if there are none, one is created. The caller holds c.mu.
+func (c *Copy) applyChange(change Item, patches []patch) {
 	known, ok := c.records[change.Key]
 	if ok && change.Revision <= known.Revision {
 		return
 	}
 	if !ok && change.Gone {
-		// Others may hold a key that this copy never knew: a page that leaves it out has to
-		// be whole for them.
+		// Other copies may hold a key that this copy never knew, so pages for them have to be
+		// whole.
 		c.floor = max(c.floor, change.Revision)
 		return
 	}
-	taken := &record{Item: change}
-	c.records[change.Key] = taken
-	if !c.tell(change) {
+	updated := &record{Item: change}
+	c.records[change.Key] = updated
+	if !c.onChange(change) {
 		c.readable = false
 	}
-	if ok && !c.advice[change.Key] {
-		taken.patches = known.follow(change, by)
+	if ok && !c.startupOnly[change.Key] {
+		updated.patches = known.patchesTo(change, patches)
 	}
 }
 
-// follow are the patches that lead to a change of the known value.
-func (r *record) follow(change Item, by []patch) []patch {
+// patchesTo returns the patches that lead to a change of the known value.
+func (r *record) patchesTo(change Item, received []patch) []patch {
 	if r.Gone || change.Gone || len(r.Value) < largeValue || len(change.Value) < largeValue {
 		return nil
 	}
-	if len(by) == 0 {
-		made, err := makePatch(r.Item, change)
+	if len(received) == 0 {
+		created, err := makePatch(r.Item, change)
 		if err != nil {
 			return nil
 		}
-		by = []patch{made}
+		received = []patch{created}
 	}
-	patches := slices.Concat(r.patches, by)
-	return patches[max(0, len(patches)-mostPatches):]
+	patches := slices.Concat(r.patches, received)
+	return patches[max(0, len(patches)-maxPatches):]
 }
 
-// trim forgets removed keys when there are too many; c.mu is held.
-func (c *Copy) trim() {
+// trimRemoved drops the removed keys when there are too many. The caller holds c.mu.
+func (c *Copy) trimRemoved() {
 	removed := 0
 	for _, known := range c.records {
 		if known.Gone {
 			removed++
 		}
 	}
-	if removed <= mostRemoved {
+	if removed <= maxRemoved {
 		return
 	}
 	maps.DeleteFunc(c.records, func(_ string, known *record) bool { return known.Gone })
