--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock is the one clock for whatever others rely on: ages, leases, grants, proofs,
-// deadlines. Go's own steady clock stands still while the host is suspended, so that each
-// age would be too young by that time. This one goes on, and no step of the time of day
-// moves it.
+// Package clock is the clock for all times that other processes rely on: ages, leases, grants,
+// proofs, deadlines. Go's own monotonic clock stops while the host is suspended, which would make
+// each age too small by that time. This clock includes suspensions, and changes of the wall clock
+// don't affect it.
 package clock
 
 import (
@@ -12,81 +12,83 @@
 )
 
 const (
-	// shortest is the shortest suspension that is noticed. What is shorter moves no bound that
-	// others rely on.
-	shortest = 50 * time.Millisecond
-	// mostReadings is how often the clocks are read to find the difference between them, and
-	// sharp is the uncertainty that is good enough: a process that loses its processor between
-	// two clocks can't tell what it was away from a suspension.
-	mostReadings = 4
-	sharp        = 20 * time.Microsecond
+	// minSuspension is the shortest suspension that is detected. Shorter ones don't affect any
+	// bound that other processes rely on.
+	minSuspension = 50 * time.Millisecond
+	// maxReadings limits how often the clocks are read to determine the difference between them,
+	// and maxUncertainty is the uncertainty at which no further reading is needed. If the process
+	// loses its processor between two readings, the pause looks like a suspension.
+	maxReadings    = 4
+	maxUncertainty = 20 * time.Microsecond
 )
 
 var (
-	// suspended is how long the host was suspended since the process began, as it was read
-	// last, in nanoseconds. It never shrinks.
+	// suspended is how long the host was suspended since the process started, as of the last check,
+	// in nanoseconds. It never decreases.
 	suspended atomic.Int64
-	// simulated is added to what the host says, in nanoseconds.
+	// simulated is added to the host's clock that includes suspensions, in nanoseconds.
 	simulated atomic.Int64
-	// atBegin is by how much the clock that counts suspensions was ahead at the begin.
-	atBegin = compare(read)
+	// initialOffset is the difference between the host's two clocks when the process started.
+	initialOffset = compare(read)
 )
 
-// Now is the time by what is known of suspensions: cheap, and right as long as Check was
-// called since the last one. The times of this package and of time.Now are never mixed.
+// Now returns the time, including the suspensions that are known. It is cheap, and correct if
+// Check was called since the last suspension. Times of this package and of time.Now must not be
+// mixed.
 func Now() time.Time {
 	return time.Now().Add(time.Duration(suspended.Load()))
 }
 
-// Check looks whether the host was suspended, and gives the time. What must not happen too
-// late, as the sending of a request, goes by it. It costs three system calls, 0.64
-// microseconds together (BenchmarkCheck).
+// Check detects suspensions of the host and returns the time. Actions that must not happen too
+// late, such as the sending of a request, use it. It costs three system calls, 0.64 microseconds
+// in total (BenchmarkCheck).
 func Check() time.Time {
-	least, most := compare(read).since(atBegin)
+	lower, upper := compare(read).suspendedSince(initialOffset)
 	known := Suspended()
-	if least-known >= shortest {
-		suspended.Add(int64(most - known))
+	if lower-known >= minSuspension {
+		suspended.Add(int64(upper - known))
 	}
 	return Now()
 }
 
-// Since is the time from a moment until now.
+// Since returns the time elapsed since at.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until is the time from now until a moment.
+// Until returns the time until at.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Suspended is how long the host was suspended since the process began, as far as was
-// checked.
+// Suspended returns how long the host was suspended since the process started, as of the last
+// check.
 func Suspended() time.Duration { return time.Duration(suspended.Load()) }
 
-// Boot is the time since the host started, suspensions included.
+// Boot returns the time since the host booted, including suspensions.
 func Boot() time.Duration { return read(unix.CLOCK_BOOTTIME) }
 
-// Simulate has the clock go on as if the host had been suspended for a while, until back is
-// called. It is for tests, which hand times in that know of no suspension.
-func Simulate(away time.Duration) (back func()) {
+// Simulate advances the clock as if the host had been suspended for a duration, until undo is
+// called. It is for tests, whose own times include no suspension.
+func Simulate(duration time.Duration) (undo func()) {
 	before := suspended.Load()
-	simulated.Add(int64(away))
+	simulated.Add(int64(duration))
 	return func() {
-		simulated.Add(-int64(away))
+		simulated.Add(-int64(duration))
 		suspended.Store(before)
 	}
 }
 
-// ahead bounds by how much the clock that counts suspensions is ahead of the one that does
-// not: they are read one after the other, and time passes between them.
-type ahead struct {
-	// most is at least least.
-	least, most time.Duration
+// offsetBounds holds the bounds of the difference between the clock that includes suspensions and
+// the one that doesn't. The clocks are read one after the other, so time passes between the
+// readings.
+type offsetBounds struct {
+	// lower is at most upper.
+	lower, upper time.Duration
 }
 
-// compare reads the clocks until it knows the difference between them sharply, or has tried
-// often enough.
-func compare(read func(which int32) time.Duration) ahead {
+// compare reads the clocks until the uncertainty of their difference is small enough, at most
+// maxReadings times.
+func compare(read func(clockID int32) time.Duration) offsetBounds {
 	best := compareOnce(read)
-	for range mostReadings - 1 {
-		if best.uncertainty() <= sharp {
+	for range maxReadings - 1 {
+		if best.uncertainty() <= maxUncertainty {
 			break
 		}
 		if next := compareOnce(read); next.uncertainty() < best.uncertainty() {
@@ -96,32 +98,32 @@
 	return best
 }
 
-// compareOnce reads the steady clock before and after the other one.
-func compareOnce(read func(which int32) time.Duration) ahead {
+// compareOnce reads the monotonic clock before and after the boot clock.
+func compareOnce(read func(clockID int32) time.Duration) offsetBounds {
 	before := read(unix.CLOCK_MONOTONIC)
-	counting := read(unix.CLOCK_BOOTTIME)
+	boot := read(unix.CLOCK_BOOTTIME)
 	after := read(unix.CLOCK_MONOTONIC)
-	return ahead{least: counting - after, most: counting - before}
+	return offsetBounds{lower: boot - after, upper: boot - before}
 }
 
-func (a ahead) uncertainty() time.Duration { return a.most - a.least }
+func (a offsetBounds) uncertainty() time.Duration { return a.upper - a.lower }
 
-// since bounds how long the host was suspended between an earlier comparison and this one.
-// Who adds the most makes no age too young, and adds an uncertainty at worst.
-func (a ahead) since(earlier ahead) (least, most time.Duration) {
-	return a.least - earlier.most, a.most - earlier.least
+// suspendedSince returns bounds of how long the host was suspended between an earlier comparison
+// and this one. Using the upper bound makes no age too small, and adds at most the uncertainty.
+func (a offsetBounds) suspendedSince(earlier offsetBounds) (lower, upper time.Duration) {
+	return a.lower - earlier.upper, a.upper - earlier.lower
 }
 
-// read reads one of the host's clocks, and adds what is simulated to the one that counts
+// read reads one of the host's clocks, and adds the simulated time to the one that includes
 // suspensions.
-func read(which int32) time.Duration {
+func read(clockID int32) time.Duration {
 	var spec unix.Timespec
-	if err := unix.ClockGettime(which, &spec); err != nil {
-		// Linux has had both since 2.6.39; without them no age can be trusted.
+	if err := unix.ClockGettime(clockID, &spec); err != nil {
+		// Linux has had both clocks since 2.6.39; without them no age can be trusted.
 		panic("clock: " + err.Error())
 	}
 	reading := time.Duration(spec.Nano())
-	if which == unix.CLOCK_BOOTTIME {
+	if clockID == unix.CLOCK_BOOTTIME {
 		reading += time.Duration(simulated.Load())
 	}
 	return reading
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,8 +10,9 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// TestASuspensionCounts: ages grow by it, in virtual time too, and never shrink.
-func TestASuspensionCounts(t *testing.T) {
+// TestSuspension checks that ages include a suspension, in virtual time too, and that they never
+// decrease.
+func TestSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		at := clock.Check()
@@ -19,14 +20,14 @@
 		time.Sleep(time.Second)
 		is.Equal(clock.Since(at), time.Second)
 		defer clock.Simulate(10 * time.Second)()
-		is.Equal(clock.Since(at), time.Second) // nobody has looked yet
+		is.Equal(clock.Since(at), time.Second) // Check has not been called since
 		is.True(clock.Check().Sub(at) >= 11*time.Second)
 		is.True(clock.Since(at) < 11*time.Second+time.Second)
 		is.Equal(clock.Until(at), -clock.Since(at))
 		is.True(clock.Suspended()-before >= 10*time.Second)
-		defer clock.Simulate(-5 * time.Second)() // no host goes back
+		defer clock.Simulate(-5 * time.Second)() // a real host's clock does not go back
 		is.True(clock.Check().Sub(at) >= 11*time.Second)
-		defer clock.Simulate(5*time.Second + time.Millisecond)() // too short to tell from a lost processor
+		defer clock.Simulate(5*time.Second + time.Millisecond)() // too short to distinguish from a lost processor
 		is.True(clock.Check().Sub(at) < 11*time.Second+time.Millisecond)
 	})
 }
--- a/internal/clock/compare_test.go
+++ b/internal/clock/compare_test.go
@@ -8,56 +8,56 @@
 	"golang.org/x/sys/unix"
 )
 
-// scriptedHost is a host whose clocks are read at times of the test's choice.
+// scriptedHost is a host whose clock readings take the durations that a test chooses.
 type scriptedHost struct {
-	steady, suspended time.Duration
-	// takes are how long the next readings take; those after take no time.
-	takes []time.Duration
+	monotonic, suspended time.Duration
+	// durations are the durations of the next readings; later ones take no time.
+	durations []time.Duration
 }
 
-func (h *scriptedHost) read(which int32) time.Duration {
-	if len(h.takes) > 0 {
-		h.steady += h.takes[0]
-		h.takes = h.takes[1:]
+func (h *scriptedHost) read(clockID int32) time.Duration {
+	if len(h.durations) > 0 {
+		h.monotonic += h.durations[0]
+		h.durations = h.durations[1:]
 	}
-	if which == unix.CLOCK_BOOTTIME {
-		return h.steady + h.suspended
+	if clockID == unix.CLOCK_BOOTTIME {
+		return h.monotonic + h.suspended
 	}
-	return h.steady
+	return h.monotonic
 }
 
-// TestReadingsTakeTime: a suspension was found shorter than it was by as much longer as the
-// clocks took to read than at the begin, so that ages were too young by that.
-func TestReadingsTakeTime(t *testing.T) {
-	const quick, slow, away = time.Microsecond, 10 * time.Microsecond, 200 * time.Millisecond
+// TestSlowReadings guards against a suspension that is measured too short. If reading the clocks
+// took longer than at the start, ages were too small by the difference.
+func TestSlowReadings(t *testing.T) {
+	const quick, slow, preempted = time.Microsecond, 10 * time.Microsecond, 200 * time.Millisecond
 	cases := map[string]struct {
 		begin, later []time.Duration
-		// uncertain is the most by which the bounds may differ.
-		uncertain time.Duration
+		// maxWidth is the maximum difference between the bounds.
+		maxWidth time.Duration
 	}{
-		"no time":              {nil, nil, 0},
-		"longer later":         {[]time.Duration{quick, quick, quick}, []time.Duration{slow, slow, slow}, 2*quick + 2*slow},
-		"longer at the begin":  {[]time.Duration{slow, slow, slow}, []time.Duration{quick, quick, quick}, 2*quick + 2*slow},
-		"processor lost once":  {nil, []time.Duration{0, away, quick, quick, quick, quick}, 2 * quick},
-		"lost after":           {nil, []time.Duration{0, quick, away, quick, quick, quick}, 2 * quick},
-		"lost at the begin":    {[]time.Duration{0, away, quick, quick, quick, quick}, nil, 2 * quick},
-		"lost in all but one":  {nil, []time.Duration{0, away, 0, 0, away, 0, 0, 0, away, 0, quick, quick}, 2 * quick},
-		"lost each time later": {nil, []time.Duration{0, away, 0, 0, away, 0, 0, away, 0, 0, away, 0}, away},
+		"instant readings":                         {nil, nil, 0},
+		"slower later":                             {[]time.Duration{quick, quick, quick}, []time.Duration{slow, slow, slow}, 2*quick + 2*slow},
+		"slower at the start":                      {[]time.Duration{slow, slow, slow}, []time.Duration{quick, quick, quick}, 2*quick + 2*slow},
+		"processor lost before the second reading": {nil, []time.Duration{0, preempted, quick, quick, quick, quick}, 2 * quick},
+		"processor lost before the third reading":  {nil, []time.Duration{0, quick, preempted, quick, quick, quick}, 2 * quick},
+		"processor lost at the start":              {[]time.Duration{0, preempted, quick, quick, quick, quick}, nil, 2 * quick},
+		"processor lost in all but one comparison": {nil, []time.Duration{0, preempted, 0, 0, preempted, 0, 0, 0, preempted, 0, quick, quick}, 2 * quick},
+		"processor lost in each later comparison":  {nil, []time.Duration{0, preempted, 0, 0, preempted, 0, 0, preempted, 0, 0, preempted, 0}, preempted},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			host := &scriptedHost{takes: test.begin}
+			host := &scriptedHost{durations: test.begin}
 			begin := compare(host.read)
-			host.takes = test.later
-			least, most := compare(host.read).since(begin)
-			is.True(least <= 0) // a suspension where there was none
-			is.True(most >= 0)
-			host.takes, host.suspended = test.later, 10*time.Second
-			least, most = compare(host.read).since(begin)
-			is.True(least <= host.suspended)
-			is.True(most >= host.suspended) // an age would be too young
-			is.True(most-least <= test.uncertain)
+			host.durations = test.later
+			lower, upper := compare(host.read).suspendedSince(begin)
+			is.True(lower <= 0) // no suspension is reported where there was none
+			is.True(upper >= 0)
+			host.durations, host.suspended = test.later, 10*time.Second
+			lower, upper = compare(host.read).suspendedSince(begin)
+			is.True(lower <= host.suspended)
+			is.True(upper >= host.suspended) // otherwise an age would be too small
+			is.True(upper-lower <= test.maxWidth)
 		})
 	}
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,11 +1,10 @@
-// Package freshness keeps the proof that a process knows the newest
-// configuration: the latest moment, on the steady clock, of which it is known
-// that every configuration accepted until then has been applied here.
+// Package freshness keeps the proof that a process has the newest configuration: the latest time,
+// on the monotonic clock, for which it is known that every configuration accepted until then has
+// been applied here.
 //
-// A process's own read of the store proves the moment before the read began.
-// A peer's proof is handed on as an age; it proves the moment before the
-// question was sent, less that age. Source: docs/design/platform.md,
-// "Freshness".
+// A process's own read of the store proves the time before the read started. A peer's proof is
+// passed on as an age; it proves the time before the request was sent, minus that age. Source:
+// docs/design/platform.md, "Freshness".
 package freshness
 
 import (
@@ -13,15 +12,14 @@
 	"time"
 )
 
-// Proof is safe for concurrent use.
+// Proof holds the latest proven time. It is safe for concurrent use.
 type Proof struct {
 	mu sync.Mutex
 	at time.Time
 }
 
-// Note takes a proof for the moment at; an older one than is known changes
-// nothing. The configuration that the proof is about must have been applied
-// before the call.
+// Note records a proof for the time at; an older proof than the known one is ignored. The
+// configuration that the proof is about must have been applied before the call.
 func (p *Proof) Note(at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,8 +28,7 @@
 	}
 }
 
-// Age is how long ago the proven moment is; the second result is false when
-// there is none.
+// Age returns how long ago the proven time is; the second result is false if there is none.
 func (p *Proof) Age(now time.Time) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,8 +38,8 @@
 	return now.Sub(p.at), true
 }
 
-// Within says whether the proven moment is no longer ago than most.
-func (p *Proof) Within(most time.Duration, now time.Time) bool {
+// Within reports whether the proven time is at most maxAge ago.
+func (p *Proof) Within(maxAge time.Duration, now time.Time) bool {
 	age, known := p.Age(now)
-	return known && age <= most
+	return known && age <= maxAge
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -13,11 +13,11 @@
 	is := is.New(t)
 	proof := new(freshness.Proof)
 	now := time.Unix(100, 0)
-	is.True(!proof.Within(time.Hour, now)) // nothing is proven yet
+	is.True(!proof.Within(time.Hour, now)) // no proof so far
 	proof.Note(now)
 	is.True(proof.Within(4*time.Second, now.Add(4*time.Second)))
 	is.True(!proof.Within(4*time.Second, now.Add(4*time.Second+1)))
-	proof.Note(now.Add(-time.Second)) // an older proof changes nothing
+	proof.Note(now.Add(-time.Second)) // an older proof is ignored
 	age, known := proof.Age(now.Add(time.Second))
 	is.True(known)
 	is.Equal(age, time.Second)
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -1,6 +1,6 @@
-// Package lag notices when a process lacks processor time, because its host is
-// slow or because too much is asked of it: its own timers fire late. Its time
-// limits then pass before it has read what others sent, and say nothing of them.
+// Package lag detects when a process lacks processor time, because its host is slow or overloaded:
+// its own timers fire late. Its timeouts then expire before it has read what others sent, and say
+// nothing about the others.
 package lag
 
 import (
@@ -14,52 +14,51 @@
 const (
 	// interval is the time between two measurements.
 	interval = 20 * time.Millisecond
-	// Bound is the lag above which a process is late. Callers want the fastest
-	// answers within 100 ms, and a lag strikes a request several times on its
-	// way.
+	// Bound is the lag above which a process is late. Callers expect the fastest answers within 100
+	// ms, and the lag delays a request several times on its way.
 	Bound = 25 * time.Millisecond
-	// mostDoubt is how many measurements in time make up for any lateness: half
-	// a second.
-	mostDoubt = 24
-	// doubtPerInterval is how many make up for one interval of lateness.
-	doubtPerInterval = 2
+	// maxRecovery is the number of timely measurements that make up for any lateness: half a
+	// second.
+	maxRecovery = 24
+	// recoveryPerInterval is the number of timely measurements that make up for one interval of
+	// lateness.
+	recoveryPerInterval = 2
 )
 
 // Monitor measures the lag of its process. It is safe for concurrent use.
 type Monitor struct {
 	mu sync.Mutex
-	// last is the measurement before, and lag the smaller of the last two: a
-	// process that was stopped once is late once and not late any more.
-	last time.Duration
-	lag  time.Duration
-	// doubt is how many measurements in time are wanted before the process
-	// counts as in time again.
-	doubt  int
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	// previous is the last measurement, and lag the smaller of the last two, since a process that
+	// was stopped once is late in one measurement and not in the next.
+	previous time.Duration
+	lag      time.Duration
+	// recovery is the number of timely measurements until the process no longer counts as late.
+	recovery int
+	cancel   context.CancelFunc
+	wait     sync.WaitGroup
 }
 
-// New returns a monitor that Start begins.
+// New returns a monitor; Start starts it.
 func New() *Monitor {
 	return new(Monitor)
 }
 
-// Start begins to measure.
+// Start starts the measurements.
 func (m *Monitor) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	m.wait.Go(func() {
-		began := time.Now()
+		start := time.Now()
 		for wait.For(ctx, interval) {
 			now := time.Now()
-			m.Note(now.Sub(began) - interval)
-			began = now
+			m.Note(now.Sub(start) - interval)
+			start = now
 		}
 	})
 	return nil
 }
 
-// Close ends the measuring and waits.
+// Close stops the measurements and waits for their goroutine.
 func (m *Monitor) Close() error {
 	if m.cancel != nil {
 		m.cancel()
@@ -68,30 +67,30 @@
 	return nil
 }
 
-// Note takes one measurement: how late a timer fired.
+// Note records one measurement: how late a timer fired.
 func (m *Monitor) Note(late time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	late = max(late, 0)
-	m.lag, m.last = min(late, m.last), late
+	m.lag, m.previous = min(late, m.previous), late
 	if m.lag > Bound {
 		intervals := int(m.lag/interval) + 1
-		m.doubt = min(m.doubt+doubtPerInterval*intervals, mostDoubt)
+		m.recovery = min(m.recovery+recoveryPerInterval*intervals, maxRecovery)
 		return
 	}
-	m.doubt = max(m.doubt-1, 0)
+	m.recovery = max(m.recovery-1, 0)
 }
 
-// Lag is how late the process is.
+// Lag returns how late the process is.
 func (m *Monitor) Lag() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lag
 }
 
-// Late says whether the process lacks processor time.
+// Late reports whether the process lacks processor time.
 func (m *Monitor) Late() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.doubt > 0
+	return m.recovery > 0
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -15,13 +15,13 @@
 		late []time.Duration
 		want bool
 	}{
-		"in time":           {[]time.Duration{0, time.Millisecond, 3 * time.Millisecond}, false},
-		"one late timer":    {[]time.Duration{100 * time.Millisecond}, false},
-		"stopped for long":  {[]time.Duration{8 * time.Second, 0}, false},
-		"late twice":        {repeat(30*time.Millisecond, 2), true},
-		"in time once":      {append(repeat(30*time.Millisecond, 2), 0), true},
-		"in time for long":  {append(repeat(time.Second, 100), repeat(0, 24)...), false},
-		"late now and then": {[]time.Duration{0, 60 * time.Millisecond, 0, 60 * time.Millisecond}, false},
+		"in time":                       {[]time.Duration{0, time.Millisecond, 3 * time.Millisecond}, false},
+		"one late timer":                {[]time.Duration{100 * time.Millisecond}, false},
+		"one long stop":                 {[]time.Duration{8 * time.Second, 0}, false},
+		"late twice":                    {repeat(30*time.Millisecond, 2), true},
+		"late twice, then in time once": {append(repeat(30*time.Millisecond, 2), 0), true},
+		"in time long enough":           {append(repeat(time.Second, 100), repeat(0, 24)...), false},
+		"late intermittently":           {[]time.Duration{0, 60 * time.Millisecond, 0, 60 * time.Millisecond}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	return all
 }
 
-func TestAnIdleProcessIsInTime(t *testing.T) {
+func TestIdleProcessIsNotLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		monitor := lag.New()
