--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -44,9 +44,9 @@
 // in total (BenchmarkCheck).
 func Check() time.Time {
 	lower, upper := compare(read).suspendedSince(initialOffset)
-	known := Suspended()
-	if lower-known >= minSuspension {
-		suspended.Add(int64(upper - known))
+	recorded := Suspended()
+	if lower-recorded >= minSuspension {
+		suspended.Add(int64(upper - recorded))
 	}
 	return Now()
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -40,6 +40,6 @@
 
 // Within reports whether the proven time is at most maxAge ago.
 func (p *Proof) Within(maxAge time.Duration, now time.Time) bool {
-	age, known := p.Age(now)
-	return known && age <= maxAge
+	age, ok := p.Age(now)
+	return ok && age <= maxAge
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -18,7 +18,7 @@
 	is.True(proof.Within(4*time.Second, now.Add(4*time.Second)))
 	is.True(!proof.Within(4*time.Second, now.Add(4*time.Second+1)))
 	proof.Note(now.Add(-time.Second)) // an older proof is ignored
-	age, known := proof.Age(now.Add(time.Second))
-	is.True(known)
+	age, ok := proof.Age(now.Add(time.Second))
+	is.True(ok)
 	is.Equal(age, time.Second)
 }
--- a/internal/peer/broadcast_test.go
+++ b/internal/peer/broadcast_test.go
@@ -20,16 +20,16 @@
 	const count, perRound = 385, 64
 	received := make(map[string]int)
 	for self := range count {
-		known := newTable(fmt.Sprint(self), nil, "", 7000)
+		tbl := newTable(fmt.Sprint(self), nil, "", 7000)
 		for other := range count {
 			if other != self {
 				heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
 				heartbeat.Life = uint64(other + 2)
-				known.record(heartbeat, start)
+				tbl.record(heartbeat, start)
 			}
 		}
-		live := known.live(start)
-		sortForBroadcast(live, policy.HashName(known.self))
+		live := tbl.live(start)
+		sortForBroadcast(live, policy.HashName(tbl.self))
 		for _, to := range live[:perRound] {
 			received[to.id]++
 		}
@@ -43,12 +43,12 @@
 // TestLongestWaitComesFirst checks that waiting time precedes the gateway's own order.
 func TestLongestWaitComesFirst(t *testing.T) {
 	is := is.New(t)
-	known := tables(30)["0"]
-	live := known.live(start)
+	tbl := tables(30)["0"]
+	live := tbl.live(start)
 	for place, to := range live {
 		to.heartbeatSentAt = start
 		if place == 11 {
-			to.heartbeatSentAt = start.Add(-10 * known.heartbeatInterval())
+			to.heartbeatSentAt = start.Add(-10 * tbl.heartbeatInterval())
 		}
 	}
 	longest := live[11]
@@ -72,14 +72,14 @@
 	}
 	n.cachedView = nil
 	live := n.table.live(now)
-	for _, known := range live {
-		if known.alone {
-			known.heartbeatSentAt = now // they come first all the same
+	for _, p := range live {
+		if p.alone {
+			p.heartbeatSentAt = now // they come first all the same
 		}
 	}
 	sortForBroadcast(live, n.hash)
-	for place, known := range live {
-		is.Equal(known.alone, place < 6)
+	for place, p := range live {
+		is.Equal(p.alone, place < 6)
 	}
 	addresses := n.sampleAddresses(now, "")
 	is.Equal(len(addresses), maxKnownAddresses)
@@ -88,6 +88,6 @@
 	}
 	heartbeat := heartbeatFrom("0", 2)
 	heartbeat.Life = 2
-	known, _ := n.table.record(heartbeat, now)
-	is.True(!known.alone) // it has heard another gateway since
+	p, _ := n.table.record(heartbeat, now)
+	is.True(!p.alone) // it has heard another gateway since
 }
--- a/internal/peer/class_test.go
+++ b/internal/peer/class_test.go
@@ -41,14 +41,14 @@
 func classTables(classes []Class) map[string]*table {
 	all := make(map[string]*table, len(classes))
 	for self, class := range classes {
-		known := newTable(fmt.Sprint(self), nil, "", 7000)
-		known.class = class
+		tbl := newTable(fmt.Sprint(self), nil, "", 7000)
+		tbl.class = class
 		for other, class := range classes {
 			if other != self {
-				known.record(heartbeatOfClass(fmt.Sprint(other), uint64(other+2), class), start)
+				tbl.record(heartbeatOfClass(fmt.Sprint(other), uint64(other+2), class), start)
 			}
 		}
-		all[known.self] = known
+		all[tbl.self] = tbl
 	}
 	return all
 }
@@ -89,17 +89,17 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			asking := 0
-			for id, known := range classTables(tc.classes) {
-				current := known.newView(start)
+			for id, p := range classTables(tc.classes) {
+				current := p.newView(start)
 				if current.asksStore() {
 					asking++
-					is.Equal(known.class, tc.askers)
+					is.Equal(p.class, tc.askers)
 				}
 				if parent := current.parent(); parent != nil {
-					is.True(parent.class >= known.class)
+					is.True(parent.class >= p.class)
 				}
 				for _, other := range current.candidates[:current.rank] {
-					is.True(other.class >= known.class)
+					is.True(other.class >= p.class)
 				}
 				is.Equal(len(current.candidates), len(tc.classes)-1)
 				_ = id
@@ -114,9 +114,9 @@
 func TestLossOfLastLargeHost(t *testing.T) {
 	is := is.New(t)
 	tables := classTables(hostClasses(30, 1))
-	asking := func(now time.Time, dead string) (ids []string) {
-		for id, known := range tables {
-			if id != dead && known.newView(now).asksStore() {
+	asking := func(now time.Time, silentID string) (ids []string) {
+		for id, tbl := range tables {
+			if id != silentID && tbl.newView(now).asksStore() {
 				ids = append(ids, id)
 			}
 		}
@@ -125,22 +125,22 @@
 	is.Equal(len(asking(start, "")), watchers)
 	is.True(tables["0"].newView(start).rank == 0)
 	later := start.Add(watcherTimeoutLarge + time.Millisecond)
-	for id, known := range tables {
+	for id, tbl := range tables {
 		for other := 1; other < len(tables); other++ {
 			if fmt.Sprint(other) != id {
 				heartbeat := heartbeatOfClass(fmt.Sprint(other), uint64(other+2), 2)
 				heartbeat.Sequence = 2
-				known.record(heartbeat, later)
+				tbl.record(heartbeat, later)
 			}
 		}
 	}
 	is.Equal(len(asking(later, "0")), watchers)
-	for id, known := range tables {
+	for id, tbl := range tables {
 		heartbeat := heartbeatOfClass("0", 2, 5)
 		heartbeat.Sequence = 3
 		if id != "0" {
-			known.record(heartbeat, later)
-			is.True(known.newView(later).candidates[0].id == "0")
+			tbl.record(heartbeat, later)
+			is.True(tbl.newView(later).candidates[0].id == "0")
 		}
 	}
 	is.Equal(len(asking(later, "")), watchers)
@@ -150,18 +150,18 @@
 // most are, keeps the class.
 func TestHeartbeatWithoutSenderKeepsClass(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", nil, "", 7000)
-	known.record(heartbeatOfClass("1", 7, 5), start)
-	taken, _ := known.record(&wire.GatewayBeat{Life: 7, Sequence: 2, StoreReachable: true}, start)
-	is.Equal(taken.class, Class(5))
+	tbl := newTable("self", nil, "", 7000)
+	tbl.record(heartbeatOfClass("1", 7, 5), start)
+	sender, _ := tbl.record(&wire.GatewayBeat{Life: 7, Sequence: 2, StoreReachable: true}, start)
+	is.Equal(sender.class, Class(5))
 	replaced := heartbeatOfClass("1", 7, 3) // the host was replaced
 	replaced.Sequence = 3
-	taken, _ = known.record(replaced, start)
-	is.Equal(taken.class, Class(3))
+	sender, _ = tbl.record(replaced, start)
+	is.Equal(sender.class, Class(3))
 	tooLarge := heartbeatOfClass("1", 7, 1<<30)
 	tooLarge.Sequence = 4
-	taken, _ = known.record(tooLarge, start)
-	is.Equal(taken.class, Class(maxClass))
+	sender, _ = tbl.record(tooLarge, start)
+	is.Equal(sender.class, Class(maxClass))
 }
 
 // TestWholeCopiesComeFromLargeHosts checks that a starting gateway asks any one of the large hosts
@@ -191,9 +191,9 @@
 				if number == fullMeshLimit-1 {
 					heartbeat.Revision = 10 // a small host is ahead of all
 				}
-				known, _ := service.table.record(heartbeat, now)
+				p, _ := service.table.record(heartbeat, now)
 				if number < tc.refusing {
-					known.pullFailedAt = now.Add(-refused)
+					p.pullFailedAt = now.Add(-refused)
 				}
 			}
 			sources := make(map[string]bool)
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -88,12 +88,12 @@
 	key := uint64(part) << 32
 	var best *peer
 	bestScore := weightedScore(policy.Score(key, self), v.class.share())
-	for _, known := range v.live {
-		if known.leaving || known.unansweredLookups >= maxUnanswered {
+	for _, p := range v.live {
+		if p.leaving || p.unansweredLookups >= maxUnanswered {
 			continue
 		}
-		if score := weightedScore(policy.Score(key, known.hash), known.class.share()); score > bestScore {
-			best, bestScore = known, score
+		if score := weightedScore(policy.Score(key, p.hash), p.class.share()); score > bestScore {
+			best, bestScore = p, score
 		}
 	}
 	return best
@@ -271,12 +271,12 @@
 	}
 	delete(s.directory.waiters, placement.Part)
 	for _, entry := range waiting {
-		known := s.table.peers[entry.id]
-		if known == nil || now.After(entry.until) {
+		p := s.table.peers[entry.id]
+		if p == nil || now.After(entry.until) {
 			continue
 		}
 		heartbeat := s.bareHeartbeat()
 		heartbeat.Parts, heartbeat.Holders = splitPlacements([]balance.Placement{placement})
-		s.sendDirectory(known, heartbeat)
+		s.sendDirectory(p, heartbeat)
 	}
 }
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -26,8 +26,8 @@
 		nodes = append(nodes, newNode(t, fmt.Sprintf("node-%d", i), network, nodes[0].service.options.Address))
 	}
 	waitFor(t, "all gateways see all others", func() bool {
-		for _, known := range nodes {
-			if known.service.Live() != largeFleet-1 {
+		for _, n := range nodes {
+			if n.service.Live() != largeFleet-1 {
 				return false
 			}
 		}
@@ -40,10 +40,10 @@
 func keeperOf(t *testing.T, nodes []*node, part uint32) int {
 	t.Helper()
 	keeper := -1
-	for i, known := range nodes {
-		known.service.mu.Lock()
-		isKeeper := known.service.currentView(time.Now()).keeper(part, known.service.hash) == nil
-		known.service.mu.Unlock()
+	for i, n := range nodes {
+		n.service.mu.Lock()
+		isKeeper := n.service.currentView(time.Now()).keeper(part, n.service.hash) == nil
+		n.service.mu.Unlock()
 		if isKeeper && keeper >= 0 {
 			t.Fatalf("part %d has two keepers, %d and %d", part, keeper, i)
 		}
@@ -66,8 +66,8 @@
 	return balance.Placement{Part: part, Target: uint32(policy.HashName("t") >> 32)}
 }
 
-func holds(known *node, part uint32) func() bool {
-	return func() bool { return known.balancer.Holds(placementOf(part)) }
+func holds(n *node, part uint32) func() bool {
+	return func() bool { return n.balancer.Holds(placementOf(part)) }
 }
 
 // TestFindPlacement checks that a gateway finds another one's placement by asking the keeper.
@@ -102,11 +102,11 @@
 		pick, _ := nodes[placer].balancer.Choose(query, time.Now())
 		nodes[placer].service.Filling(pick.Fills)
 		nodes[asker].service.Find(t.Context(), []uint32{part})
-		waits, filling := nodes[asker].balancer.Filling(query, time.Now())
+		filled, filling := nodes[asker].balancer.Filling(query, time.Now())
 		if !filling {
 			nodes[placer].balancer.Withdraw("t", query.Parts)
 		}
-		done = waits
+		done = filled
 		return filling
 	})
 	nodes[placer].service.Placed(nodes[placer].balancer.Confirm("t", query))
@@ -192,21 +192,21 @@
 // overwrite it.
 func TestBareHeartbeatKeepsReportedState(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", nil, "", 7000)
+	tbl := newTable("self", nil, "", 7000)
 	full := heartbeatFrom("other", 1)
 	full.StoreReachable, full.Revision, full.HasProof, full.ProofAgeMs = true, 9, true, 70
-	known.record(full, start)
-	known.peers["other"].unanswered, known.peers["other"].unansweredLookups = 2, 2
-	taken, change := known.record(&wire.GatewayBeat{Life: full.GetLife(), Sequence: 2, Brief: true, Bare: true}, start.Add(time.Second))
+	tbl.record(full, start)
+	tbl.peers["other"].unanswered, tbl.peers["other"].unansweredLookups = 2, 2
+	sender, change := tbl.record(&wire.GatewayBeat{Life: full.GetLife(), Sequence: 2, Brief: true, Bare: true}, start.Add(time.Second))
 	is.Equal(change, unchanged)
-	is.True(taken.reachesStore)
-	is.Equal(taken.revision, int64(9))
-	is.Equal(taken.proofAge, 70*time.Millisecond)
-	is.Equal(taken.lastHeartbeat, start.Add(time.Second)) // but the peer is alive
-	is.Equal(taken.unanswered, 0)
-	is.Equal(taken.unansweredLookups, 0)
-	is.Equal(taken.sequence, uint64(2))
-	_, change = known.record(&wire.GatewayBeat{Life: 777, Sequence: 1, Brief: true, Bare: true}, start)
+	is.True(sender.reachesStore)
+	is.Equal(sender.revision, int64(9))
+	is.Equal(sender.proofAge, 70*time.Millisecond)
+	is.Equal(sender.lastHeartbeat, start.Add(time.Second)) // but the peer is alive
+	is.Equal(sender.unanswered, 0)
+	is.Equal(sender.unansweredLookups, 0)
+	is.Equal(sender.sequence, uint64(2))
+	_, change = tbl.record(&wire.GatewayBeat{Life: 777, Sequence: 1, Brief: true, Bare: true}, start)
 	is.Equal(change, outdated) // the sender is unknown
 }
 
@@ -215,13 +215,13 @@
 // two gateways took themselves for the first and asked the store.
 func TestUnansweredLookupsKeepTreeRank(t *testing.T) {
 	is := is.New(t)
-	known := tables(30)["0"]
-	before := known.newView(start)
+	tbl := tables(30)["0"]
+	before := tbl.newView(start)
 	const part = 7
 	keeper := before.keeper(part, policy.HashName("0"))
 	is.True(keeper != nil)
 	keeper.unansweredLookups = maxUnanswered
-	after := known.newView(start)
+	after := tbl.newView(start)
 	is.True(after.keeper(part, policy.HashName("0")) != keeper)
 	is.Equal(len(after.candidates), len(before.candidates))
 	is.Equal(after.rank, before.rank)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -111,8 +111,8 @@
 // doesn't carry all: as many as the budget allows while each peer gets a heartbeat every
 // countsInterval.
 func (s *Service) countsThatFit(now time.Time) int {
-	beats := float64(max(len(s.currentView(now).live), 1)) / countsInterval.Seconds()
-	bytes := (1-directoryShare)*float64(s.options.Budget)/beats - baseHeartbeatSize
+	rate := float64(max(len(s.currentView(now).live), 1)) / countsInterval.Seconds()
+	bytes := (1-directoryShare)*float64(s.options.Budget)/rate - baseHeartbeatSize
 	return max(int(bytes/countSize), minCounts)
 }
 
@@ -202,9 +202,9 @@
 	rand.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
 	slices.SortStableFunc(live, func(a, b *peer) int { return compareBool(b.alone, a.alone) })
 	var addresses []string
-	for _, known := range live {
-		if known.address != except && len(addresses) < maxKnownAddresses {
-			addresses = append(addresses, known.address)
+	for _, p := range live {
+		if p.address != except && len(addresses) < maxKnownAddresses {
+			addresses = append(addresses, p.address)
 		}
 	}
 	return addresses
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -89,13 +89,13 @@
 }
 
 // enqueue schedules a record for the next rounds.
-func (m *crashQueue) enqueue(record quarantine.Record, wide bool, times int) {
-	if known, ok := m.pending[record.Fingerprint]; ok {
-		wide, times = wide || known.broadcast, max(times, known.remaining)
-	} else if len(m.pending) >= maxPending && !wide {
+func (m *crashQueue) enqueue(record quarantine.Record, broadcast bool, rounds int) {
+	if queued, ok := m.pending[record.Fingerprint]; ok {
+		broadcast, rounds = broadcast || queued.broadcast, max(rounds, queued.remaining)
+	} else if len(m.pending) >= maxPending && !broadcast {
 		return // it is sent again when gateways come or go, or with the request's next crash
 	}
-	m.pending[record.Fingerprint] = &outgoingRecord{record: record, broadcast: wide, remaining: times}
+	m.pending[record.Fingerprint] = &outgoingRecord{record: record, broadcast: broadcast, remaining: rounds}
 }
 
 // enqueueRepost schedules a record for one more sending, unless it is scheduled anyway.
@@ -114,9 +114,9 @@
 // remaining rounds.
 func (m *crashQueue) due() []outgoingRecord {
 	all := make([]outgoingRecord, 0, len(m.pending))
-	for fingerprint, known := range m.pending {
-		all = append(all, *known)
-		if known.remaining--; known.remaining <= 0 {
+	for fingerprint, queued := range m.pending {
+		all = append(all, *queued)
+		if queued.remaining--; queued.remaining <= 0 {
 			delete(m.pending, fingerprint)
 		}
 	}
@@ -184,8 +184,8 @@
 		score uint64
 	}
 	first := make([]scoredPeer, 0, CrashKeepers+1)
-	add := func(known *peer, hash uint64) {
-		entry := scoredPeer{known, policy.Score(uint64(fingerprint), hash)}
+	add := func(p *peer, hash uint64) {
+		entry := scoredPeer{p, policy.Score(uint64(fingerprint), hash)}
 		at := len(first)
 		for at > 0 && first[at-1].score < entry.score {
 			at--
@@ -196,9 +196,9 @@
 		}
 	}
 	add(nil, self)
-	for _, known := range live {
-		if !known.leaving {
-			add(known, known.hash)
+	for _, p := range live {
+		if !p.leaving {
+			add(p, p.hash)
 		}
 	}
 	found := make([]*peer, 0, CrashKeepers)
@@ -217,8 +217,8 @@
 	defer s.mu.Unlock()
 	own := policy.Score(uint64(fingerprint), s.hash)
 	rank := 0
-	for _, known := range s.currentView(clock.Now()).live {
-		if !known.leaving && policy.Score(uint64(fingerprint), known.hash) > own {
+	for _, p := range s.currentView(clock.Now()).live {
+		if !p.leaving && policy.Score(uint64(fingerprint), p.hash) > own {
 			rank++
 		}
 	}
@@ -299,7 +299,7 @@
 
 // withoutPeer returns all peers but one.
 func withoutPeer(live []*peer, except *peer) []*peer {
-	return slices.DeleteFunc(slices.Clone(live), func(known *peer) bool { return known == except })
+	return slices.DeleteFunc(slices.Clone(live), func(p *peer) bool { return p == except })
 }
 
 // repostRecords schedules all records of single crashes for their current keepers after gateways
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -32,8 +32,8 @@
 
 // allHold reports whether all of the gateways hold a request.
 func allHold(nodes []*node, fingerprint quarantine.Fingerprint) bool {
-	for _, known := range nodes {
-		if !known.table().Held(fingerprint, time.Now()) {
+	for _, n := range nodes {
+		if !n.table().Held(fingerprint, time.Now()) {
 			return false
 		}
 	}
@@ -56,15 +56,15 @@
 	complete := false
 	defer func() {
 		if !complete {
-			for _, known := range nodes {
-				t.Log(known.describe())
+			for _, n := range nodes {
+				t.Log(n.describe())
 			}
 		}
 	}()
 	defer func() { complete = !t.Failed() }()
 	waitFor(t, "all gateways see all others", func() bool {
-		for _, known := range nodes {
-			if known.service.Live() != len(nodes)-1 {
+		for _, n := range nodes {
+			if n.service.Live() != len(nodes)-1 {
 				return false
 			}
 		}
@@ -78,8 +78,8 @@
 	defer n.service.mu.Unlock()
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s at %s, incarnation %x:", n.service.options.ID, n.service.options.Address, n.service.incarnation)
-	for id, known := range n.service.table.peers {
-		fmt.Fprintf(&text, " %s at %s, incarnation %x, last heartbeat %v ago, lost %v;", id, known.address, known.incarnation, clock.Since(known.lastHeartbeat), known.lost)
+	for id, p := range n.service.table.peers {
+		fmt.Fprintf(&text, " %s at %s, incarnation %x, last heartbeat %v ago, lost %v;", id, p.address, p.incarnation, clock.Since(p.lastHeartbeat), p.lost)
 	}
 	for address, attempts := range n.service.table.addresses {
 		fmt.Fprintf(&text, " %s contacted %d times, last %v ago;", address, attempts.count, clock.Since(attempts.last))
@@ -103,8 +103,8 @@
 			}
 			nodes[3].recordCrash(fatal+1, 7) // another request that was in flight at one of the crashes
 			waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
-			for _, known := range nodes {
-				is.True(!known.table().Held(fatal+1, time.Now()))
+			for _, n := range nodes {
+				is.True(!n.table().Held(fatal+1, time.Now()))
 			}
 		})
 	}
@@ -119,8 +119,8 @@
 	waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
 	nodes[largeFleet-1].service.Spread(nodes[largeFleet-1].table().Answered(fatal, time.Now()))
 	waitFor(t, "no gateway holds the request", func() bool {
-		for _, known := range nodes {
-			if known.table().Held(fatal, time.Now()) {
+		for _, n := range nodes {
+			if n.table().Held(fatal, time.Now()) {
 				return false
 			}
 		}
@@ -136,8 +136,8 @@
 	for i := range 3 {
 		nodes[i].recordCrash(fatal, quarantine.Instance(i))
 		waitFor(t, "another gateway has the record", func() bool {
-			for j, known := range nodes {
-				if records := known.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
+			for j, n := range nodes {
+				if records := n.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
 					return true
 				}
 			}
@@ -225,9 +225,9 @@
 		if len(keepers) != min(CrashKeepers, count) {
 			t.Fatalf("%d keepers: %v", len(keepers), keepers)
 		}
-		for id, known := range keepers {
-			if known != count-1 {
-				t.Fatalf("%s is a keeper for %d of %d", id, known, count-1)
+		for id, votes := range keepers {
+			if votes != count-1 {
+				t.Fatalf("%s is a keeper for %d of %d", id, votes, count-1)
 			}
 		}
 	})
--- a/internal/peer/refused_test.go
+++ b/internal/peer/refused_test.go
@@ -17,8 +17,8 @@
 	nodes := newLargeFleet(t)
 	waitFor(t, "all others exclude the target", func() bool {
 		nodes[0].service.Refused("t")
-		for _, known := range nodes[1:] {
-			if known.watcher.refused.Load() == 0 {
+		for _, n := range nodes[1:] {
+			if n.watcher.refused.Load() == 0 {
 				return false
 			}
 		}
--- a/internal/peer/replica.go
+++ b/internal/peer/replica.go
@@ -63,9 +63,9 @@
 		offset = rand.IntN(len(live))
 	}
 	for i := range live {
-		known := live[(offset+i)%len(live)]
-		if known.revision > ownRevision && (best == nil || betterSource(known, best, ownRevision == 0, now)) {
-			best = known
+		p := live[(offset+i)%len(live)]
+		if p.revision > ownRevision && (best == nil || betterSource(p, best, ownRevision == 0, now)) {
+			best = p
 		}
 	}
 	return best
@@ -106,8 +106,8 @@
 		s.table.setSource(id)
 		s.cachedView = nil
 	}
-	if known := s.table.peers[id]; known != nil && err != nil {
-		known.pullFailedAt = clock.Now()
+	if p := s.table.peers[id]; p != nil && err != nil {
+		p.pullFailedAt = clock.Now()
 	}
 }
 
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -56,9 +56,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ids []string
-	for _, known := range s.currentView(now).live {
-		if !known.leaving {
-			ids = append(ids, known.id)
+	for _, p := range s.currentView(now).live {
+		if !p.leaving {
+			ids = append(ids, p.id)
 		}
 	}
 	return ids
@@ -98,13 +98,13 @@
 	if self.eligible {
 		first = candidacy{reachesStore: self.reachesStore, class: v.class, score: policy.Score(key, self.hash)}
 	}
-	for _, known := range v.recentPeers() {
-		if known.leaving || known.revision == 0 {
+	for _, p := range v.recentPeers() {
+		if p.leaving || p.revision == 0 {
 			continue
 		}
-		next := candidacy{reachesStore: known.reachesStore, class: known.class, score: policy.Score(key, known.hash)}
+		next := candidacy{reachesStore: p.reachesStore, class: p.class, score: policy.Score(key, p.hash)}
 		if next.before(first) {
-			best, first = known, next
+			best, first = p, next
 		}
 	}
 	return best
@@ -130,8 +130,8 @@
 // recentPeers returns the live peers that were heard recently: a silent peer delays a decision no
 // longer than it delays asking the store.
 func (v *view) recentPeers() []*peer {
-	return slices.DeleteFunc(slices.Clone(v.live), func(known *peer) bool {
-		return v.at.Sub(known.lastHeartbeat) > v.maxSilence
+	return slices.DeleteFunc(slices.Clone(v.live), func(p *peer) bool {
+		return v.at.Sub(p.lastHeartbeat) > v.maxSilence
 	})
 }
 
@@ -189,8 +189,8 @@
 		}
 	}
 	for _, message := range heartbeat.GetRolloutGrants() {
-		sentAt, known := s.sentAtOf(message.GetAnswered())
-		if message.GetAnswered() != 0 && !known {
+		sentAt, ok := s.sentAtOf(message.GetAnswered())
+		if message.GetAnswered() != 0 && !ok {
 			continue
 		}
 		s.rollouts.Grant(from.id, grantOf(message), sentAt, now)
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -181,7 +181,7 @@
 func TestGrantWithoutReportIsIgnored(t *testing.T) {
 	cases := map[string]struct {
 		answered uint64
-		taken    int
+		accepted int
 	}{
 		"a recent report":              {1500, 1},
 		"an old report":                {1500 - sentHistory, 0},
@@ -198,7 +198,7 @@
 			service.sequence = 1500
 			message := grantMessage(rollout.Grant{Service: 1, Order: 2, Stage: rollout.Move, For: time.Second}, test.answered)
 			service.handleRollouts(&wire.GatewayBeat{RolloutGrants: []*wire.RolloutGrant{message}}, &peer{id: "p"}, time.Unix(1000, 0))
-			is.Equal(len(fake.receivedGrants()), test.taken)
+			is.Equal(len(fake.receivedGrants()), test.accepted)
 		})
 	}
 }
@@ -300,14 +300,14 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	for service := range uint32(40) {
-		known := newTable("self", nil, "", 7000)
-		known.class = 2
-		known.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 5}, now)
-		known.record(&wire.GatewayBeat{Id: "small", Address: "s", Life: 2, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 1}, now)
+		tbl := newTable("self", nil, "", 7000)
+		tbl.class = 2
+		tbl.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 5}, now)
+		tbl.record(&wire.GatewayBeat{Id: "small", Address: "s", Life: 2, Sequence: 1, Revision: 3, StoreReachable: true, HostClass: 1}, now)
 		own := selfCandidacy{hash: policy.HashName("self"), eligible: true, reachesStore: true}
-		is.Equal(known.newView(now).decider(service, own).id, "large")
-		known.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 2, Revision: 3, HostClass: 5}, now)
-		is.True(known.newView(now).decider(service, own) == nil) // the large host is cut off from the store
+		is.Equal(tbl.newView(now).decider(service, own).id, "large")
+		tbl.record(&wire.GatewayBeat{Id: "large", Address: "l", Life: 1, Sequence: 2, Revision: 3, HostClass: 5}, now)
+		is.True(tbl.newView(now).decider(service, own) == nil) // the large host is cut off from the store
 	}
 }
 
@@ -329,7 +329,7 @@
 // viewOf returns the view of one of several gateways that hears all the others.
 func viewOf(self, gateways int, reaches, loaded func(place int) bool) *view {
 	now := time.Unix(1000, 0)
-	known := newTable(gatewayID(self), nil, "", 7000)
+	tbl := newTable(gatewayID(self), nil, "", 7000)
 	for other := range gateways {
 		if other == self {
 			continue
@@ -338,12 +338,12 @@
 		if loaded(other) {
 			revision = 3
 		}
-		known.record(&wire.GatewayBeat{
+		tbl.record(&wire.GatewayBeat{
 			Id: gatewayID(other), Address: fmt.Sprint(other), Life: uint64(other + 1), Sequence: 1,
 			Revision: revision, StoreReachable: reaches(other),
 		}, now)
 	}
-	return known.newView(now)
+	return tbl.newView(now)
 }
 
 // TestSilentGatewayDoesNotDecide checks that a gateway that is frozen or cut off is skipped before
@@ -351,12 +351,12 @@
 func TestSilentGatewayDoesNotDecide(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	known := newTable("self", nil, "", 7000)
-	known.record(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
+	tbl := newTable("self", nil, "", 7000)
+	tbl.record(&wire.GatewayBeat{Id: "other", Address: "a", Life: 1, Sequence: 1, Revision: 3, StoreReachable: true}, now)
 	idle := selfCandidacy{hash: policy.HashName("self")}
-	is.True(known.newView(now).decider(1, idle) != nil)
-	is.True(known.newView(now.Add(watcherTimeout)).decider(1, idle) != nil)
-	is.True(known.newView(now.Add(watcherTimeout+tick)).decider(1, idle) == nil)
+	is.True(tbl.newView(now).decider(1, idle) != nil)
+	is.True(tbl.newView(now.Add(watcherTimeout)).decider(1, idle) != nil)
+	is.True(tbl.newView(now.Add(watcherTimeout+tick)).decider(1, idle) == nil)
 }
 
 // TestRolloutDatagramSizes limits the sizes that docs/CAPACITY.md assumes: a decider among
--- a/internal/peer/service_test.go
+++ b/internal/peer/service_test.go
@@ -295,8 +295,8 @@
 		service.bucket = rate.NewLimiter(0, 400) // room for a few heartbeats
 		service.broadcast(now.Add(time.Duration(rounds)*time.Millisecond), false)
 		waiting := 0
-		for _, known := range service.table.live(now) {
-			if known.heartbeatSentAt.IsZero() {
+		for _, p := range service.table.live(now) {
+			if p.heartbeatSentAt.IsZero() {
 				waiting++
 			}
 		}
@@ -310,8 +310,8 @@
 	service.options.Balancer.Confirm("t", balance.Query{Parts: []uint64{1 << 32}})
 	service.bucket = rate.NewLimiter(0, 0)
 	service.broadcast(now.Add(time.Second), false)
-	for _, known := range service.table.live(now) {
-		is.Equal(known.nextPlacement, 0)
+	for _, p := range service.table.live(now) {
+		is.Equal(p.nextPlacement, 0)
 	}
 }
 
--- a/internal/peer/start_test.go
+++ b/internal/peer/start_test.go
@@ -74,8 +74,8 @@
 		}
 	}
 	asking := 0
-	for _, known := range f.tables {
-		if known.newView(f.now).asksStore() {
+	for _, tbl := range f.tables {
+		if tbl.newView(f.now).asksStore() {
 			asking++
 		}
 	}
@@ -122,27 +122,27 @@
 // gateway that switches to the shared order, which is shorter than a proof is valid.
 func TestParentsAreAcyclicAtStart(t *testing.T) {
 	f := newStartingFleet(200, 20)
-	circles := 0
+	cycles := 0
 	const step = 500 * time.Millisecond
 	for range 12 * time.Second / step {
 		f.step(step)
 		parents := make(map[string]*peer)
-		for _, known := range f.tables {
-			parents[known.self] = known.newView(f.now).parent()
+		for _, tbl := range f.tables {
+			parents[tbl.self] = tbl.newView(f.now).parent()
 		}
 		for self := range parents {
 			steps := 0
 			for ancestor := self; parents[ancestor] != nil; ancestor = parents[ancestor].id {
 				if steps++; steps > len(f.tables) {
-					circles++
+					cycles++
 					break
 				}
 			}
 		}
-		if since := f.now.Sub(start); circles > 0 && (since < minSettleTime || since > minSettleTime+step) {
-			t.Fatalf("%d gateways in a cycle of parents at %v", circles, since)
+		if since := f.now.Sub(start); cycles > 0 && (since < minSettleTime || since > minSettleTime+step) {
+			t.Fatalf("%d gateways in a cycle of parents at %v", cycles, since)
 		}
-		circles = 0
+		cycles = 0
 	}
 }
 
@@ -150,31 +150,31 @@
 // answers relies on its own view of the fleet.
 func TestFollowingEnds(t *testing.T) {
 	cases := map[string]struct {
-		event   func(known *table)
+		event   func(tbl *table)
 		follows bool
 	}{
 		"no event": {func(*table) {}, true},
-		"source leaves": {func(known *table) {
+		"source leaves": {func(tbl *table) {
 			heartbeat := heartbeatFrom("1", 9)
 			heartbeat.Life, heartbeat.Leaving = 3, true
-			known.record(heartbeat, start)
+			tbl.record(heartbeat, start)
 		}, false},
-		"source restarts": {func(known *table) {
+		"source restarts": {func(tbl *table) {
 			heartbeat := heartbeatFrom("1", 1)
 			heartbeat.Life = 99
-			known.record(heartbeat, start)
+			tbl.record(heartbeat, start)
 		}, false},
-		"source doesn't answer": {func(known *table) { known.peers["1"].unanswered = maxUnanswered }, false},
-		"settled":               {func(known *table) { known.startedAt = start.Add(-time.Minute) }, false},
+		"source doesn't answer": {func(tbl *table) { tbl.peers["1"].unanswered = maxUnanswered }, false},
+		"settled":               {func(tbl *table) { tbl.startedAt = start.Add(-time.Minute) }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known := tables(20)["0"]
-			known.markStarted(start)
-			known.setSource("1")
-			tc.event(known)
-			current := known.newView(start)
+			tbl := tables(20)["0"]
+			tbl.markStarted(start)
+			tbl.setSource("1")
+			tc.event(tbl)
+			current := tbl.newView(start)
 			is.Equal(current.source != nil, tc.follows)
 			if tc.follows {
 				is.Equal(current.parent().id, "1")
@@ -189,8 +189,8 @@
 // among those that ask the store.
 func TestFollowersAreNotCandidates(t *testing.T) {
 	is := is.New(t)
-	known := tables(20)["0"]
-	first := known.newView(start).candidates[0]
-	known.record(&wire.GatewayBeat{Id: first.id, Life: first.incarnation, Address: first.address, Sequence: 2, StoreReachable: true, Follows: true}, start)
-	is.True(known.newView(start).candidates[0] != first)
+	tbl := tables(20)["0"]
+	first := tbl.newView(start).candidates[0]
+	tbl.record(&wire.GatewayBeat{Id: first.id, Life: first.incarnation, Address: first.address, Sequence: 2, StoreReachable: true, Follows: true}, start)
+	is.True(tbl.newView(start).candidates[0] != first)
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -60,14 +60,14 @@
 func (s *Service) Knows() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.currentView(clock.Now()).live, func(known *peer) bool { return known.revision > 0 })
+	return slices.ContainsFunc(s.currentView(clock.Now()).live, func(p *peer) bool { return p.revision > 0 })
 }
 
 // InTime reports whether another live gateway that accepts callers has less lag than a bound.
 func (s *Service) InTime(bound time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(s.currentView(clock.Now()).live, func(known *peer) bool {
-		return !known.leaving && known.revision > 0 && known.lag < bound
+	return slices.ContainsFunc(s.currentView(clock.Now()).live, func(p *peer) bool {
+		return !p.leaving && p.revision > 0 && p.lag < bound
 	})
 }
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -116,49 +116,49 @@
 // sender and its incarnation is unknown.
 func (t *table) record(heartbeat *wire.GatewayBeat, now time.Time) (*peer, change) {
 	if heartbeat.GetId() == "" {
-		known := t.byIncarnation[heartbeat.GetLife()]
-		if known == nil {
+		p := t.byIncarnation[heartbeat.GetLife()]
+		if p == nil {
 			return nil, outdated
 		}
-		heartbeat.Id, heartbeat.Address, heartbeat.HostClass = known.id, known.address, uint32(known.class)
+		heartbeat.Id, heartbeat.Address, heartbeat.HostClass = p.id, p.address, uint32(p.class)
 	}
-	known, ok := t.peers[heartbeat.GetId()]
-	if ok && known.incarnation == heartbeat.GetLife() && heartbeat.GetSequence() <= known.sequence {
-		return known, outdated
+	p, ok := t.peers[heartbeat.GetId()]
+	if ok && p.incarnation == heartbeat.GetLife() && heartbeat.GetSequence() <= p.sequence {
+		return p, outdated
 	}
 	result := unchanged
-	if !ok || known.incarnation != heartbeat.GetLife() {
+	if !ok || p.incarnation != heartbeat.GetLife() {
 		if ok {
-			delete(t.byIncarnation, known.incarnation)
+			delete(t.byIncarnation, p.incarnation)
 		}
-		known = &peer{id: heartbeat.GetId(), incarnation: heartbeat.GetLife(), askScore: askScore(heartbeat.GetId()), hash: policy.HashName(heartbeat.GetId())}
-		t.peers[known.id], t.byIncarnation[known.incarnation] = known, known
+		p = &peer{id: heartbeat.GetId(), incarnation: heartbeat.GetLife(), askScore: askScore(heartbeat.GetId()), hash: policy.HashName(heartbeat.GetId())}
+		t.peers[p.id], t.byIncarnation[p.incarnation] = p, p
 		result = found
 	}
-	if known.lost {
-		known.lost = false
+	if p.lost {
+		p.lost = false
 		result = found
 	}
-	known.address = heartbeat.GetAddress()
-	known.class = Class(min(heartbeat.GetHostClass(), maxClass))
-	known.lastHeartbeat = now
-	known.unanswered, known.unansweredLookups = 0, 0
-	known.sequence = heartbeat.GetSequence()
+	p.address = heartbeat.GetAddress()
+	p.class = Class(min(heartbeat.GetHostClass(), maxClass))
+	p.lastHeartbeat = now
+	p.unanswered, p.unansweredLookups = 0, 0
+	p.sequence = heartbeat.GetSequence()
 	if heartbeat.GetBare() {
-		return known, result
+		return p, result
 	}
-	known.revision = heartbeat.GetRevision()
-	known.reachesStore = heartbeat.GetStoreReachable()
-	known.leaving = heartbeat.GetLeaving()
-	known.follows = heartbeat.GetFollows()
-	known.alone = heartbeat.GetAlone()
-	known.lag = time.Duration(heartbeat.GetLagMs()) * time.Millisecond
-	known.proofAge = -1
+	p.revision = heartbeat.GetRevision()
+	p.reachesStore = heartbeat.GetStoreReachable()
+	p.leaving = heartbeat.GetLeaving()
+	p.follows = heartbeat.GetFollows()
+	p.alone = heartbeat.GetAlone()
+	p.lag = time.Duration(heartbeat.GetLagMs()) * time.Millisecond
+	p.proofAge = -1
 	if heartbeat.GetHasProof() {
-		known.proofAge = time.Duration(heartbeat.GetProofAgeMs()) * time.Millisecond
+		p.proofAge = time.Duration(heartbeat.GetProofAgeMs()) * time.Millisecond
 	}
-	delete(t.addresses, known.address)
-	return known, result
+	delete(t.addresses, p.address)
+	return p, result
 }
 
 // discover adds the addresses of unknown gateways.
@@ -174,8 +174,8 @@
 }
 
 func (t *table) hasPeerAt(address string) bool {
-	for _, known := range t.peers {
-		if known.address == address {
+	for _, p := range t.peers {
+		if p.address == address {
 			return true
 		}
 	}
@@ -195,10 +195,10 @@
 // live returns the peers that sent a heartbeat recently, ordered by id.
 func (t *table) live(now time.Time) []*peer {
 	var peers []*peer
-	longest := t.lostAfter()
-	for _, known := range t.peers {
-		if now.Sub(known.lastHeartbeat) <= longest {
-			peers = append(peers, known)
+	limit := t.lostAfter()
+	for _, p := range t.peers {
+		if now.Sub(p.lastHeartbeat) <= limit {
+			peers = append(peers, p)
 		}
 	}
 	slices.SortFunc(peers, func(a, b *peer) int { return cmp.Compare(a.id, b.id) })
@@ -224,12 +224,12 @@
 func (t *table) census(live int) Census {
 	census := Census{Live: live, Silent: len(t.addresses)}
 	own := policy.HashName(t.self)
-	for _, known := range t.peers {
-		if known.leaving {
+	for _, p := range t.peers {
+		if p.leaving {
 			continue
 		}
 		census.Known++
-		if known.hash < own {
+		if p.hash < own {
 			census.Preceding++
 		}
 	}
@@ -240,19 +240,19 @@
 // forgetAfter.
 func (t *table) expire(now time.Time) []*peer {
 	var lost []*peer
-	longest := t.lostAfter()
-	for id, known := range t.peers {
-		silent := now.Sub(known.lastHeartbeat)
-		if silent > longest && !known.lost {
-			known.lost = true
-			lost = append(lost, known)
+	limit := t.lostAfter()
+	for id, p := range t.peers {
+		silent := now.Sub(p.lastHeartbeat)
+		if silent > limit && !p.lost {
+			p.lost = true
+			lost = append(lost, p)
 		}
 		if silent > forgetAfter {
 			delete(t.peers, id)
-			delete(t.byIncarnation, known.incarnation)
-			delete(t.addresses, known.address)
-			if slices.Contains(t.seeds, known.address) {
-				t.addresses[known.address] = contactAttempts{}
+			delete(t.byIncarnation, p.incarnation)
+			delete(t.addresses, p.address)
+			if slices.Contains(t.seeds, p.address) {
+				t.addresses[p.address] = contactAttempts{}
 			}
 		}
 	}
@@ -282,9 +282,9 @@
 
 // dueAddresses returns the silent addresses to which a heartbeat is due.
 func (t *table) dueAddresses(now time.Time) []string {
-	for _, known := range t.peers {
-		if _, ok := t.addresses[known.address]; known.lost && !ok {
-			t.addresses[known.address] = contactAttempts{}
+	for _, p := range t.peers {
+		if _, ok := t.addresses[p.address]; p.lost && !ok {
+			t.addresses[p.address] = contactAttempts{}
 		}
 	}
 	var due []string
--- a/internal/peer/table_test.go
+++ b/internal/peer/table_test.go
@@ -20,44 +20,44 @@
 
 func TestRecordHeartbeat(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
-	_, change := known.record(heartbeatFrom("1", 5), start)
+	tbl := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
+	_, change := tbl.record(heartbeatFrom("1", 5), start)
 	is.Equal(change, found)
-	_, change = known.record(heartbeatFrom("1", 6), start)
+	_, change = tbl.record(heartbeatFrom("1", 6), start)
 	is.Equal(change, unchanged)
-	_, change = known.record(heartbeatFrom("1", 6), start) // duplicate
+	_, change = tbl.record(heartbeatFrom("1", 6), start) // duplicate
 	is.Equal(change, outdated)
-	_, change = known.record(heartbeatFrom("1", 2), start) // reordered in transit
+	_, change = tbl.record(heartbeatFrom("1", 2), start) // reordered in transit
 	is.Equal(change, outdated)
 	restarted := heartbeatFrom("1", 1)
 	restarted.Life = 2
-	_, change = known.record(restarted, start)
+	_, change = tbl.record(restarted, start)
 	is.Equal(change, found) // a new incarnation starts its own sequence
 }
 
 func TestLossAndReturn(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", nil, "10.0.0.9:9", 7000)
-	known.record(heartbeatFrom("1", 1), start)
-	is.Equal(len(known.expire(start.Add(minLostAfter))), 0)
+	tbl := newTable("self", nil, "10.0.0.9:9", 7000)
+	tbl.record(heartbeatFrom("1", 1), start)
+	is.Equal(len(tbl.expire(start.Add(minLostAfter))), 0)
 	later := start.Add(minLostAfter + time.Millisecond)
-	is.Equal(len(known.expire(later)), 1)
-	is.Equal(len(known.expire(later)), 0) // reported once
-	is.Equal(len(known.live(later)), 0)
-	is.Equal(known.dueAddresses(later), []string{"10.0.0.1:1"}) // it is still contacted
-	_, change := known.record(heartbeatFrom("1", 2), later)
+	is.Equal(len(tbl.expire(later)), 1)
+	is.Equal(len(tbl.expire(later)), 0) // reported once
+	is.Equal(len(tbl.live(later)), 0)
+	is.Equal(tbl.dueAddresses(later), []string{"10.0.0.1:1"}) // it is still contacted
+	_, change := tbl.record(heartbeatFrom("1", 2), later)
 	is.Equal(change, found)
-	is.Equal(len(known.live(later)), 1)
+	is.Equal(len(tbl.live(later)), 1)
 }
 
 func TestSeedsAreRetriedForever(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1", "10.0.0.9:9"}, "10.0.0.9:9", 7000)
-	is.Equal(known.dueAddresses(start), []string{"10.0.0.1:1"}) // not its own address
-	is.Equal(len(known.dueAddresses(start)), 0)
-	known.record(heartbeatFrom("1", 1), start)
-	known.expire(start.Add(forgetAfter + time.Second))
-	is.Equal(known.dueAddresses(start.Add(forgetAfter+2*time.Second)), []string{"10.0.0.1:1"})
+	tbl := newTable("self", []string{"10.0.0.1:1", "10.0.0.9:9"}, "10.0.0.9:9", 7000)
+	is.Equal(tbl.dueAddresses(start), []string{"10.0.0.1:1"}) // not its own address
+	is.Equal(len(tbl.dueAddresses(start)), 0)
+	tbl.record(heartbeatFrom("1", 1), start)
+	tbl.expire(start.Add(forgetAfter + time.Second))
+	is.Equal(tbl.dueAddresses(start.Add(forgetAfter+2*time.Second)), []string{"10.0.0.1:1"})
 }
 
 // TestStoreWatchers checks that among gateways that see each other exactly the required number ask
@@ -68,22 +68,22 @@
 		reaches := rapid.SliceOfN(rapid.Bool(), count, count).Draw(t, "reaches")
 		asking, first, reaching := 0, 0, 0
 		for self := range count {
-			known := newTable(fmt.Sprint(self), nil, "", 7000)
+			tbl := newTable(fmt.Sprint(self), nil, "", 7000)
 			for other := range count {
 				if other != self {
 					heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
 					heartbeat.StoreReachable = reaches[other]
-					known.record(heartbeat, start)
+					tbl.record(heartbeat, start)
 				}
 			}
 			if !reaches[self] {
 				continue
 			}
 			reaching++
-			if known.newView(start).asksStore() {
+			if tbl.newView(start).asksStore() {
 				asking++
 			}
-			if known.newView(start).rank == 0 {
+			if tbl.newView(start).rank == 0 {
 				first++
 			}
 		}
@@ -140,7 +140,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known := newTable("self", nil, "", 7000)
+			tbl := newTable("self", nil, "", 7000)
 			added := 0
 			for number := 0; added < tc.others; number++ {
 				id := fmt.Sprint(number)
@@ -149,10 +149,10 @@
 				}
 				heartbeat := heartbeatFrom(id, 1)
 				heartbeat.Life = uint64(number + 2)
-				known.record(heartbeat, start)
+				tbl.record(heartbeat, start)
 				added++
 			}
-			is.Equal(known.newView(start.Add(tc.silent)).asksStore(), tc.asks)
+			is.Equal(tbl.newView(start.Add(tc.silent)).asksStore(), tc.asks)
 		})
 	}
 }
@@ -162,21 +162,21 @@
 // each other only 0.7 to 1.1 s after their start.
 func TestRetryBackoffToSilentAddress(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
+	tbl := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
 	sent := make(map[time.Duration]int)
 	for at := time.Duration(0); at < 10*time.Second; at += 20 * time.Millisecond {
-		sent[at.Truncate(time.Second)] += len(known.dueAddresses(start.Add(at)))
+		sent[at.Truncate(time.Second)] += len(tbl.dueAddresses(start.Add(at)))
 	}
 	is.True(sent[0] >= 4)
 	is.Equal(sent[5*time.Second], 1)
 	is.Equal(sent[9*time.Second], 1)
 	// A peer that was heard and lost again is contacted soon, too, but not forever.
-	known.record(heartbeatFrom("2", 1), start)
-	is.Equal(len(known.addresses), 1)
+	tbl.record(heartbeatFrom("2", 1), start)
+	is.Equal(len(tbl.addresses), 1)
 	later := start.Add(minLostAfter + time.Millisecond)
-	known.expire(later)
-	is.True(slices.Contains(known.dueAddresses(later), "10.0.0.1:2"))
-	is.True(slices.Contains(known.dueAddresses(later.Add(firstRetryDelay<<1)), "10.0.0.1:2"))
-	known.expire(start.Add(forgetAfter + time.Second))
-	is.True(!slices.Contains(known.dueAddresses(start.Add(forgetAfter+time.Minute)), "10.0.0.1:2"))
+	tbl.expire(later)
+	is.True(slices.Contains(tbl.dueAddresses(later), "10.0.0.1:2"))
+	is.True(slices.Contains(tbl.dueAddresses(later.Add(firstRetryDelay<<1)), "10.0.0.1:2"))
+	tbl.expire(start.Add(forgetAfter + time.Second))
+	is.True(!slices.Contains(tbl.dueAddresses(start.Add(forgetAfter+time.Minute)), "10.0.0.1:2"))
 }
--- a/internal/peer/tree.go
+++ b/internal/peer/tree.go
@@ -67,8 +67,8 @@
 	if v.large {
 		v.source, v.readsStore = t.activeSource(now), t.readsStore(now)
 	}
-	v.candidates = slices.DeleteFunc(slices.Clone(v.live), func(known *peer) bool {
-		return known.leaving || known.follows || t.loaded && known.revision == 0 || !known.reachesStore || known.unanswered >= maxUnanswered || now.Sub(known.lastHeartbeat) > v.maxSilence
+	v.candidates = slices.DeleteFunc(slices.Clone(v.live), func(p *peer) bool {
+		return p.leaving || p.follows || t.loaded && p.revision == 0 || !p.reachesStore || p.unanswered >= maxUnanswered || now.Sub(p.lastHeartbeat) > v.maxSilence
 	})
 	slices.SortFunc(v.candidates, inAskOrder)
 	own := &peer{id: t.self, class: t.class, askScore: askScore(t.self)}
@@ -96,8 +96,8 @@
 }
 
 // peerAsksStore reports whether a peer is among those that ask the store.
-func (v *view) peerAsksStore(known *peer) bool {
-	place := slices.Index(v.candidates, known)
+func (v *view) peerAsksStore(p *peer) bool {
+	place := slices.Index(v.candidates, p)
 	if place < 0 {
 		return false
 	}
--- a/internal/peer/tree_test.go
+++ b/internal/peer/tree_test.go
@@ -44,12 +44,12 @@
 			all := tables(count)
 			parents := make(map[string]string)
 			asking := 0
-			for id, known := range all {
-				if parent := known.newView(start).parent(); parent != nil {
+			for id, tbl := range all {
+				if parent := tbl.newView(start).parent(); parent != nil {
 					parents[id] = parent.id
 				} else {
 					asking++
-					is.True(known.newView(start).asksStore())
+					is.True(tbl.newView(start).asksStore())
 				}
 			}
 			is.Equal(asking, watchers)
@@ -62,9 +62,9 @@
 				}
 				is.True(steps <= 3) // itself, one that forwards, one that asks the store
 			}
-			for id, known := range all {
+			for id, tbl := range all {
 				is.True(children[id] <= fanOut)
-				is.Equal(len(known.newView(start).children()), children[id]) // both sides agree
+				is.Equal(len(tbl.newView(start).children()), children[id]) // both sides agree
 			}
 		})
 	}
@@ -74,24 +74,24 @@
 // whatever the gateway knows of the others.
 func TestParentPrecedesChild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		known := newTable("self", nil, "", 7000)
+		tbl := newTable("self", nil, "", 7000)
 		for other := range rapid.IntRange(0, 60).Draw(t, "peers") {
 			heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
 			heartbeat.Life = uint64(other + 2)
 			heartbeat.StoreReachable = rapid.Bool().Draw(t, "reaches")
 			heartbeat.Leaving = rapid.Bool().Draw(t, "leaving")
 			lastHeartbeat := start.Add(-time.Duration(rapid.IntRange(0, 20000).Draw(t, "silent_ms")) * time.Millisecond)
-			known.record(heartbeat, lastHeartbeat)
-			known.peers[fmt.Sprint(other)].unanswered = rapid.IntRange(0, 4).Draw(t, "unanswered")
+			tbl.record(heartbeat, lastHeartbeat)
+			tbl.peers[fmt.Sprint(other)].unanswered = rapid.IntRange(0, 4).Draw(t, "unanswered")
 		}
-		parent := known.newView(start).parent()
+		parent := tbl.newView(start).parent()
 		if parent == nil {
 			return
 		}
 		if askScore(parent.id) <= askScore("self") || parent.leaving || !parent.reachesStore || parent.unanswered >= maxUnanswered {
 			t.Fatalf("parent is %+v", parent)
 		}
-		for _, child := range known.newView(start).children() {
+		for _, child := range tbl.newView(start).children() {
 			if askScore(child.id) >= askScore("self") {
 				t.Fatalf("child is %+v", child)
 			}
@@ -103,15 +103,15 @@
 // replaced long before it counts as lost.
 func TestUnresponsiveParentIsReplaced(t *testing.T) {
 	is := is.New(t)
-	known := tables(300)["17"]
-	first := known.newView(start).parent()
+	tbl := tables(300)["17"]
+	first := tbl.newView(start).parent()
 	first.unanswered = maxUnanswered
-	second := known.newView(start).parent()
+	second := tbl.newView(start).parent()
 	is.True(second != nil && second != first)
 	heartbeat := heartbeatFrom(first.id, 2)
 	heartbeat.Life = first.incarnation
-	known.record(heartbeat, start)
-	is.Equal(known.newView(start).parent(), first) // heard again
+	tbl.record(heartbeat, start)
+	is.Equal(tbl.newView(start).parent(), first) // heard again
 }
 
 // TestLossTimeoutGrowsWithPeers guards against a fixed timeout for lost peers. With 300 peers each
@@ -130,8 +130,8 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			known := tables(tc.peers + 1)["0"]
-			is.New(t).Equal(len(known.live(start.Add(tc.silent))) > 0, tc.live)
+			tbl := tables(tc.peers + 1)["0"]
+			is.New(t).Equal(len(tbl.live(start.Add(tc.silent))) > 0, tc.live)
 		})
 	}
 }
@@ -201,8 +201,8 @@
 	is := is.New(t)
 	for _, count := range []int{30, 100} {
 		notified := 0
-		for _, known := range tables(count) {
-			notified += len(known.newView(start).children())
+		for _, tbl := range tables(count) {
+			notified += len(tbl.newView(start).children())
 		}
 		is.Equal(notified, count-watchers)
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -64,10 +64,10 @@
 
 // Normal returns the record in the form that the fields' comments promise, whatever its origin.
 func (r Record) Normal() Record {
-	lives := slices.Clone(r.Instances)
-	slices.Sort(lives)
-	lives = slices.Compact(lives)
-	r.Instances = lives[:min(len(lives), maxInstances)]
+	instances := slices.Clone(r.Instances)
+	slices.Sort(instances)
+	instances = slices.Compact(instances)
+	r.Instances = instances[:min(len(instances), maxInstances)]
 	if r.UnrunTrials = min(r.UnrunTrials, r.Trials); r.Trials == r.UnrunTrials {
 		r.TrialInstance = 0
 	}
@@ -77,8 +77,8 @@
 // Equal reports whether two records are the same.
 func (r Record) Equal(other Record) bool {
 	same := r.Fingerprint == other.Fingerprint && r.Epoch == other.Epoch
-	tried := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialInstance == other.TrialInstance
-	return same && tried && slices.Equal(r.Instances, other.Instances)
+	sameTrial := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialInstance == other.TrialInstance
+	return same && sameTrial && slices.Equal(r.Instances, other.Instances)
 }
 
 // Change describes the effect of an update on a request's record.
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -137,11 +137,11 @@
 
 // clear clears a request if any crashes are recorded for it. The caller holds t.mu.
 func (t *Table) clear(fingerprint Fingerprint, now time.Time) Change {
-	known, ok := t.entries[fingerprint]
-	if !ok || len(known.Instances) == 0 {
+	e, ok := t.entries[fingerprint]
+	if !ok || len(e.Instances) == 0 {
 		return Change{}
 	}
-	return t.apply(Record{Fingerprint: fingerprint, Epoch: known.Epoch + 1}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: e.Epoch + 1}, now)
 }
 
 // Merge applies another gateway's record. If the request is about to be held, or is held already,
@@ -150,10 +150,10 @@
 func (t *Table) Merge(other Record, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[other.Fingerprint]
+	e, ok := t.entries[other.Fingerprint]
 	before := 0
 	if ok {
-		before = len(known.Instances)
+		before = len(e.Instances)
 	}
 	change := t.apply(other, now)
 	if !change.Changed || !change.Suspicious() || !t.consumeAnswer(other.Fingerprint, now) {
@@ -169,40 +169,40 @@
 	change := t.Merge(stored, now)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if known, ok := t.entries[stored.Fingerprint]; ok && known.Equal(stored) {
-		known.restored = true
+	if e, ok := t.entries[stored.Fingerprint]; ok && e.Equal(stored) {
+		e.restored = true
 	}
 	return change
 }
 
 // apply joins a record with the known one. The caller holds t.mu.
 func (t *Table) apply(other Record, now time.Time) Change {
-	known, ok := t.entries[other.Fingerprint]
-	if ok && known.expired(now) {
-		t.remove(known)
+	e, ok := t.entries[other.Fingerprint]
+	if ok && e.expired(now) {
+		t.remove(e)
 		ok = false
 	}
 	if !ok {
-		known = &entry{Record: Record{Fingerprint: other.Fingerprint}}
+		e = &entry{Record: Record{Fingerprint: other.Fingerprint}}
 	}
-	joined := known.join(other)
-	change := Change{Record: joined, Before: len(known.Instances), Changed: !joined.Equal(known.Record), NewToSender: !joined.Equal(other)}
+	joined := e.join(other)
+	change := Change{Record: joined, Before: len(e.Instances), Changed: !joined.Equal(e.Record), NewToSender: !joined.Equal(other)}
 	if !change.Changed {
 		return change
 	}
 	if !ok {
 		t.evict(now)
-		t.entries[other.Fingerprint] = known
+		t.entries[other.Fingerprint] = e
 	}
-	t.digest ^= known.digest() ^ joined.digest()
-	known.Record, known.changedAt, known.restored = joined, now, false
+	t.digest ^= e.digest() ^ joined.digest()
+	e.Record, e.changedAt, e.restored = joined, now, false
 	t.changes++
 	return change
 }
 
 func (t *Table) epochOf(fingerprint Fingerprint) uint32 {
-	if known, ok := t.entries[fingerprint]; ok {
-		return known.Epoch
+	if e, ok := t.entries[fingerprint]; ok {
+		return e.Epoch
 	}
 	return 0
 }
@@ -219,28 +219,28 @@
 	}
 	const share = 8
 	all := make([]*entry, 0, len(t.entries))
-	for _, known := range t.entries {
-		all = append(all, known)
+	for _, e := range t.entries {
+		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(len(a.Instances), len(b.Instances)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
-	for _, known := range all[:len(all)/share] {
-		t.remove(known)
+	for _, e := range all[:len(all)/share] {
+		t.remove(e)
 	}
 }
 
 // remove deletes a record. The caller holds t.mu.
-func (t *Table) remove(known *entry) {
-	t.digest ^= known.digest()
-	delete(t.entries, known.Fingerprint)
+func (t *Table) remove(e *entry) {
+	t.digest ^= e.digest()
+	delete(t.entries, e.Fingerprint)
 }
 
 // expire removes records that no longer have any effect. The caller holds t.mu.
 func (t *Table) expire(now time.Time) {
-	for _, known := range t.entries {
-		if known.expired(now) {
-			t.remove(known)
+	for _, e := range t.entries {
+		if e.expired(now) {
+			t.remove(e)
 		}
 	}
 }
@@ -249,16 +249,16 @@
 func (t *Table) Held(fingerprint Fingerprint, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	return ok && known.isHeld(now)
+	e, ok := t.entries[fingerprint]
+	return ok && e.isHeld(now)
 }
 
 // Suspicious reports whether a request was in flight at so many crashes that one more holds it.
 func (t *Table) Suspicious(fingerprint Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	return ok && known.Suspicious()
+	e, ok := t.entries[fingerprint]
+	return ok && e.Suspicious()
 }
 
 // Empty reports whether the table has no records.
@@ -292,9 +292,9 @@
 	defer t.mu.Unlock()
 	t.expire(now)
 	records := make([]Record, 0, len(t.entries))
-	for _, known := range t.entries {
-		if len(known.Instances) >= minCrashes {
-			records = append(records, known.Record)
+	for _, e := range t.entries {
+		if len(e.Instances) >= minCrashes {
+			records = append(records, e.Record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
@@ -324,9 +324,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var cases []HeldRequest
-	for _, known := range t.entries {
-		if known.isHeld(now) {
-			cases = append(cases, HeldRequest{Fingerprint: known.Fingerprint, Crashes: len(known.Instances), Remaining: known.term() - now.Sub(known.changedAt)})
+	for _, e := range t.entries {
+		if e.isHeld(now) {
+			cases = append(cases, HeldRequest{Fingerprint: e.Fingerprint, Crashes: len(e.Instances), Remaining: e.term() - now.Sub(e.changedAt)})
 		}
 	}
 	slices.SortFunc(cases, func(a, b HeldRequest) int {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -43,8 +43,8 @@
 func TestHoldTerms(t *testing.T) {
 	now := time.Now()
 	cases := map[string]struct {
-		ends int
-		term time.Duration
+		crashes int
+		term    time.Duration
 	}{
 		"three":      {3, quarantine.FirstTerm},
 		"four":       {4, 2 * time.Hour},
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			table := quarantine.New()
-			crash(table, testFingerprint, 1, tc.ends, now)
+			crash(table, testFingerprint, 1, tc.crashes, now)
 			is.True(table.Held(testFingerprint, now.Add(tc.term-time.Second)))
 			is.True(!table.Held(testFingerprint, now.Add(tc.term)))
 		})
@@ -67,13 +67,13 @@
 // intervals of up to an hour, crashes at most three more targets after the third one within a day.
 func TestInfrequentFatalRequest(t *testing.T) {
 	const maxLater = 3
-	for _, every := range []time.Duration{time.Second, time.Minute, 9 * time.Minute, 15 * time.Minute, 25 * time.Minute, 55 * time.Minute} {
-		t.Run(every.String(), func(t *testing.T) {
+	for _, interval := range []time.Duration{time.Second, time.Minute, 9 * time.Minute, 15 * time.Minute, 25 * time.Minute, 55 * time.Minute} {
+		t.Run(interval.String(), func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
 			table := quarantine.New()
 			crashes := 0
-			for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(every) {
+			for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(interval) {
 				table.Records(now) // removes expired records, as the checkpoint does regularly
 				if table.Held(testFingerprint, now) {
 					continue
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -61,12 +61,12 @@
 func (t *Table) Verdict(fingerprint Fingerprint, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	if !ok || !known.isHeld(now) {
+	e, ok := t.entries[fingerprint]
+	if !ok || !e.isHeld(now) {
 		return Sendable
 	}
-	blame := t.blame(known)
-	if blame.explained || known.unsettled(blame, now) {
+	blame := t.blame(e)
+	if blame.explained || e.unsettled(blame, now) {
 		return Doubtful
 	}
 	return Fatal
@@ -77,8 +77,8 @@
 func (t *Table) MayStartTrial(fingerprint Fingerprint, rank int, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	return ok && t.mayStartTrial(known, rank, now)
+	e, ok := t.entries[fingerprint]
+	return ok && t.mayStartTrial(e, rank, now)
 }
 
 // StartTrial starts a trial at an instance of a target if MayStartTrial holds. The caller has to
@@ -86,14 +86,14 @@
 func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Instance, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	if !ok || !t.mayStartTrial(known, rank, now) {
+	e, ok := t.entries[fingerprint]
+	if !ok || !t.mayStartTrial(e, rank, now) {
 		return Change{}, false
 	}
-	tried := known.Record
-	tried.Trials++
-	tried.TrialInstance = instance
-	return t.apply(tried, now), true
+	updated := e.Record
+	updated.Trials++
+	updated.TrialInstance = instance
+	return t.apply(updated, now), true
 }
 
 // TrialNotRun records that no target ran the trial that started at an instance, so that another
@@ -101,35 +101,35 @@
 func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Instance, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known, ok := t.entries[fingerprint]
-	if !ok || known.TrialInstance != instance || instance == 0 {
+	e, ok := t.entries[fingerprint]
+	if !ok || e.TrialInstance != instance || instance == 0 {
 		return Change{}
 	}
-	ended := known.Record
-	ended.UnrunTrials++
-	ended.TrialInstance = 0
-	return t.apply(ended, now)
+	updated := e.Record
+	updated.UnrunTrials++
+	updated.TrialInstance = 0
+	return t.apply(updated, now)
 }
 
 // mayStartTrial is MayStartTrial for callers that hold t.mu.
-func (t *Table) mayStartTrial(known *entry, rank int, now time.Time) bool {
-	if !known.isHeld(now) || known.Trials-known.UnrunTrials >= MaxTrials {
+func (t *Table) mayStartTrial(e *entry, rank int, now time.Time) bool {
+	if !e.isHeld(now) || e.Trials-e.UnrunTrials >= MaxTrials {
 		return false
 	}
-	if known.TrialInstance != 0 && !known.trialCrashed() && now.Sub(known.changedAt) < trialTimeout {
+	if e.TrialInstance != 0 && !e.trialCrashed() && now.Sub(e.changedAt) < trialTimeout {
 		return false
 	}
-	blame := t.blame(known)
+	blame := t.blame(e)
 	quiet := trialQuiet + time.Duration(rank)*trialStagger
-	return blame.explained && now.Sub(blame.changedAt) >= quiet && t.isNext(known, now)
+	return blame.explained && now.Sub(blame.changedAt) >= quiet && t.isNext(e, now)
 }
 
 // isNext reports whether no request that shares a crash is to be tried first. The caller holds
 // t.mu.
-func (t *Table) isNext(known *entry, now time.Time) bool {
+func (t *Table) isNext(e *entry, now time.Time) bool {
 	for _, other := range t.entries {
-		hasPriority := other != known && other.isHeld(now) && now.Sub(other.changedAt) < trialQuiet+trialOrderWait
-		if hasPriority && other.triedBefore(known) && other.sharesCrash(known) && t.blame(other).explained {
+		hasPriority := other != e && other.isHeld(now) && now.Sub(other.changedAt) < trialQuiet+trialOrderWait
+		if hasPriority && other.triedBefore(e) && other.sharesCrash(e) && t.blame(other).explained {
 			return false
 		}
 	}
@@ -160,11 +160,11 @@
 }
 
 // blame compares a request with all others. The caller holds t.mu.
-func (t *Table) blame(known *entry) blame {
-	result := blame{changedAt: known.changedAt}
-	unexplained, uncovered := slices.Clone(known.Instances), slices.Clone(known.Instances)
+func (t *Table) blame(e *entry) blame {
+	result := blame{changedAt: e.changedAt}
+	unexplained, uncovered := slices.Clone(e.Instances), slices.Clone(e.Instances)
 	for _, other := range t.entries {
-		if other == known || !other.sharesCrash(known) {
+		if other == e || !other.sharesCrash(e) {
 			continue
 		}
 		if other.changedAt.After(result.changedAt) {
@@ -179,7 +179,7 @@
 		}
 	}
 	result.explained, result.covered = len(unexplained) <= maxUnexplained, len(uncovered) == 0
-	if known.trialCrashed() && slices.Contains(unexplained, known.TrialInstance) {
+	if e.trialCrashed() && slices.Contains(unexplained, e.TrialInstance) {
 		result.explained = false
 	}
 	return result
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -154,8 +154,8 @@
 	now = now.Add(quiet)
 	is.True(!table.MayStartTrial(shared, 100, now)) // gateways of lower rank may try it first
 	is.True(!table.MayStartTrial(fatalOne, 0, now))
-	change, begun := table.StartTrial(shared, 0, 99, now)
-	is.True(begun)
+	change, started := table.StartTrial(shared, 0, 99, now)
+	is.True(started)
 	is.True(change.Changed)
 	is.True(change.Broadcast()) // all gateways need it
 	_, again := table.StartTrial(shared, 0, 98, now)
@@ -180,8 +180,8 @@
 	now := time.Now().Add(quiet)
 	table := twoFatalAndShared(now.Add(-quiet))
 	const tried, other = 99, 100
-	_, begun := table.StartTrial(shared, 0, tried, now)
-	is.True(begun)
+	_, started := table.StartTrial(shared, 0, tried, now)
+	is.True(started)
 	table.Crashed(shared, tried, now)
 	is.Equal(table.Verdict(shared, now), quarantine.Fatal)
 	is.True(!table.MayStartTrial(shared, 0, now.Add(quiet)))
@@ -201,11 +201,11 @@
 	table := twoFatalAndShared(now)
 	for trial := range quarantine.MaxTrials {
 		now = now.Add(time.Minute)
-		_, begun := table.StartTrial(shared, 0, quarantine.Instance(90+trial), now)
-		is.True(begun)
+		_, started := table.StartTrial(shared, 0, quarantine.Instance(90+trial), now)
+		is.True(started)
 	}
-	_, begun := table.StartTrial(shared, 0, 80, now.Add(time.Minute))
-	is.True(!begun)
+	_, started := table.StartTrial(shared, 0, 80, now.Add(time.Minute))
+	is.True(!started)
 }
 
 // TestTrialNotRun checks that a trial that no target ran doesn't count, on all gateways that knew
@@ -215,8 +215,8 @@
 	now := time.Now().Add(quiet)
 	table, others := twoFatalAndShared(now.Add(-quiet)), twoFatalAndShared(now.Add(-quiet))
 	for range 2 * quarantine.MaxTrials {
-		change, begun := table.StartTrial(shared, 0, 90, now)
-		is.True(begun)
+		change, started := table.StartTrial(shared, 0, 90, now)
+		is.True(started)
 		others.Merge(change.Record, now)
 		is.True(!table.TrialNotRun(shared, 91, now).Changed) // a trial at another instance
 		change = table.TrialNotRun(shared, 90, now)
--- a/internal/replica/page.go
+++ b/internal/replica/page.go
@@ -19,9 +19,9 @@
 	}
 	pull := &wire.ReplicaPull{Since: c.revision, Packs: true, PacksPages: true}
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
-		known := c.records[key]
-		if len(known.Value) >= largeValue {
-			pull.Held = append(pull.Held, &wire.HeldValue{Key: key, Revision: known.Revision})
+		rec := c.records[key]
+		if len(rec.Value) >= largeValue {
+			pull.Held = append(pull.Held, &wire.HeldValue{Key: key, Revision: rec.Revision})
 		}
 	}
 	return pull
@@ -84,21 +84,21 @@
 	defer c.mu.Unlock()
 	page := &wire.ReplicaPage{Revision: c.revision, Whole: since < c.floor || since == 0}
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
-		known := c.records[key]
-		if known.Revision <= since && !page.Whole || known.Gone && page.Whole {
+		rec := c.records[key]
+		if rec.Revision <= since && !page.Whole || rec.Gone && page.Whole {
 			continue
 		}
 		if c.startupOnly[key] && !page.Whole {
 			continue
 		}
-		item := &wire.ReplicaItem{Key: key, Revision: known.Revision, Gone: known.Gone}
+		item := &wire.ReplicaItem{Key: key, Revision: rec.Revision, Gone: rec.Gone}
 		switch {
 		case !pull.GetPacks():
-			item.Value = known.Value
-		case known.Revision <= since && !c.startupOnly[key]:
+			item.Value = rec.Value
+		case rec.Revision <= since && !c.startupOnly[key]:
 			item.Kept = true
 		default:
-			known.pack(item, held[key])
+			rec.pack(item, held[key])
 		}
 		page.Items = append(page.Items, item)
 	}
@@ -178,8 +178,8 @@
 // unpack reads one item of a page. The caller holds c.mu.
 func (c *Copy) unpack(packed *wire.ReplicaItem) (receivedItem, error) {
 	item := receivedItem{Item: Item{Key: packed.GetKey(), Value: packed.GetValue(), Revision: packed.GetRevision(), Gone: packed.GetGone()}}
-	known := c.records[item.Key]
-	if known != nil && known.Revision >= item.Revision {
+	rec := c.records[item.Key]
+	if rec != nil && rec.Revision >= item.Revision {
 		return item, nil // applyChange will ignore it
 	}
 	var err error
@@ -187,7 +187,7 @@
 	case packed.GetKept():
 		err = errNotHeld
 	case len(packed.GetPatches()) > 0:
-		item.Value, item.patches, err = known.applyPatches(packed.GetPatches(), item.Revision)
+		item.Value, item.patches, err = rec.applyPatches(packed.GetPatches(), item.Revision)
 	case len(packed.GetPacked()) > 0:
 		item.Value, err = decompress(packed.GetPacked(), nil)
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -88,8 +88,8 @@
 func (c *Copy) Value(key string) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if known, ok := c.records[key]; ok && !known.Gone {
-		return known.Value
+	if rec, ok := c.records[key]; ok && !rec.Gone {
+		return rec.Value
 	}
 	return nil
 }
@@ -124,8 +124,8 @@
 func (c *Copy) dropMissing(present map[string]bool, revision int64) {
 	c.floor = max(c.floor, revision)
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
-		known := c.records[key]
-		if !known.Gone && !present[key] && known.Revision <= revision {
+		rec := c.records[key]
+		if !rec.Gone && !present[key] && rec.Revision <= revision {
 			c.applyChange(Item{Key: key, Revision: revision, Gone: true}, nil)
 		}
 	}
@@ -141,8 +141,8 @@
 // applyChange applies one change, unless a newer one of its key is known. The patches that brought
 // it are kept; if there are none, one is created. The caller holds c.mu.
 func (c *Copy) applyChange(change Item, patches []patch) {
-	known, ok := c.records[change.Key]
-	if ok && change.Revision <= known.Revision {
+	rec, ok := c.records[change.Key]
+	if ok && change.Revision <= rec.Revision {
 		return
 	}
 	if !ok && change.Gone {
@@ -157,7 +157,7 @@
 		c.readable = false
 	}
 	if ok && !c.startupOnly[change.Key] {
-		updated.patches = known.patchesTo(change, patches)
+		updated.patches = rec.patchesTo(change, patches)
 	}
 }
 
@@ -180,14 +180,14 @@
 // trimRemoved drops the removed keys when there are too many. The caller holds c.mu.
 func (c *Copy) trimRemoved() {
 	removed := 0
-	for _, known := range c.records {
-		if known.Gone {
+	for _, rec := range c.records {
+		if rec.Gone {
 			removed++
 		}
 	}
 	if removed <= maxRemoved {
 		return
 	}
-	maps.DeleteFunc(c.records, func(_ string, known *record) bool { return known.Gone })
+	maps.DeleteFunc(c.records, func(_ string, rec *record) bool { return rec.Gone })
 	c.floor = c.revision
 }
