--- a/internal/peer/broadcast_test.go
+++ b/internal/peer/broadcast_test.go
@@ -45,9 +45,9 @@
 	is := is.New(t)
 	tbl := tables(30)["0"]
 	live := tbl.live(start)
-	for place, to := range live {
+	for index, to := range live {
 		to.heartbeatSentAt = start
-		if place == 11 {
+		if index == 11 {
 			to.heartbeatSentAt = start.Add(-10 * tbl.heartbeatInterval())
 		}
 	}
@@ -78,8 +78,8 @@
 		}
 	}
 	sortForBroadcast(live, n.hash)
-	for place, p := range live {
-		is.Equal(p.alone, place < 6)
+	for index, p := range live {
+		is.Equal(p.alone, index < 6)
 	}
 	addresses := n.sampleAddresses(now, "")
 	is.Equal(len(addresses), maxKnownAddresses)
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -173,9 +173,9 @@
 	return uint32(hash >> 32)
 }
 
-// addPlacements adds the prompt parts that were placed since the last heartbeat. In a large fleet
-// only the gateways that ask the store get them, for the checkpoint; the others look up what they
-// need.
+// addPlacements adds the prompt parts that were placed since the last heartbeat to the peer. In a
+// large fleet only the gateways that ask the store get them, for the checkpoint; the others look
+// up what they need.
 func (s *Service) addPlacements(heartbeat *wire.GatewayBeat, to *peer, now time.Time) {
 	if current := s.currentView(now); current.large && !current.peerAsksStore(to) {
 		return
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -62,7 +62,7 @@
 	record quarantine.Record
 	// broadcast selects random peers as receivers, instead of the request's keepers.
 	broadcast bool
-	// reposted reports that the record was sent before, to the previous keepers of the request.
+	// reposted reports whether the record was sent before, to the previous keepers of the request.
 	reposted  bool
 	remaining int
 }
@@ -74,7 +74,8 @@
 	// repostBucket limits the part of bucket that records which are sent again may use.
 	repostBucket *rate.Limiter
 	pending      map[quarantine.Fingerprint]*outgoingRecord
-	// peersChanged reports that gateways have come or gone, so that some requests have new keepers.
+	// peersChanged reports whether gateways have come or gone, so that some requests have new
+	// keepers.
 	peersChanged bool
 	repostedAt   time.Time
 }
@@ -89,35 +90,35 @@
 }
 
 // enqueue schedules a record for the next rounds.
-func (m *crashQueue) enqueue(record quarantine.Record, broadcast bool, rounds int) {
-	if queued, ok := m.pending[record.Fingerprint]; ok {
+func (q *crashQueue) enqueue(record quarantine.Record, broadcast bool, rounds int) {
+	if queued, ok := q.pending[record.Fingerprint]; ok {
 		broadcast, rounds = broadcast || queued.broadcast, max(rounds, queued.remaining)
-	} else if len(m.pending) >= maxPending && !broadcast {
+	} else if len(q.pending) >= maxPending && !broadcast {
 		return // it is sent again when gateways come or go, or with the request's next crash
 	}
-	m.pending[record.Fingerprint] = &outgoingRecord{record: record, broadcast: broadcast, remaining: rounds}
+	q.pending[record.Fingerprint] = &outgoingRecord{record: record, broadcast: broadcast, remaining: rounds}
 }
 
 // enqueueRepost schedules a record for one more sending, unless it is scheduled anyway.
-func (m *crashQueue) enqueueRepost(record quarantine.Record) {
-	if _, ok := m.pending[record.Fingerprint]; !ok && len(m.pending) < maxPending {
-		m.pending[record.Fingerprint] = &outgoingRecord{record: record, reposted: true, remaining: 1}
+func (q *crashQueue) enqueueRepost(record quarantine.Record) {
+	if _, ok := q.pending[record.Fingerprint]; !ok && len(q.pending) < maxPending {
+		q.pending[record.Fingerprint] = &outgoingRecord{record: record, reposted: true, remaining: 1}
 	}
 }
 
 // allowRepost reports whether the budget allows sending a record again to a number of peers.
-func (m *crashQueue) allowRepost(record quarantine.Record, peers int) bool {
-	return m.repostBucket.AllowN(time.Now(), peers*proto.Size(record.Message()))
+func (q *crashQueue) allowRepost(record quarantine.Record, peers int) bool {
+	return q.repostBucket.AllowN(time.Now(), peers*proto.Size(record.Message()))
 }
 
 // due returns the records to send now, those with the most crashes first, and counts down their
 // remaining rounds.
-func (m *crashQueue) due() []outgoingRecord {
-	all := make([]outgoingRecord, 0, len(m.pending))
-	for fingerprint, queued := range m.pending {
+func (q *crashQueue) due() []outgoingRecord {
+	all := make([]outgoingRecord, 0, len(q.pending))
+	for fingerprint, queued := range q.pending {
 		all = append(all, *queued)
 		if queued.remaining--; queued.remaining <= 0 {
-			delete(m.pending, fingerprint)
+			delete(q.pending, fingerprint)
 		}
 	}
 	slices.SortFunc(all, func(a, b outgoingRecord) int {
@@ -186,12 +187,12 @@
 	first := make([]scoredPeer, 0, CrashKeepers+1)
 	add := func(p *peer, hash uint64) {
 		entry := scoredPeer{p, policy.Score(uint64(fingerprint), hash)}
-		at := len(first)
-		for at > 0 && first[at-1].score < entry.score {
-			at--
+		index := len(first)
+		for index > 0 && first[index-1].score < entry.score {
+			index--
 		}
-		if at < CrashKeepers {
-			first = slices.Insert(first, at, entry)
+		if index < CrashKeepers {
+			first = slices.Insert(first, index, entry)
 			first = first[:min(len(first), CrashKeepers)]
 		}
 	}
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -354,11 +354,11 @@
 func TestRepostBudget(t *testing.T) {
 	is := is.New(t)
 	const budget, seconds = 7000, 10
-	mail := newCrashQueue(quarantine.New(), budget)
+	queue := newCrashQueue(quarantine.New(), budget)
 	sent := 0
 	for i := range 100_000 {
 		record := quarantine.Record{Fingerprint: quarantine.Fingerprint(i), Instances: []quarantine.Instance{1}}
-		if mail.allowRepost(record, CrashKeepers) {
+		if queue.allowRepost(record, CrashKeepers) {
 			sent += CrashKeepers * proto.Size(record.Message())
 		}
 	}
--- a/internal/peer/replica.go
+++ b/internal/peer/replica.go
@@ -118,7 +118,7 @@
 func (s *Service) applyPage(reply *wire.Reply, asked time.Time) error {
 	page := reply.GetReplica()
 	if page == nil {
-		return errors.New("the peer sent no replica")
+		return errors.New("peer sent no replica page")
 	}
 	if err := s.options.Replica.Absorb(page); err != nil {
 		return err
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -73,8 +73,8 @@
 type selfCandidacy struct {
 	// hash is the hash of this process's id.
 	hash uint64
-	// eligible reports that the process has a copy of the store's content and is not leaving;
-	// reachesStore reports that the last call to the store was answered.
+	// eligible reports whether the process has a copy of the store's content and is not leaving;
+	// reachesStore reports whether the last call to the store was answered.
 	eligible, reachesStore bool
 }
 
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -45,7 +45,8 @@
 	// countsInterval is how long sending a heartbeat to each peer may take so that heartbeats can
 	// carry more counts.
 	countsInterval = time.Second
-	// Sizes in bytes of a heartbeat without counts, and of one count.
+	// baseHeartbeatSize and countSize are the sizes in bytes of a heartbeat without counts and of
+	// one count.
 	baseHeartbeatSize = 50
 	countSize         = 5
 	// senderEvery is the number of heartbeats to a peer after which one names its sender again; the
@@ -149,7 +150,7 @@
 	// refused are targets at whose addresses nothing listens; a few peers are notified of them in
 	// the next round.
 	refused []uint32
-	// What the last round of heartbeats reported.
+	// lastCounts and the fields below hold what the last round of heartbeats reported.
 	lastCounts   []balance.Count
 	lastTotals   []balance.Total
 	lastFills    []balance.Placement
@@ -214,7 +215,7 @@
 	s.cancel()
 	err := s.conn.Close()
 	s.wait.Wait()
-	return errors.Wrap(err, "close the peers' socket")
+	return errors.Wrap(err, "close peer socket")
 }
 
 // Leave tells the peers that this process is about to stop.
--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// minLostAfter is the silence after which a peer counts as lost. It is longer in a fleet so
-	// large that heartbeats are rarer: maxMissedHeartbeats heartbeats.
+	// minLostAfter is the silence after which a peer counts as lost. In a fleet so large that each
+	// peer gets heartbeats less often, it is maxMissedHeartbeats heartbeat intervals.
 	minLostAfter        = 2 * time.Second
 	maxMissedHeartbeats = 3
 	// typicalHeartbeatSize is the typical size of a heartbeat, in bytes.
@@ -31,16 +31,16 @@
 	revision int64
 	// proofAge is the age of its proof when it sent the heartbeat; negative for none.
 	proofAge time.Duration
-	// reachesStore reports that its last call to the store was answered.
+	// reachesStore reports whether its last call to the store was answered.
 	reachesStore bool
 	leaving      bool
-	// alone reports that it heard no other gateway when it sent its last heartbeat.
+	// alone reports whether it heard no other gateway when it sent its last heartbeat.
 	alone bool
-	// follows reports that it has recently started and follows another gateway.
+	// follows reports whether it has recently started and follows another gateway.
 	follows bool
 	// lag is how late its timers fired when it sent its last heartbeat.
 	lag time.Duration
-	// lost reports that its loss has been reported.
+	// lost reports whether its loss has been reported to the watcher.
 	lost bool
 	// nextPlacement is the number of the next placement to report to it.
 	nextPlacement int
@@ -84,9 +84,9 @@
 	// copy of the store; nil if it has read the store itself.
 	startedAt time.Time
 	source    *peer
-	// hasSettled reports that it has had the time to hear the others.
+	// hasSettled reports whether it has had the time to hear the others.
 	hasSettled bool
-	// loaded reports that it has a copy of the store.
+	// loaded reports whether it has a copy of the store.
 	loaded bool
 }
 
--- a/internal/peer/tree.go
+++ b/internal/peer/tree.go
@@ -41,7 +41,7 @@
 	class Class
 	// live are the peers that sent a heartbeat recently, ordered by id.
 	live []*peer
-	// large reports that there are too many peers to send all of them everything.
+	// large reports whether there are too many peers to send all of them everything.
 	large bool
 	// maxSilence is how long a gateway that asks the store or decides may be silent.
 	maxSilence time.Duration
@@ -52,7 +52,7 @@
 	rank int
 	// source is the peer that this recently started gateway follows; nil for none.
 	source *peer
-	// readsStore reports that this gateway has recently started and read the store itself.
+	// readsStore reports whether this gateway has recently started and read the store itself.
 	readsStore bool
 }
 
@@ -97,14 +97,14 @@
 
 // peerAsksStore reports whether a peer is among those that ask the store.
 func (v *view) peerAsksStore(p *peer) bool {
-	place := slices.Index(v.candidates, p)
-	if place < 0 {
+	rank := slices.Index(v.candidates, p)
+	if rank < 0 {
 		return false
 	}
-	if v.source == nil && place >= v.rank {
-		place++ // this gateway precedes it
+	if v.source == nil && rank >= v.rank {
+		rank++ // this gateway precedes it
 	}
-	return place < watchers
+	return rank < watchers
 }
 
 func askScore(id string) uint64 {
@@ -143,11 +143,11 @@
 	case v.readsStore:
 		return nil
 	}
-	place := parentRank(v.rank)
-	if place < 0 || place >= len(v.candidates) {
+	rank := parentRank(v.rank)
+	if rank < 0 || rank >= len(v.candidates) {
 		return nil
 	}
-	return v.candidates[place]
+	return v.candidates[rank]
 }
 
 // children returns the peers that get the store's changes from this gateway.
@@ -156,10 +156,10 @@
 		return nil
 	}
 	var children []*peer
-	for place := v.rank; place < len(v.candidates); place++ {
+	for index := v.rank; index < len(v.candidates); index++ {
 		// This gateway precedes all of them, so their rank is one higher.
-		if parentRank(place+1) == v.rank {
-			children = append(children, v.candidates[place])
+		if parentRank(index+1) == v.rank {
+			children = append(children, v.candidates[index])
 		}
 	}
 	return children
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -62,7 +62,7 @@
 	return r.Normal()
 }
 
-// Normal returns the record in the form that the fields' comments promise, whatever its origin.
+// Normal returns the record in the form that its fields' comments describe, whatever its origin.
 func (r Record) Normal() Record {
 	instances := slices.Clone(r.Instances)
 	slices.Sort(instances)
@@ -87,10 +87,10 @@
 	Record
 	// Before is the number of crashes that were recorded before the update.
 	Before int
-	// Changed reports that the record has changed. NewToSender reports that it differs from the
-	// record that was received, so the sender needs it.
+	// Changed reports whether the record has changed. NewToSender reports whether it differs from
+	// the record that was received, so that the sender needs it.
 	Changed, NewToSender bool
-	// clearedOnMerge reports that this process has cleared the crashes that other gateways
+	// clearedOnMerge reports whether this process has cleared the crashes that other gateways
 	// recorded.
 	clearedOnMerge bool
 }
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -12,7 +12,7 @@
 const (
 	// FirstTerm is how long a request is held the first time. The hold expires because the defect
 	// may have been fixed meanwhile, and because the request may have been held by mistake. A
-	// request that is still fatal then costs one target each time that it is sent.
+	// request that is still fatal then costs one target after each term.
 	FirstTerm = 10 * time.Minute
 	// termGrowth is the factor by which each further crash extends the term, up to MaxTerm: 10
 	// minutes, 2 hours, a day. At most three targets then crash after the third one within a day;
@@ -38,9 +38,9 @@
 // entry is a record with the table's own data about it.
 type entry struct {
 	Record
-	// Time of the last crash or of the last clearing.
+	// changedAt is when the last crash or the last clearing was recorded.
 	changedAt time.Time
-	// restored reports that the record was loaded from the store, so that all evidence of which
+	// restored reports whether the record was loaded from the store, so that all evidence of which
 	// request is at fault was known before.
 	restored bool
 }
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -9,8 +9,8 @@
 // many callers send alike is in flight everywhere, and has three crashes as soon as the fatal
 // requests beside it have crashed three targets. If other requests may be the cause of its
 // crashes, it is not treated as fatal at once. It is held like a fatal one, but its callers are
-// told to retry later, and one copy of it is sent to a target where nothing else can cause a
-// crash: a trial. A complete answer clears it; a crash under the trial alone proves that it is
+// told to retry later, and one copy of it, a trial, is sent once the crashes have stopped. A
+// complete answer clears it; a crash of a target under nothing but the trial proves that it is
 // fatal itself. Of several such requests, the one with the most crashes is tried first. Once it is
 // cleared, the others have no other request that explains their crashes, so that a fatal request
 // hardly ever gets a trial.
@@ -29,7 +29,7 @@
 	// coveredSettleTime replaces settleTime if each of the crashes was also one of a request that
 	// needs only one more crash to be held: that request is sent again once targets are back.
 	coveredSettleTime = 5 * time.Second
-	// trialQuietTime is how long all requests that share a crash must have gone without a further
+	// trialQuiet is how long all requests that share a crash must have gone without a further
 	// one before a trial starts: what crashes targets has to be known first.
 	trialQuiet = time.Second
 	// trialStagger is the delay between the earliest times at which two gateways may start a trial.
@@ -138,10 +138,10 @@
 
 // blame describes the other requests that may have caused a request's crashes.
 type blame struct {
-	// explained reports that other held requests were in flight at all of its crashes but at most
-	// maxUnexplained.
+	// explained reports whether other held requests were in flight at all of its crashes but at
+	// most maxUnexplained.
 	explained bool
-	// covered reports that at each of its crashes another request with several crashes was in
+	// covered reports whether at each of its crashes another request with several crashes was in
 	// flight.
 	covered bool
 	// changedAt is when the last crash of the request, or of one that shares a crash with it, was
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -19,7 +19,7 @@
 	// Value must not be modified by holders of the item.
 	Value    []byte
 	Revision int64
-	// Gone reports that the key was removed; Value is nil then.
+	// Gone reports whether the key was removed; Value is nil then.
 	Gone bool
 }
 
@@ -43,7 +43,7 @@
 	floor int64
 	// readable is false from the time that a value could not be read until the next whole reading.
 	readable bool
-	// needsWhole reports that a page could not be unpacked: the next pull asks for the whole
+	// needsWhole reports whether a page could not be unpacked: the next pull asks for the whole
 	// content.
 	needsWhole bool
 }
