--- a/internal/peer/table.go
+++ b/internal/peer/table.go
@@ -266,17 +266,17 @@
 }
 
 const (
-	// firstRetryDelay is the delay after the first heartbeat to a silent address; it doubles up to
-	// maxRetryDelay. A short first delay lets gateways that start at slightly different times find
-	// each other quickly.
-	firstRetryDelay = 60 * time.Millisecond
-	maxRetryDelay   = time.Second
+	// After n heartbeats to a silent address the delay is baseRetryDelay*2^n, up to maxRetryDelay.
+	// Short first delays let gateways that start at slightly different times find each other
+	// quickly.
+	baseRetryDelay = 60 * time.Millisecond
+	maxRetryDelay  = time.Second
 )
 
 // due reports whether another heartbeat is to be sent now.
 func (c contactAttempts) due(now time.Time) bool {
 	const maxDoublings = 5
-	delay := min(firstRetryDelay<<min(c.count, maxDoublings), maxRetryDelay)
+	delay := min(baseRetryDelay<<min(c.count, maxDoublings), maxRetryDelay)
 	return c.count == 0 || now.Sub(c.last) >= delay
 }
 
--- a/internal/peer/table_test.go
+++ b/internal/peer/table_test.go
@@ -176,7 +176,7 @@
 	later := start.Add(minLostAfter + time.Millisecond)
 	tbl.expire(later)
 	is.True(slices.Contains(tbl.dueAddresses(later), "10.0.0.1:2"))
-	is.True(slices.Contains(tbl.dueAddresses(later.Add(firstRetryDelay<<1)), "10.0.0.1:2"))
+	is.True(slices.Contains(tbl.dueAddresses(later.Add(baseRetryDelay<<1)), "10.0.0.1:2"))
 	tbl.expire(start.Add(forgetAfter + time.Second))
 	is.True(!slices.Contains(tbl.dueAddresses(start.Add(forgetAfter+time.Minute)), "10.0.0.1:2"))
 }
