--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -239,7 +239,7 @@
 func (c *Crashes) Lift(fingerprint quarantine.Fingerprint, now time.Time) bool {
 	change := c.Table.Lift(fingerprint, now)
 	c.publish(change)
-	return change.News
+	return change.Changed
 }
 
 // Merge takes in what another process has stored about a request. Other gateways read the store
@@ -247,21 +247,21 @@
 // others hold against the request.
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
-	if change.Objects() {
+	if change.ClearedOnMerge() {
 		c.publish(change)
 		return
 	}
-	if change.Begins() || change.Ends() {
+	if change.HoldStarted() || change.HoldEnded() {
 		c.Watcher.QuarantineChanged(change, "")
 	}
 }
 
 // publish reports a change to the watcher and the other gateways.
 func (c *Crashes) publish(change quarantine.Change) {
-	if !change.News {
+	if !change.Changed {
 		return
 	}
-	if change.Begins() || change.Ends() {
+	if change.HoldStarted() || change.HoldEnded() {
 		c.Watcher.QuarantineChanged(change, "")
 	}
 	if c.Peers != nil {
@@ -312,7 +312,7 @@
 			continue
 		}
 		change := c.Table.Crashed(lost.fingerprint, name, now)
-		if change.News {
+		if change.Changed {
 			c.Watcher.CrashNoted(known.target.ID, change)
 		}
 		c.publish(change)
@@ -320,8 +320,8 @@
 }
 
 // quarantineLife returns the identifier of an incarnation in quarantine records.
-func quarantineLife(incarnation string) quarantine.Life {
-	return quarantine.Life(policy.HashName(incarnation) >> 32)
+func quarantineLife(incarnation string) quarantine.Instance {
+	return quarantine.Instance(policy.HashName(incarnation) >> 32)
 }
 
 // probe probes the address of a target; c.mu must be held.
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -58,7 +58,7 @@
 func (prober *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
 	prober.mu.Lock()
 	defer prober.mu.Unlock()
-	prober.heldBack = append(prober.heldBack, peer+change.Print.String())
+	prober.heldBack = append(prober.heldBack, peer+change.Fingerprint.String())
 }
 
 // startCrashes gives the gateway a running Crashes.
@@ -237,7 +237,7 @@
 
 // holdBack marks a request as held back, as other gateways found out.
 func holdBack(w *testGateway, subject quarantine.Subject) {
-	record := quarantine.Record{Print: subject.Fingerprint(), Lives: []quarantine.Life{1, 2, 3}}
+	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Instances: []quarantine.Instance{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
 
@@ -354,7 +354,7 @@
 		w := newTestGateway(lost, respond(200, "yes"))
 		prober := startCrashes(t, w)
 		prober.refuses.Store(true)
-		w.gateway.Crashes.Merge(quarantine.Record{Print: subjectOf("/get/x").Fingerprint(), Lives: []quarantine.Life{1}}, time.Now())
+		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Instances: []quarantine.Instance{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
 		is.Equal(w.caller.status, http.StatusOK)
 		is.Equal(len(w.sender.sent), 2)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -44,7 +44,7 @@
 	answered := a.err == nil || a.result == balance.Good
 	if a.trial && !answered && (a.outcome == delivery.Unsent || a.outcome == delivery.Rejected) {
 		crashes := a.call.gateway.Crashes
-		crashes.publish(crashes.Table.Unrun(a.call.fingerprint, quarantineLife(a.incarnation), now))
+		crashes.publish(crashes.Table.TrialNotRun(a.call.fingerprint, quarantineLife(a.incarnation), now))
 	}
 }
 
@@ -52,7 +52,7 @@
 // caused the crashes, its caller is told to retry. Otherwise there is no time after which to retry:
 // the request itself has to change.
 func (c *call) heldBackError(state fault.RunState, now time.Time) *fault.Error {
-	if c.gateway.Crashes.Table.Standing(c.fingerprint, now) != quarantine.Doubtful {
+	if c.gateway.Crashes.Table.Verdict(c.fingerprint, now) != quarantine.Doubtful {
 		return fault.New(fault.Quarantined, state, "several targets ended while running this request; it is not sent to another one")
 	}
 	if state != fault.NotRun {
@@ -85,14 +85,14 @@
 
 // mayRunTrial reports whether this process may send a request that is held back once.
 func (c *Crashes) mayRunTrial(fingerprint quarantine.Fingerprint, now time.Time) bool {
-	return c.Table.Standing(fingerprint, now) == quarantine.Doubtful && c.Table.MayTry(fingerprint, c.trialPlace(fingerprint), now)
+	return c.Table.Verdict(fingerprint, now) == quarantine.Doubtful && c.Table.MayStartTrial(fingerprint, c.trialPlace(fingerprint), now)
 }
 
 // startTrial makes an attempt the trial of its request if this process may begin one, and reports
 // whether it did.
 func (c *Crashes) startTrial(a *attempt, now time.Time) bool {
 	fingerprint := a.call.fingerprint
-	change, started := c.Table.Try(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
+	change, started := c.Table.StartTrial(fingerprint, c.trialPlace(fingerprint), quarantineLife(a.incarnation), now)
 	if started {
 		c.Watcher.TrialBegan(a.pick.Target.ID, change)
 		c.publish(change)
--- a/internal/peer/fuzz_test.go
+++ b/internal/peer/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// FuzzBeat: no datagram, whoever sent it, brings a process down.
+// FuzzBeat checks that no datagram crashes the process.
 func FuzzBeat(f *testing.F) {
 	data, err := proto.Marshal(&wire.GatewayBeat{Id: "a", Life: 1, Sequence: 2, Echo: 1, HasProof: true, Known: []string{"x"}})
 	if err != nil {
@@ -17,12 +17,12 @@
 	}
 	f.Add(data)
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		beat := new(wire.GatewayBeat)
-		if proto.Unmarshal(data, beat) != nil {
+		heartbeat := new(wire.GatewayBeat)
+		if proto.Unmarshal(data, heartbeat) != nil {
 			return
 		}
-		service := bareService()
-		service.pulling = true // no links here
-		service.take(beat, time.Unix(1000, 0))
+		service := newTestService()
+		service.pulling = true // there are no links in this test
+		service.handleHeartbeat(heartbeat, time.Unix(1000, 0))
 	})
 }
--- a/internal/peer/replica_test.go
+++ b/internal/peer/replica_test.go
@@ -13,11 +13,11 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// countingStream counts what is sent; nothing else is called.
+// countingStream counts the messages that are sent; no other method is called.
 type countingStream struct {
 	link.Stream
 	sent int
-	// page is the last one that was sent.
+	// page is the last page that was sent.
 	page *wire.ReplicaPage
 }
 
@@ -29,72 +29,71 @@
 	return nil
 }
 
-// unreadable is a replica that can take no page.
-type unreadable struct{ fakeReplica }
+// unreadableReplica is a replica that rejects all pages.
+type unreadableReplica struct{ fakeReplica }
 
-func (*unreadable) Absorb(*wire.ReplicaPage) error { return errors.New("not to be read") }
+func (*unreadableReplica) Absorb(*wire.ReplicaPage) error { return errors.New("unreadable page") }
 
-// TestWholeCopiesAreBounded: hundreds of gateways that begin together must not
-// share one small host's link for so long that no copy arrives in time. Changes
-// are always sent.
-func TestWholeCopiesAreBounded(t *testing.T) {
+// TestConcurrentWholeCopiesAreLimited guards against hundreds of gateways that start together and
+// share one small host's link for so long that no copy arrives in time. Changes are always sent.
+func TestConcurrentWholeCopiesAreLimited(t *testing.T) {
 	cases := map[string]struct {
-		underWay int32
+		inFlight int32
 		since    int64
 		sent     int
 	}{
 		"a whole copy":                {0, 0, 1},
-		"the last that fits":          {mostWholePages - 1, 0, 1},
-		"one too many":                {mostWholePages, 0, 0},
-		"changes beside whole copies": {mostWholePages, 3, 1},
+		"the last one allowed":        {maxWholePages - 1, 0, 1},
+		"one too many":                {maxWholePages, 0, 0},
+		"changes beside whole copies": {maxWholePages, 3, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
-			service.wholePages.Store(tc.underWay)
+			service := newTestService()
+			service.wholePages.Store(tc.inFlight)
 			stream := new(countingStream)
 			service.Handle(t.Context(), &wire.Open{Kind: &wire.Open_Replica{Replica: &wire.ReplicaPull{Since: tc.since}}}, stream)
 			is.Equal(stream.sent, tc.sent)
-			is.Equal(service.wholePages.Load(), tc.underWay) // the count is given back
+			is.Equal(service.wholePages.Load(), tc.inFlight) // the counter is decremented again
 		})
 	}
 }
 
-// TestThoseWhoBeginAskDifferentPeers: all that begin together used to ask the
-// first of the peers that hold the store's content.
-func TestThoseWhoBeginAskDifferentPeers(t *testing.T) {
+// TestNewGatewaysPullFromDifferentPeers guards against gateways that start together and all pull
+// from the first of the peers that hold the store's content.
+func TestNewGatewaysPullFromDifferentPeers(t *testing.T) {
 	cases := map[string]struct {
 		own  int64
 		same bool
 	}{
-		"a process that holds nothing":    {0, false},
-		"one that lacks the last changes": {5, true},
+		"an empty replica":                      {0, false},
+		"a replica that lacks the last changes": {5, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService()
+			service := newTestService()
 			service.options.Replica = &fakeReplica{revision: tc.own}
 			now := time.Now()
-			for number := range 6 { // too few for a tree, in which the parent is asked first
-				beat := beatOf(fmt.Sprint(number), 1)
-				beat.Life, beat.Revision = uint64(number+2), 9
-				service.table.take(beat, now)
+			for number := range 6 { // too few for a tree, where the parent is asked first
+				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+				heartbeat.Life, heartbeat.Revision = uint64(number+2), 9
+				service.table.record(heartbeat, now)
 			}
 			asked := make(map[string]bool)
 			for range 200 {
-				service.seen = nil
-				asked[service.ahead(now).id] = true
+				service.cachedView = nil
+				asked[service.peerAhead(now).id] = true
 			}
 			is.Equal(len(asked) == 1, tc.same)
 		})
 	}
 }
 
-// TestACopyBringsItsProof: a gateway that begins may vouch for keys as soon as it has
-// another one's copy; what the copy proves is as old as the question at least.
-func TestACopyBringsItsProof(t *testing.T) {
+// TestPageCarriesProof checks that a starting gateway can vouch for keys as soon as it has another
+// one's copy, and that the proof is at least as old as the request for the copy.
+func TestPageCarriesProof(t *testing.T) {
 	const (
 		onTheWay = 300 * time.Millisecond
 		ageMs    = 700
@@ -106,14 +105,14 @@
 	}{
 		"with a proof":               {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(fakeReplica), true},
 		"from a gateway without one": {&wire.ReplicaPage{Revision: 5}, new(fakeReplica), false},
-		"that can't be read":         {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadable), false},
-		"an answer that has no page": {nil, new(fakeReplica), false},
+		"unreadable page":            {&wire.ReplicaPage{Revision: 5, HasProof: true, ProofAgeMs: ageMs}, new(unreadableReplica), false},
+		"reply without a page":       {nil, new(fakeReplica), false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := bareService()
+				service := newTestService()
 				service.options.Replica = tc.replica
 				asked := time.Now()
 				time.Sleep(onTheWay)
@@ -122,7 +121,7 @@
 					reply.Kind = &wire.Reply_Replica{Replica: tc.page}
 				}
 				_, readable := tc.replica.(*fakeReplica)
-				is.Equal(service.absorb(reply, asked) == nil, tc.page != nil && readable)
+				is.Equal(service.applyPage(reply, asked) == nil, tc.page != nil && readable)
 				age, proven := service.options.Proof.Age(time.Now())
 				is.Equal(proven, tc.proven)
 				if tc.proven {
@@ -133,23 +132,23 @@
 	}
 }
 
-// TestACopySaysHowOldItsProofIs: a page says the age of its sender's proof, rounded up.
-func TestACopySaysHowOldItsProofIs(t *testing.T) {
+// TestPageProofAge checks that a page carries the age of its sender's proof, rounded up.
+func TestPageProofAge(t *testing.T) {
 	cases := map[string]struct {
 		age    time.Duration
 		proven bool
 		ms     uint32
 	}{
-		"none":              {0, false, 0},
-		"an old one":        {2300 * time.Millisecond, true, 2301},
-		"a part of one ms":  {100 * time.Microsecond, true, 1},
-		"of this very time": {0, true, 1},
+		"no proof":       {0, false, 0},
+		"old proof":      {2300 * time.Millisecond, true, 2301},
+		"less than 1 ms": {100 * time.Microsecond, true, 1},
+		"age zero":       {0, true, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				service := bareService()
+				service := newTestService()
 				if tc.proven {
 					service.options.Proof.Note(time.Now())
 				}
--- a/internal/peer/table_test.go
+++ b/internal/peer/table_test.go
@@ -14,76 +14,76 @@
 
 var start = time.Unix(1000, 0)
 
-func beatOf(id string, sequence uint64) *wire.GatewayBeat {
+func heartbeatFrom(id string, sequence uint64) *wire.GatewayBeat {
 	return &wire.GatewayBeat{Id: id, Life: 1, Address: "10.0.0.1:" + id, Sequence: sequence, StoreReachable: true}
 }
 
-func TestTake(t *testing.T) {
+func TestRecordHeartbeat(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
-	_, change := known.take(beatOf("1", 5), start)
+	tbl := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
+	_, change := tbl.record(heartbeatFrom("1", 5), start)
 	is.Equal(change, found)
-	_, change = known.take(beatOf("1", 6), start)
+	_, change = tbl.record(heartbeatFrom("1", 6), start)
 	is.Equal(change, unchanged)
-	_, change = known.take(beatOf("1", 6), start) // twice
+	_, change = tbl.record(heartbeatFrom("1", 6), start) // duplicate
 	is.Equal(change, outdated)
-	_, change = known.take(beatOf("1", 2), start) // overtaken on the way
+	_, change = tbl.record(heartbeatFrom("1", 2), start) // reordered in transit
 	is.Equal(change, outdated)
-	again := beatOf("1", 1)
-	again.Life = 2
-	_, change = known.take(again, start)
-	is.Equal(change, found) // another life begins to count anew
+	restarted := heartbeatFrom("1", 1)
+	restarted.Life = 2
+	_, change = tbl.record(restarted, start)
+	is.Equal(change, found) // a new incarnation starts its own sequence
 }
 
 func TestLossAndReturn(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", nil, "10.0.0.9:9", 7000)
-	known.take(beatOf("1", 1), start)
-	is.Equal(len(known.expire(start.Add(lostAfter))), 0)
-	later := start.Add(lostAfter + time.Millisecond)
-	is.Equal(len(known.expire(later)), 1)
-	is.Equal(len(known.expire(later)), 0) // told once
-	is.Equal(len(known.live(later)), 0)
-	is.Equal(known.silent(later), []string{"10.0.0.1:1"}) // it is still tried
-	_, change := known.take(beatOf("1", 2), later)
+	tbl := newTable("self", nil, "10.0.0.9:9", 7000)
+	tbl.record(heartbeatFrom("1", 1), start)
+	is.Equal(len(tbl.expire(start.Add(minLostAfter))), 0)
+	later := start.Add(minLostAfter + time.Millisecond)
+	is.Equal(len(tbl.expire(later)), 1)
+	is.Equal(len(tbl.expire(later)), 0) // reported once
+	is.Equal(len(tbl.live(later)), 0)
+	is.Equal(tbl.dueAddresses(later), []string{"10.0.0.1:1"}) // it is still contacted
+	_, change := tbl.record(heartbeatFrom("1", 2), later)
 	is.Equal(change, found)
-	is.Equal(len(known.live(later)), 1)
+	is.Equal(len(tbl.live(later)), 1)
 }
 
-func TestSeedsAreTriedForEver(t *testing.T) {
+func TestSeedsAreRetriedForever(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1", "10.0.0.9:9"}, "10.0.0.9:9", 7000)
-	is.Equal(known.silent(start), []string{"10.0.0.1:1"}) // not itself
-	is.Equal(len(known.silent(start)), 0)
-	known.take(beatOf("1", 1), start)
-	known.expire(start.Add(forgetAfter + time.Second))
-	is.Equal(known.silent(start.Add(forgetAfter+2*time.Second)), []string{"10.0.0.1:1"})
+	tbl := newTable("self", []string{"10.0.0.1:1", "10.0.0.9:9"}, "10.0.0.9:9", 7000)
+	is.Equal(tbl.dueAddresses(start), []string{"10.0.0.1:1"}) // not its own address
+	is.Equal(len(tbl.dueAddresses(start)), 0)
+	tbl.record(heartbeatFrom("1", 1), start)
+	tbl.expire(start.Add(forgetAfter + time.Second))
+	is.Equal(tbl.dueAddresses(start.Add(forgetAfter+2*time.Second)), []string{"10.0.0.1:1"})
 }
 
-// TestAskers: among gateways that see each other just so many ask the store,
-// whoever reaches it; and one of them is the first.
-func TestAskers(t *testing.T) {
+// TestStoreWatchers checks that among gateways that see each other exactly the required number ask
+// the store, of those that reach it, and that one of them is the first.
+func TestStoreWatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "gateways")
 		reaches := rapid.SliceOfN(rapid.Bool(), count, count).Draw(t, "reaches")
 		asking, first, reaching := 0, 0, 0
 		for self := range count {
-			known := newTable(fmt.Sprint(self), nil, "", 7000)
+			tbl := newTable(fmt.Sprint(self), nil, "", 7000)
 			for other := range count {
 				if other != self {
-					beat := beatOf(fmt.Sprint(other), 1)
-					beat.StoreReachable = reaches[other]
-					known.take(beat, start)
+					heartbeat := heartbeatFrom(fmt.Sprint(other), 1)
+					heartbeat.StoreReachable = reaches[other]
+					tbl.record(heartbeat, start)
 				}
 			}
 			if !reaches[self] {
 				continue
 			}
 			reaching++
-			if known.look(start).asks() {
+			if tbl.newView(start).asksStore() {
 				asking++
 			}
-			if known.look(start).rank == 0 {
+			if tbl.newView(start).rank == 0 {
 				first++
 			}
 		}
@@ -93,91 +93,90 @@
 	})
 }
 
-// TestAPeerThatDidNotAnswerComesLast: found as DRAIN on fresh-4d7b of
-// vmt-grid-grown and seen again on hunt-f5dd-7: a peer that is cut off in one
-// way was asked again and again while others held the same.
-func TestAPeerThatDidNotAnswerComesLast(t *testing.T) {
+// TestPeerWithFailedPullComesLast guards against repeated pulls from a peer that is cut off in one
+// direction while others hold the same revision. It was found in drain tests.
+func TestPeerWithFailedPullComesLast(t *testing.T) {
 	cases := map[string]struct {
 		revisions [2]int64
 		failed    [2]bool
 		want      string
 	}{
-		"the newest":                       {[2]int64{8, 9}, [2]bool{false, false}, "1"},
-		"the newest has failed":            {[2]int64{8, 9}, [2]bool{false, true}, "0"},
-		"both have failed":                 {[2]int64{9, 8}, [2]bool{true, true}, "0"},
-		"the only one that is ahead":       {[2]int64{7, 9}, [2]bool{false, true}, "1"},
-		"one that has not failed for long": {[2]int64{8, 9}, [2]bool{true, false}, "1"},
+		"highest revision":             {[2]int64{8, 9}, [2]bool{false, false}, "1"},
+		"highest revision has failed":  {[2]int64{8, 9}, [2]bool{false, true}, "0"},
+		"both have failed":             {[2]int64{9, 8}, [2]bool{true, true}, "0"},
+		"only one is ahead":            {[2]int64{7, 9}, [2]bool{false, true}, "1"},
+		"one without a recent failure": {[2]int64{8, 9}, [2]bool{true, false}, "1"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			service := bareService() // at revision 7
+			service := newTestService() // its replica is at revision 7
 			for number, revision := range tc.revisions {
-				beat := beatOf(fmt.Sprint(number), 1)
-				beat.Life, beat.Revision = uint64(number+2), revision
-				service.table.take(beat, start)
+				heartbeat := heartbeatFrom(fmt.Sprint(number), 1)
+				heartbeat.Life, heartbeat.Revision = uint64(number+2), revision
+				service.table.record(heartbeat, start)
 				if tc.failed[number] {
-					service.table.peers[fmt.Sprint(number)].failedAt = start
+					service.table.peers[fmt.Sprint(number)].pullFailedAt = start
 				}
 			}
-			is.Equal(service.ahead(start.Add(time.Second)).id, tc.want)
+			is.Equal(service.peerAhead(start.Add(time.Second)).id, tc.want)
 		})
 	}
 }
 
-// TestASilentAskerIsReplaced: whoever is next asks the store in the place of
-// one that has said nothing for a while, before it counts as lost.
-func TestASilentAskerIsReplaced(t *testing.T) {
+// TestSilentWatcherIsReplaced checks that the next gateway asks the store in place of a silent one
+// before that counts as lost.
+func TestSilentWatcherIsReplaced(t *testing.T) {
 	cases := map[string]struct {
 		others int
 		silent time.Duration
 		asks   bool
 	}{
-		"few, heard":   {watchers, 500 * time.Millisecond, false},
-		"few, silent":  {watchers, watcherSilent + time.Millisecond, true},
-		"many, heard":  {fewPeers + watchers, watcherSilent + time.Millisecond, false},
-		"many, silent": {fewPeers + watchers, watcherSilentOfMany + time.Millisecond, true},
+		"small fleet, heard":  {watchers, 500 * time.Millisecond, false},
+		"small fleet, silent": {watchers, watcherTimeout + time.Millisecond, true},
+		"large fleet, heard":  {fullMeshLimit + watchers, watcherTimeout + time.Millisecond, false},
+		"large fleet, silent": {fullMeshLimit + watchers, watcherTimeoutLarge + time.Millisecond, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known := newTable("self", nil, "", 7000)
+			tbl := newTable("self", nil, "", 7000)
 			added := 0
 			for number := 0; added < tc.others; number++ {
 				id := fmt.Sprint(number)
 				if askScore(id) <= askScore("self") {
-					continue // it would not ask before this one
+					continue // it comes after this gateway
 				}
-				beat := beatOf(id, 1)
-				beat.Life = uint64(number + 2)
-				known.take(beat, start)
+				heartbeat := heartbeatFrom(id, 1)
+				heartbeat.Life = uint64(number + 2)
+				tbl.record(heartbeat, start)
 				added++
 			}
-			is.Equal(known.look(start.Add(tc.silent)).asks(), tc.asks)
+			is.Equal(tbl.newView(start.Add(tc.silent)).asksStore(), tc.asks)
 		})
 	}
 }
 
-// TestWhoIsNotHeardIsCalledMoreAndMoreRarely: gateways that begin together
-// miss each other's first beats; with one a second they found each other 0.7 to
-// 1.1 s after their start (vasconcelos-gorjeta-grown trouble-1).
-func TestWhoIsNotHeardIsCalledMoreAndMoreRarely(t *testing.T) {
+// TestRetryBackoffToSilentAddress checks the delays between heartbeats to a silent address.
+// Gateways that start together miss each other's first heartbeats; with one a second they found
+// each other only 0.7 to 1.1 s after their start.
+func TestRetryBackoffToSilentAddress(t *testing.T) {
 	is := is.New(t)
-	known := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
+	tbl := newTable("self", []string{"10.0.0.1:1"}, "10.0.0.9:9", 7000)
 	sent := make(map[time.Duration]int)
 	for at := time.Duration(0); at < 10*time.Second; at += 20 * time.Millisecond {
-		sent[at.Truncate(time.Second)] += len(known.silent(start.Add(at)))
+		sent[at.Truncate(time.Second)] += len(tbl.dueAddresses(start.Add(at)))
 	}
 	is.True(sent[0] >= 4)
 	is.Equal(sent[5*time.Second], 1)
 	is.Equal(sent[9*time.Second], 1)
-	// One that is heard and lost again is called soon, too, and not for ever.
-	known.take(beatOf("2", 1), start)
-	is.Equal(len(known.addresses), 1)
-	later := start.Add(lostAfter + time.Millisecond)
-	known.expire(later)
-	is.True(slices.Contains(known.silent(later), "10.0.0.1:2"))
-	is.True(slices.Contains(known.silent(later.Add(callFirst<<1)), "10.0.0.1:2"))
-	known.expire(start.Add(forgetAfter + time.Second))
-	is.True(!slices.Contains(known.silent(start.Add(forgetAfter+time.Minute)), "10.0.0.1:2"))
+	// A peer that was heard and lost again is contacted soon, too, but not forever.
+	tbl.record(heartbeatFrom("2", 1), start)
+	is.Equal(len(tbl.addresses), 1)
+	later := start.Add(minLostAfter + time.Millisecond)
+	tbl.expire(later)
+	is.True(slices.Contains(tbl.dueAddresses(later), "10.0.0.1:2"))
+	is.True(slices.Contains(tbl.dueAddresses(later.Add(baseRetryDelay<<1)), "10.0.0.1:2"))
+	tbl.expire(start.Add(forgetAfter + time.Second))
+	is.True(!slices.Contains(tbl.dueAddresses(start.Add(forgetAfter+time.Minute)), "10.0.0.1:2"))
 }
