--- a/internal/balance/admitted.go
+++ b/internal/balance/admitted.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// version is one version of a service's targets. Choices look at many targets and few
-// versions, so names are compared once for each version.
+// version is one version of a service's targets. Choices iterate over many targets and few
+// versions, so names are compared once per version.
 type version struct {
 	name string
-	// targets is how many known targets have it.
+	// targets is the number of known targets of this version.
 	targets int
-	// admitted says whether the look under way admits it.
+	// admitted reports whether the current query admits the version.
 	admitted bool
 }
 
-// versionID names a version among those of its service.
+// versionID identifies a version among those of its service.
 type versionID uint16
 
-// join counts a target of a version, which is new if need be.
-func (s *service) join(name string) versionID {
+// addToVersion counts a target of a version and adds the version if necessary.
+func (s *service) addToVersion(name string) versionID {
 	free := -1
 	for i := range s.versions {
 		if s.versions[i].targets > 0 && s.versions[i].name == name {
@@ -38,21 +38,22 @@
 	return versionID(free)
 }
 
-// leave takes a target off its version; the place of one without targets is used again.
-func (s *service) leave(id versionID) {
+// removeFromVersion removes a target from its version. The slot of a version without targets
+// is reused.
+func (s *service) removeFromVersion(id versionID) {
 	s.versions[id].targets--
 }
 
-// admit notes which versions a look at the targets admits.
-func (s *service) admit(versions Versions) {
+// markAdmitted records which versions a query admits.
+func (s *service) markAdmitted(versions Versions) {
 	for i := range s.versions {
 		s.versions[i].admitted = versions.Admits(s.versions[i].name)
 	}
 }
 
-// boundBy says whether versions bound a look at the targets: not where all known ones are
-// of a single version that is admitted, as between two roll-outs.
-func (s *service) boundBy(versions *Versions) bool {
+// restrictedBy reports whether versions exclude any target. They do not if all known targets
+// have the same admitted version, as between two rollouts.
+func (s *service) restrictedBy(versions *Versions) bool {
 	if versions.Any() {
 		return false
 	}
@@ -72,19 +73,19 @@
 	return false
 }
 
-// admitted are a service's targets of admitted versions. The others are noted as idle for
-// the request. b.mu is held.
-func (b *Balancer) admitted(known *service, versions Versions) []*state {
-	known.admit(versions)
+// admittedTargets returns a service's targets of admitted versions. The others are counted as
+// idle for the request. The caller must hold b.mu.
+func (b *Balancer) admittedTargets(svc *service, versions Versions) []*state {
+	svc.markAdmitted(versions)
 	admitted := b.scratch.admitted[:0]
-	for _, target := range known.targets {
+	for _, target := range svc.targets {
 		switch {
-		case known.versions[target.version].admitted:
+		case svc.versions[target.version].admitted:
 			admitted = append(admitted, target)
 		case b.takesWork(target):
 			b.scratch.idle.add(target)
 			b.scratch.idle.notAdmitted++
-		case target.goneAt.IsZero() && !target.leaving():
+		case target.unlistedAt.IsZero() && !target.leaving():
 			b.scratch.idle.add(target)
 		}
 	}
@@ -92,34 +93,34 @@
 	return admitted
 }
 
-// VersionsOf is how many targets of each version are registered and not leaving; nil for a
-// service that never had a target.
+// VersionsOf returns how many targets of each version are registered and not leaving; nil for
+// a service that never had a target.
 func (b *Balancer) VersionsOf(service string) map[string]int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known, ok := b.services[service]
+	svc, ok := b.services[service]
 	if !ok {
 		return nil
 	}
 	counts := make(map[string]int)
-	for _, target := range known.targets {
-		if target.goneAt.IsZero() && !target.leaving() {
+	for _, target := range svc.targets {
+		if target.unlistedAt.IsZero() && !target.leaving() {
 			counts[target.Version]++
 		}
 	}
 	return counts
 }
 
-// narrow leaves those of the open targets that the versions want to take the request;
-// the others are idle for it. b.mu is held.
-func (b *Balancer) narrow(known *service, open []*state, versions Versions) []*state {
+// applyVersions reduces the open targets to those that the versions select for the request.
+// The others are counted as idle for it. The caller must hold b.mu.
+func (b *Balancer) applyVersions(svc *service, open []*state, versions Versions) []*state {
 	kept := len(open)
 	if versions.Rather != "" {
-		kept = known.preferred(open, versions.Rather)
+		kept = svc.movePreferredFirst(open, versions.Rather)
 	}
 	if versions.Only != "" && versions.Share > 0 {
-		kept = min(kept, fewOf(versions.Share, b.scratch.idle.notAdmitted))
-		b.scratch.scored = firstBy(open, kept, versions.Seed, b.scratch.scored[:0])
+		kept = min(kept, shareTargets(versions.Share, b.scratch.idle.notAdmitted))
+		b.scratch.scored = moveTopScored(open, kept, versions.Seed, b.scratch.scored[:0])
 	}
 	for _, target := range open[kept:] {
 		b.scratch.idle.add(target)
@@ -127,9 +128,9 @@
 	return open[:kept]
 }
 
-// preferred moves the targets of a version to the front and returns how many they are;
-// all if there are none.
-func (s *service) preferred(open []*state, name string) int {
+// movePreferredFirst moves the targets of a version to the front and returns their number, or
+// the number of all targets if there are none.
+func (s *service) movePreferredFirst(open []*state, name string) int {
 	at := slices.IndexFunc(s.versions, func(known version) bool { return known.targets > 0 && known.name == name })
 	if at < 0 {
 		return len(open)
@@ -150,18 +151,18 @@
 	return front
 }
 
-// leastFew is how many targets take a version's share at least: by the failures of one
-// alone nobody can tell a bad version from a bad target.
-const leastFew = 2
+// minShareTargets is the minimum number of targets that take a version's share: the failures
+// of a single target do not tell a bad version from a bad target.
+const minShareTargets = 2
 
-// fewOf is how many targets are to take a share of the traffic, so that each is as
-// loaded as the others are.
-func fewOf(share float64, others int) int {
-	return max(int(math.Ceil(share*float64(others))), leastFew)
+// shareTargets returns how many targets take a share of the traffic, so that each of them is
+// as loaded as the others are.
+func shareTargets(share float64, others int) int {
+	return max(int(math.Ceil(share*float64(others))), minShareTargets)
 }
 
-// takesWork says whether a target is registered, not leaving and not in an evacuated
-// data centre; b.mu is held.
+// takesWork reports whether a target is registered, not leaving and not in an evacuated data
+// centre. The caller must hold b.mu.
 func (b *Balancer) takesWork(target *state) bool {
-	return !target.aside || target.goneAt.IsZero() && !target.leaving() && !b.evacuated[target.DataCenter]
+	return !target.needsCheck || target.unlistedAt.IsZero() && !target.leaving() && !b.evacuated[target.DataCenter]
 }
--- a/internal/balance/said_test.go
+++ b/internal/balance/announcement_test.go
@@ -155,12 +155,12 @@
 		b.Heed(made.Life(), Notice{Leaving: true}, time.Time{})
 		b.Drop(made.ID, now)
 	}
-	is.Equal(len(b.parted), 100)
+	is.Equal(len(b.pastAnnouncements), 100)
 	is.Equal(len(b.targets), 0)
 	b.Put(lifeOf(1), now)
 	b.Heed("t@1", Notice{Leaving: true}, time.Time{})
 	b.Drop("t", now.Add(rememberFor+time.Second))
-	is.Equal(len(b.parted), 1)
+	is.Equal(len(b.pastAnnouncements), 1)
 }
 
 // TestALeavingLifeIsNeverChosen: whatever comes in whichever order, from the entry, from
--- a/internal/balance/rest_test.go
+++ b/internal/balance/backoff_test.go
@@ -58,7 +58,7 @@
 	b.Heed("t@1000", restOf(time.Hour), now)
 	b.Drop("t", now)
 	b.Drop("t", now.Add(2*forgetAfter))
-	is.Equal(len(b.parted), 1)
+	is.Equal(len(b.pastAnnouncements), 1)
 	b.Put(lifeOf(1000), now.Add(3*forgetAfter))
 	is.True(!chosen(b, now.Add(59*time.Minute)))
 	is.Equal(tries(b, now.Add(61*time.Minute)), 1)
@@ -112,7 +112,7 @@
 			if test.first <= 1 {
 				is.Equal(tries(b, back.Add(2*time.Millisecond)), 0)
 			}
-			is.Equal(min(tries(b, back.Add(tryFor+10*time.Millisecond)), test.later), test.later)
+			is.Equal(min(tries(b, back.Add(probeTimeout+10*time.Millisecond)), test.later), test.later)
 		})
 	}
 }
@@ -128,13 +128,13 @@
 				b := saying(now)
 				b.SetGateways(Gateways{Count: count, Place: place})
 				b.Heed("t@1000", restOf(time.Second), now)
-				offsets = append(offsets, b.current["t"].said.rest.backAt.Sub(now)-time.Second)
+				offsets = append(offsets, b.current["t"].announced.backoff.probeAt.Sub(now)-time.Second)
 			}
 			slices.Sort(offsets)
 			is.True(offsets[0] >= 0)
-			is.True(offsets[count-1] <= mostTryOffset)
+			is.True(offsets[count-1] <= maxProbeOffset)
 			for i := 1; i < count; i++ {
-				is.True(offsets[i]-offsets[i-1] >= tryPace*9/10)
+				is.True(offsets[i]-offsets[i-1] >= probeInterval*9/10)
 			}
 		})
 	}
@@ -159,7 +159,7 @@
 		is.True(ok)
 		loads[pick.Target.ID]++
 	}
-	whole := Bound{Multiple: 2, Extra: 3}.at(float64(requests) / float64(len(ids)))
+	whole := Bound{Multiple: 2, Extra: 3}.limitAt(float64(requests) / float64(len(ids)))
 	for _, load := range loads {
 		is.True(float64(load) <= whole)
 	}
@@ -216,7 +216,7 @@
 	b.Heed("other@1000", restOf(time.Hour), now)
 	back, ok = b.BackIn(query, now)
 	is.True(ok)
-	is.True(back >= mostBack && back <= mostBack+mostBackSpread) // somebody else may join
+	is.True(back >= maxRetryIn && back <= maxRetryIn+maxRetrySpread) // somebody else may join
 	b.Heed("other@1000", Notice{Leaving: true}, now)
 	_, ok = b.BackIn(query, now)
 	is.True(!ok) // nobody is known to come back
@@ -254,7 +254,7 @@
 				if now.Before(until[life]) {
 					t.Fatalf("%s was chosen and rests", life)
 				}
-				if pick.Try && now.Sub(trying[life]) < tryFor {
+				if pick.Try && now.Sub(trying[life]) < probeTimeout {
 					t.Fatalf("%s is tried by two at once", life)
 				}
 				asks := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -5,97 +5,98 @@
 	"time"
 )
 
-// Options are the balancer's bounds.
+// Options configures a Balancer.
 type Options struct {
-	// DataCenter is this process's own; ties go to targets in it.
+	// DataCenter is the data centre of this process. Ties are broken in favour of targets in
+	// it.
 	DataCenter string
-	// Short and Long bound what a session's home may hold before the session
-	// goes to its next home, for sessions with a short and with a long prompt.
-	// A long one costs more to move, so short ones make room for it.
+	// Short and Long limit the load at which a session's home target still takes the session's
+	// requests, for sessions with a short and with a long prompt. Beyond the limit the session
+	// moves to its next home. Long prompts cost more to move, so short ones make room for
+	// them.
 	Short, Long Bound
-	// ShortOfMany and LongOfMany are the same where more than a few gateways
-	// share the targets.
+	// ShortOfMany and LongOfMany replace Short and Long when more than a few gateways share
+	// the targets.
 	ShortOfMany, LongOfMany Bound
-	// Whole is the bound that no target may be above, of which the others are shares.
+	// Whole is the limit that no target may exceed. The other bounds are fractions of it.
 	Whole Bound
-	// MaxEjected is the largest share of a service's targets left out for
-	// their failures.
+	// MaxEjected is the largest fraction of a service's targets that may be ejected for
+	// failures.
 	MaxEjected float64
-	// Cold is how many requests a cold target may get within any second from all
-	// gateways together, by what it bears a second.
+	// Cold limits how many requests a cold target may get within any second from all gateways
+	// together, as a function of the rate that it bears per second.
 	Cold Bound
-	// Lapse is how long targets keep serving after the entries of half of their
-	// service or more have disappeared; those that are not registered again by
-	// then have left.
+	// Lapse is how long targets keep serving after the entries of at least half of their
+	// service have disappeared. Targets that are not registered again by then count as gone.
 	Lapse time.Duration
 }
 
-// Bound is Multiple times the mean load of a service's targets plus Extra, in
-// requests.
+// Bound is a limit on load, in requests: Multiple times the mean load of a service's targets,
+// plus Extra.
 type Bound struct {
 	Multiple float64
 	Extra    float64
 }
 
-// at is the bound at a mean load.
-func (b Bound) at(mean float64) float64 {
+// limitAt returns the limit at a mean load.
+func (b Bound) limitAt(mean float64) float64 {
 	return b.Multiple*mean + b.Extra
 }
 
-// longPrompt is from how many tokens in the parts that it shares a prompt is
-// long.
+// longPrompt is the number of tokens in a prompt's shared parts from which the prompt counts
+// as long.
 const longPrompt = 4000
 
-// Shares of the bound that no target may be above which a balancer keeps
-// itself, since it sees others' loads late; later among many.
+// Fractions of the whole bound that a balancer itself keeps to, because it learns of other
+// gateways' load with a delay. The delay grows with the number of gateways.
 var (
-	shareShort       = Bound{0.8, 0.53}
-	shareLong        = Bound{0.95, 0.87}
-	shareShortOfMany = Bound{0.75, 0.53}
-	shareLongOfMany  = Bound{0.825, 0.67}
+	shortShare       = Bound{0.8, 0.53}
+	longShare        = Bound{0.95, 0.87}
+	shortShareOfMany = Bound{0.75, 0.53}
+	longShareOfMany  = Bound{0.825, 0.67}
 )
 
-// From tightenFrom to tightenTo other gateways the bounds of many gateways shrink
-// by up to mostTightening: reports get older with each gateway (by reckoning 0.25 s
-// on average at 30, 0.8 s at 100), and what is sent meanwhile comes on top. Without
-// it LIMIT was broken on two of eight hunted days of the large site.
+// Between tightenFrom and tightenTo other gateways, the bounds for many gateways shrink by up
+// to maxTightening. Reports get older with each gateway (a calculated 0.25 s on average at 30
+// gateways, 0.8 s at 100), and requests sent in the meantime come on top. Without this, LIMIT
+// was exceeded on two of eight simulated days of the large site.
 const (
-	tightenFrom    = 30
-	tightenTo      = 100
-	mostTightening = 0.12
+	tightenFrom   = 30
+	tightenTo     = 100
+	maxTightening = 0.12
 )
 
-// tightnessAt is what the bounds of many gateways are multiplied by.
+// tightnessAt returns the factor for the bounds for many gateways.
 func tightnessAt(peers int) float64 {
 	share := float64(peers-tightenFrom) / float64(tightenTo-tightenFrom)
-	return 1 - mostTightening*min(max(share, 0), 1)
+	return 1 - maxTightening*min(max(share, 0), 1)
 }
 
-// times is the bound multiplied by a factor.
-func (b Bound) times(factor float64) Bound {
+// scaled returns the bound multiplied by a factor.
+func (b Bound) scaled(factor float64) Bound {
 	return Bound{Multiple: factor * b.Multiple, Extra: factor * b.Extra}
 }
 
-// of is a share of a bound.
-func (b Bound) of(whole Bound) Bound {
+// shareOf returns the bound as a fraction of another bound.
+func (b Bound) shareOf(whole Bound) Bound {
 	return Bound{Multiple: b.Multiple * whole.Multiple, Extra: b.Extra * whole.Extra}
 }
 
-// MostLapse is how long after the store's return an entry that lapsed with it
-// may be missing; the users' platform states it.
+// MostLapse is how long an entry that expired during a store outage may be missing after the
+// store's return. The users' platform specifies it.
 const MostLapse = 2 * time.Second
 
-// DefaultCold is the bound on requests to cold targets where the deployment states
-// none: what they bear, and nothing besides.
+// DefaultCold is the bound on requests to cold targets if the deployment sets none: exactly
+// the rate that they bear.
 var DefaultCold = Bound{Multiple: 1}
 
-// OptionsFor leave room below a bound that no target may be above.
+// OptionsFor returns options that leave room below a bound that no target may exceed.
 func OptionsFor(whole Bound) Options {
 	return Options{
-		Short:       shareShort.of(whole),
-		Long:        shareLong.of(whole),
-		ShortOfMany: shareShortOfMany.of(whole),
-		LongOfMany:  shareLongOfMany.of(whole),
+		Short:       shortShare.shareOf(whole),
+		Long:        longShare.shareOf(whole),
+		ShortOfMany: shortShareOfMany.shareOf(whole),
+		LongOfMany:  longShareOfMany.shareOf(whole),
 		Whole:       whole,
 		MaxEjected:  0.5,
 		Cold:        DefaultCold,
@@ -103,13 +104,13 @@
 	}
 }
 
-// DefaultOptions leave room below twice the mean plus 3.
+// DefaultOptions returns options that leave room below twice the mean plus 3.
 func DefaultOptions() Options {
 	return OptionsFor(Bound{Multiple: 2, Extra: 3})
 }
 
-// fewPeers is how many other gateways can report their loads to each other almost
-// at once.
+// fewPeers is the number of other gateways up to which all of them can report their loads to
+// each other almost immediately.
 const fewPeers = 8
 
 // Balancer chooses targets. It is safe for concurrent use.
@@ -117,43 +118,43 @@
 	options Options
 
 	mu sync.Mutex
-	// targets are the known lives of targets by their names, current the last of each
-	// target by its id.
+	// targets holds the known incarnations of targets by name; current holds the latest
+	// incarnation of each target by the target's ID.
 	targets  map[string]*state
 	current  map[string]*state
 	byHash   map[uint64]*state
 	byShort  map[uint32]*state
 	services map[string]*service
-	// reports are the other gateways' requests in flight, by the gateway's id;
-	// the first of them gets too old at reportsEnd, zero for none.
+	// reports holds the other gateways' requests in flight, by gateway ID. The oldest report
+	// expires at reportsEnd, which is zero if there are no reports.
 	reports    map[string]*report
 	reportsEnd time.Time
 	holders    *holders
 	fills      fills
-	// choices counts the choices made.
+	// choices counts the calls that marked candidates.
 	choices uint64
 	scratch scratch
-	// paths are the ways to data centres, by name.
+	// paths holds the state of the network paths to data centres, by data centre name.
 	paths map[string]*path
-	// gateways is this gateway's place among all.
+	// gateways is this gateway's position among all gateways.
 	gateways Gateways
-	// suspectedBy are the targets that other gateways suspect, by the gateway's id.
+	// suspectedBy holds the targets that other gateways suspect, by gateway ID.
 	suspectedBy map[string][]uint32
-	// parted is what lives have said of which nothing else is known any more.
-	parted map[string]parted
-	// pacesHeard are the paces that targets told this process and that wait to be
-	// reported, by the target's short hash.
-	pacesHeard map[uint32]heardPace
-	// evacuated are the data centres whose targets get nothing.
+	// pastAnnouncements holds the announcements of incarnations that are otherwise forgotten.
+	pastAnnouncements map[string]pastAnnouncement
+	// receivedPaces holds the paces that targets sent to this process and that still have to
+	// be reported to other gateways, by the target's short hash.
+	receivedPaces map[uint32]receivedPace
+	// evacuated holds the data centres whose targets get no requests.
 	evacuated map[string]bool
-	// manyPeers says that more than a few other gateways share the targets.
+	// manyPeers reports whether more than fewPeers other gateways share the targets.
 	manyPeers bool
-	// peers is how many other gateways share the targets.
+	// peers is the number of other gateways that share the targets.
 	peers int
-	// tightness is what their bounds are multiplied by.
+	// tightness is the factor for the bounds for many gateways.
 	tightness float64
-	// totalLife is how long another gateway's total is believed.
-	totalLife time.Duration
+	// totalTTL is how long another gateway's total stays valid.
+	totalTTL time.Duration
 }
 
 // New returns a balancer without targets.
@@ -169,40 +170,41 @@
 		fills:    make(fills),
 		paths:    make(map[string]*path),
 
-		evacuated:   make(map[string]bool),
-		suspectedBy: make(map[string][]uint32),
-		parted:      make(map[string]parted),
-		pacesHeard:  make(map[uint32]heardPace),
+		evacuated:         make(map[string]bool),
+		suspectedBy:       make(map[string][]uint32),
+		pastAnnouncements: make(map[string]pastAnnouncement),
+		receivedPaces:     make(map[uint32]receivedPace),
 
 		tightness: 1,
-		totalLife: totalLife,
+		totalTTL:  totalTTL,
 	}
-	b.holders = newHolders(b.registered)
+	b.holders = newHolders(b.isAvailable)
 	return b
 }
 
-// registered says whether a target is registered and not left out; b.mu is held.
-func (b *Balancer) registered(target uint32) bool {
+// isAvailable reports whether a target is known and needs no further check. The caller must
+// hold b.mu.
+func (b *Balancer) isAvailable(target uint32) bool {
 	known, ok := b.byShort[target]
-	return ok && !known.aside
+	return ok && !known.needsCheck
 }
 
-// Query says for what a target is wanted.
+// Query describes a request for which a target is needed.
 type Query struct {
 	Service string
-	// Parts are hashes of the prompt's shared parts in order; each is cached
-	// only behind those before it. Empty for none.
+	// Parts are the hashes of the prompt's shared parts, in order. A part is cached only
+	// behind the parts before it. Parts is empty if the prompt shares none.
 	Parts []uint64
-	// Tokens are the lengths of the parts, in the same order; nil if unknown.
+	// Tokens holds the lengths of the parts, in the same order; nil if unknown.
 	Tokens []int
-	// Exclude are the lives of targets that were tried already.
+	// Exclude lists the incarnations of targets that were already tried.
 	Exclude []string
-	// Versions are those that may take the request.
+	// Versions restricts which versions may take the request.
 	Versions Versions
 }
 
-// long says whether the parts that the prompt shares are long together.
-func (q Query) long() bool {
+// isLong reports whether the prompt's shared parts are long in total.
+func (q Query) isLong() bool {
 	total := 0
 	for _, tokens := range q.Tokens {
 		total += tokens
@@ -210,59 +212,59 @@
 	return total >= longPrompt
 }
 
-// tokensOf is the length of a part; of unknown lengths the least is taken that
-// others learn of.
+// tokensOf returns the length of a part in tokens. For an unknown length it returns the
+// smallest length that is reported to other gateways.
 func (q Query) tokensOf(part int) int {
 	if part < len(q.Tokens) {
 		return q.Tokens[part]
 	}
-	return leastNews
+	return minReportedTokens
 }
 
-// Pick is a choice.
+// Pick is the result of a choice.
 type Pick struct {
 	Target Target
-	// FetchFrom is the address of a target that may hold the session's
-	// cached prefix, if the chosen one may lack it; empty for none.
+	// FetchFrom is the address of a target that may hold the session's cached prefix, if the
+	// chosen one may lack it; empty if there is none.
 	FetchFrom string
-	// Source says how the target is expected to come to the prompt; empty where
-	// there is none.
+	// Source tells how the target is expected to obtain the prompt; empty if the prompt shares
+	// no parts.
 	Source Source
-	// Unread are the tokens of the prompt's shared parts that neither the target nor the
-	// one that it fetches from is known to hold.
+	// Unread is the number of tokens in the prompt's shared parts that neither the target nor
+	// the one it fetches from is known to hold.
 	Unread int
-	// Cold says that the target has just started.
+	// Cold reports whether the target has just started.
 	Cold bool
-	// Try says that the target has rested, and gets no other request until this one is
-	// answered; EndTry ends that.
+	// Try reports whether this request probes a target whose back-off has ended. The target
+	// gets no other request until this one is answered; the caller must call EndTry.
 	Try bool
-	// Load and Mean are what decided: requests in flight at the target and
-	// the mean over the service's targets.
+	// Load and Mean are the values that the choice was based on: the requests in flight at the
+	// target and the mean over the service's open targets.
 	Load int
 	Mean float64
-	// Candidates is how many targets were open to the choice.
+	// Candidates is the number of targets that were open to the choice.
 	Candidates int
-	// Fills are the long parts of the prompt that no target is known to hold and
-	// that the chosen one begins to read.
+	// Fills are the long parts of the prompt that no target is known to hold and that the
+	// chosen target begins to read.
 	Fills []Placement
 }
 
-// Sample notes how long a target took to the head of its answer.
-func (b *Balancer) Sample(life string, took time.Duration, now time.Time) {
+// Sample records how long a target took to send the head of its answer.
+func (b *Balancer) Sample(incarnation string, took time.Duration, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if target, ok := b.targets[life]; ok {
-		target.sample(took, now)
+	if target, ok := b.targets[incarnation]; ok {
+		target.recordLatency(took, now)
 		b.serviceOf(target.Service).samples++
 	}
 }
 
-// SetPeers sets how many other gateways share their loads with this one: with
-// more of them reports are older, and the bound keeps more room.
+// SetPeers sets how many other gateways share their loads with this one. With more gateways
+// reports are older, so the bounds leave more room.
 func (b *Balancer) SetPeers(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.peers, b.manyPeers = count, count > fewPeers
 	b.tightness = tightnessAt(count)
-	b.totalLife = max(totalLife, totalsMissed*time.Duration(count)*reportEvery)
+	b.totalTTL = max(totalTTL, totalsMissed*time.Duration(count)*reportEvery)
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -10,48 +10,48 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// Choose picks a target and counts one request at it, which Release ends.
-// It returns false if the service has no target that may take work.
+// Choose picks a target and counts one request at it until Release is called. It returns false
+// if the service has no target that may take requests.
 func (b *Balancer) Choose(query Query, now time.Time) (Pick, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireReports(now)
-	known := b.serviceOf(query.Service)
-	b.refresh(known, now)
-	open := b.open(known, query.Exclude, query.Versions, now)
+	svc := b.serviceOf(query.Service)
+	b.refreshTotals(svc, now)
+	open := b.openTargets(svc, query.Exclude, query.Versions, now)
 	if len(open) == 0 {
 		return Pick{}, false
 	}
 	mean := meanLoad(open)
 	candidates := len(open)
-	open = b.withRoom(open, known.pacing.headroom())
-	limit := b.limitOf(query, mean)
-	open = b.overGoodPaths(open, limit.most, now)
+	open = b.withRoom(open, svc.timing.headroom())
+	limit := b.sessionLimitFor(query, mean)
+	open = b.avoidBadPaths(open, limit.max, now)
 	pick := Pick{Mean: mean, Candidates: candidates}
 	var chosen *state
 	if len(query.Parts) == 0 {
-		chosen = b.lightest(open, known.speedsAt(now))
+		chosen = b.leastLoaded(open, svc.speedBaselineAt(now))
 	} else {
-		chosen = b.home(query, open, limit, known.speedsAt(now))
-		pick.FetchFrom, pick.Source, pick.Unread = b.fetchFrom(query, known.targets, chosen, now)
-		pick.Fills = b.noteFills(query, chosen, now)
-		b.expect(query.Parts, chosen)
-	}
-	pick.Target, pick.Load, pick.Cold = chosen.Target, int(math.Round(chosen.load())), chosen.cold.yet
-	chosen.count(1)
-	if chosen.cold.yet {
+		chosen = b.chooseForSession(query, open, limit, svc.speedBaselineAt(now))
+		pick.FetchFrom, pick.Source, pick.Unread = b.fetchFrom(query, svc.targets, chosen, now)
+		pick.Fills = b.beginFills(query, chosen, now)
+		b.expectHolder(query.Parts, chosen)
+	}
+	pick.Target, pick.Load, pick.Cold = chosen.Target, int(math.Round(chosen.load())), chosen.cold.isCold
+	chosen.addInFlight(1)
+	if chosen.cold.isCold {
 		chosen.cold.sentAt = now
 	}
-	if chosen.said.rest.untried() {
+	if chosen.announced.backoff.unprobed() {
 		pick.Try = true
-		chosen.said.rest.triedAt = now
+		chosen.announced.backoff.probedAt = now
 	}
 	return pick, true
 }
 
-// leastLapsed is how many targets a service must have lost, at about the same
-// time, for their entries to be taken as lapsed and not as removed.
-const leastLapsed = 2
+// minLapsed is how many targets a service must have lost at about the same time for their
+// entries to be treated as expired rather than removed.
+const minLapsed = 2
 
 func meanLoad(targets []*state) float64 {
 	total := 0.0
@@ -61,16 +61,16 @@
 	return total / float64(len(targets))
 }
 
-// lightest is the target with the least expected wait: requests in flight,
-// weighed by how slowly it answers. Ties go to this data centre.
-func (b *Balancer) lightest(open []*state, typical speeds) *state {
+// leastLoaded returns the target with the lowest expected wait: requests in flight, weighted
+// by how slowly the target answers. Ties go to this data centre.
+func (b *Balancer) leastLoaded(open []*state, baseline speedBaseline) *state {
 	best, bestCost := open[0], math.Inf(1)
 	start := rand.IntN(len(open))
 	for i := range open {
 		target := open[(start+i)%len(open)]
-		cost := (target.load() + 1) * typical.slowness(target)
+		cost := (target.load() + 1) * baseline.slowness(target)
 		if target.DataCenter != b.options.DataCenter {
-			cost += farCost
+			cost += remoteCost
 		}
 		if cost < bestCost {
 			best, bestCost = target, cost
@@ -79,48 +79,48 @@
 	return best
 }
 
-// farCost breaks ties in favour of the near.
-const farCost = 0.05
-
-// home is where a request of a session goes: a target that holds the session's
-// prefix if one is below the bound, else the first target in the session's
-// rendezvous order that is, else the least loaded. Targets in a holder's data
-// centre come first in that order: to move a prefix between data centres costs
-// twice as much. A target on a host that is held up gets no prompt that it doesn't hold,
-// and no short one at all while another has room: that is read elsewhere in less time than
-// the first event takes there. b.mu is held.
-func (b *Balancer) home(query Query, open []*state, limit sessionLimit, typical speeds) *state {
-	session, bound := query.Parts[len(query.Parts)-1], limit.most
-	b.mark(open)
-	if limit.tight && len(b.holders.of(shortOf(session))) > 0 {
-		return b.lighter(session, open, bound, typical)
-	}
-	holder := b.holderFor(shortOf(session), bound, typical)
-	if holder != nil && (query.long() || !typical.heldUp(holder)) {
+// remoteCost breaks ties in favour of targets in this data centre.
+const remoteCost = 0.05
+
+// chooseForSession returns the target for a request of a session: a target that holds the
+// session's prefix if one is below the bound, otherwise the first target below the bound in
+// the session's rendezvous order, otherwise the least loaded one. Targets in a holder's data
+// centre come first in that order, because moving a prefix between data centres costs twice as
+// much. A target whose host is slowed down by other work gets no prompt that it does not hold,
+// and no short prompt at all while another target has room: reading the prompt elsewhere takes
+// less time than the first event from the slow host. The caller must hold b.mu.
+func (b *Balancer) chooseForSession(query Query, open []*state, limit sessionLimit, baseline speedBaseline) *state {
+	session, bound := query.Parts[len(query.Parts)-1], limit.max
+	b.markCandidates(open)
+	if limit.tight && len(b.holders.of(shortHash(session))) > 0 {
+		return b.lighterOfTwo(session, open, bound, baseline)
+	}
+	holder := b.holderFor(shortHash(session), bound, baseline)
+	if holder != nil && (query.isLong() || !baseline.isHeldUp(holder)) {
 		return holder
 	}
-	if quick := b.firstOf(session, open, func(target *state) bool { return fits(target, bound, typical) && !typical.heldUp(target) }); quick != nil {
+	if quick := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) && !baseline.isHeldUp(target) }); quick != nil {
 		return quick
 	}
 	if holder != nil {
 		return holder
 	}
-	if first := b.firstOf(session, open, func(target *state) bool { return fits(target, bound, typical) }); first != nil {
+	if first := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) }); first != nil {
 		return first
 	}
-	return b.lightest(open, typical)
+	return b.leastLoaded(open, baseline)
 }
 
-// firstOf is the first of the targets in a session's order that may be taken; nil if none
-// may. b.mu is held.
-func (b *Balancer) firstOf(session uint64, open []*state, may func(target *state) bool) *state {
-	near := b.nearHolders(shortOf(session))
+// firstInOrder returns the first eligible target in a session's order; nil if none is
+// eligible. The caller must hold b.mu.
+func (b *Balancer) firstInOrder(session uint64, open []*state, eligible func(target *state) bool) *state {
+	holderCenters := b.holderDataCenters(shortHash(session))
 	var best preference
 	for _, target := range open {
-		if !may(target) {
+		if !eligible(target) {
 			continue
 		}
-		next := preference{target: target, near: slices.Contains(near, target.DataCenter), score: policy.Score(session, target.hash)}
+		next := preference{target: target, near: slices.Contains(holderCenters, target.DataCenter), score: policy.Score(session, target.hash)}
 		if best.target == nil || next.before(best) {
 			best = next
 		}
@@ -128,87 +128,87 @@
 	return best.target
 }
 
-// mark notes which targets are open to the choice under way; b.mu is held.
-func (b *Balancer) mark(open []*state) {
+// markCandidates records which targets are open to the current choice. The caller must hold
+// b.mu.
+func (b *Balancer) markCandidates(open []*state) {
 	b.choices++
 	for _, target := range open {
-		target.choice = b.choices
+		target.lastChoice = b.choices
 	}
 }
 
-// holderFor is a target of the choice under way that holds a part, or soon will,
-// and is below a bound; nil if there is none. Few gateways see each other's
-// requests at once, and go on with the first one, so that other copies may give
-// way. Among many, all would go to the same one until reports show that it is
-// full: there the least loaded one gets the request, one that surely holds the
-// part before all others. b.mu is held.
-func (b *Balancer) holderFor(part uint32, bound float64, typical speeds) *state {
+// holderFor returns a candidate of the current choice that holds a part, or soon will, and is
+// below a bound; nil if there is none. A few gateways see each other's requests almost
+// immediately and keep using the first holder, so that other copies can be evicted. Many
+// gateways would all send to the same holder until reports show that it is full. There the
+// least loaded holder gets the request, and holders confirmed to have the part precede all
+// others. The caller must hold b.mu.
+func (b *Balancer) holderFor(part uint32, bound float64, baseline speedBaseline) *state {
 	var best *state
-	bestSure := false
-	for _, known := range b.holders.of(part) {
-		target := b.byShort[known.target]
-		if target == nil || target.choice != b.choices || !fits(target, bound, typical) {
+	bestConfirmed := false
+	for _, holder := range b.holders.of(part) {
+		target := b.byShort[holder.target]
+		if target == nil || target.lastChoice != b.choices || !fits(target, bound, baseline) {
 			continue
 		}
 		if !b.manyPeers {
 			return target
 		}
-		if best == nil || known.sure && !bestSure || known.sure == bestSure && target.load() < best.load() {
-			best, bestSure = target, known.sure
+		if best == nil || holder.confirmed && !bestConfirmed || holder.confirmed == bestConfirmed && target.load() < best.load() {
+			best, bestConfirmed = target, holder.confirmed
 		}
 	}
 	return best
 }
 
-// lighter is the less loaded of two that are drawn from a part's holders below a bound,
-// or from all open targets if there are none. Where the limit is tight and each gateway
-// learns late of what the others send, all of them would go to the least loaded one at
-// once; of two that each draws anew it is another one each time (Mitzenmacher, 2001).
-// b.mu is held.
-func (b *Balancer) lighter(part uint64, open []*state, bound float64, typical speeds) *state {
-	from := b.scratch.drawn[:0]
-	for _, known := range b.holders.of(shortOf(part)) {
-		target := b.byShort[known.target]
-		if target != nil && target.choice == b.choices && fits(target, bound, typical) {
-			from = append(from, target)
+// lighterOfTwo draws two of a part's holders below a bound, or two of all open targets if
+// there are none, and returns the less loaded one. When the limit is tight and each gateway
+// learns late of what the others send, all of them would send to the least loaded target at
+// once; drawing two spreads their choices (Mitzenmacher, 2001). The caller must hold b.mu.
+func (b *Balancer) lighterOfTwo(part uint64, open []*state, bound float64, baseline speedBaseline) *state {
+	pool := b.scratch.drawFrom[:0]
+	for _, holder := range b.holders.of(shortHash(part)) {
+		target := b.byShort[holder.target]
+		if target != nil && target.lastChoice == b.choices && fits(target, bound, baseline) {
+			pool = append(pool, target)
 		}
 	}
-	b.scratch.drawn = from
-	if len(from) == 0 {
-		from = open
+	b.scratch.drawFrom = pool
+	if len(pool) == 0 {
+		pool = open
 	}
-	draw, count := policy.Score(part, b.choices), uint64(len(from))
-	one, other := from[(draw>>32)%count], from[uint64(uint32(draw))%count]
-	if other.load()*typical.slowness(other) < one.load()*typical.slowness(one) {
+	draw, count := policy.Score(part, b.choices), uint64(len(pool))
+	one, other := pool[(draw>>32)%count], pool[uint64(uint32(draw))%count]
+	if other.load()*baseline.slowness(other) < one.load()*baseline.slowness(one) {
 		return other
 	}
 	return one
 }
 
-// nearHolders are the data centres of the targets that hold a part, or soon will;
-// valid until the next choice. b.mu is held.
-func (b *Balancer) nearHolders(part uint32) []string {
-	near := b.scratch.near[:0]
-	for _, known := range b.holders.of(part) {
-		if target := b.byShort[known.target]; target != nil {
-			near = append(near, target.DataCenter)
+// holderDataCenters returns the data centres of the targets that hold a part, or soon will.
+// The result is valid until the next choice. The caller must hold b.mu.
+func (b *Balancer) holderDataCenters(part uint32) []string {
+	dataCenters := b.scratch.holderDataCenters[:0]
+	for _, holder := range b.holders.of(part) {
+		if target := b.byShort[holder.target]; target != nil {
+			dataCenters = append(dataCenters, target.DataCenter)
 		}
 	}
-	b.scratch.near = near
-	return near
+	b.scratch.holderDataCenters = dataCenters
+	return dataCenters
 }
 
-// preference is a target's place in a session's order.
+// preference is a target's rank in a session's order.
 type preference struct {
 	target *state
-	// near says that it is in the data centre of a target that holds the
+	// near reports whether the target is in the data centre of a target that holds the
 	// session's prefix.
 	near  bool
 	score uint64
 }
 
-// before says whether one target comes before another in the session's order:
-// those in near data centres first, then by rendezvous.
+// before reports whether one target precedes another in the session's order: targets in the
+// data centre of a holder first, then by rendezvous score.
 func (p preference) before(other preference) bool {
 	if p.near != other.near {
 		return p.near
@@ -216,40 +216,39 @@
 	return cmp.Or(cmp.Compare(other.score, p.score), cmp.Compare(p.target.ID, other.target.ID)) < 0
 }
 
-// fits says whether a target's load is below a bound, less for a slow target.
-func fits(target *state, bound float64, typical speeds) bool {
-	return target.load() <= lessForSlow(bound, target, typical)
+// fits reports whether a target's load is within a bound, which is lower for a slow target.
+func fits(target *state, bound float64, baseline speedBaseline) bool {
+	return target.load() <= reduceForSlow(bound, target, baseline)
 }
 
-// boundOf is the bound on a target's load for a session.
+// boundOf returns the bound on a target's load for a session.
 func (b *Balancer) boundOf(query Query) Bound {
 	switch {
-	case b.manyPeers && query.long():
-		return b.options.LongOfMany.times(b.tightness)
+	case b.manyPeers && query.isLong():
+		return b.options.LongOfMany.scaled(b.tightness)
 	case b.manyPeers:
-		return b.options.ShortOfMany.times(b.tightness)
-	case query.long():
+		return b.options.ShortOfMany.scaled(b.tightness)
+	case query.isLong():
 		return b.options.Long
 	}
 	return b.options.Short
 }
 
-// lessForSlow lowers the bound for a target that answers much more slowly than
-// the others.
-func lessForSlow(bound float64, target *state, typical speeds) float64 {
-	if slow := typical.slowness(target); slow > slowFactor {
+// reduceForSlow lowers the bound for a target that answers much more slowly than the others.
+func reduceForSlow(bound float64, target *state, baseline speedBaseline) float64 {
+	if slow := baseline.slowness(target); slow > slowFactor {
 		return bound * slowFactor / slow
 	}
 	return bound
 }
 
-// slowFactor is the delay, against the typical one, above which a target
-// holds less.
+// slowFactor is the ratio of a target's latency to the typical one above which the target's
+// bound is lowered.
 const slowFactor = 2.5
 
-// Has says whether Choose would find a target.
+// Has reports whether Choose would find a target.
 func (b *Balancer) Has(query Query, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.open(b.serviceOf(query.Service), query.Exclude, query.Versions, now)) > 0
+	return len(b.openTargets(b.serviceOf(query.Service), query.Exclude, query.Versions, now)) > 0
 }
--- a/internal/balance/evacuation.go
+++ b/internal/balance/evacuation.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// SetEvacuated notes that the operators want nothing more sent to the targets of a
-// data centre, or that they have taken that back. What is under way there goes on,
-// and what its targets hold may still be fetched. At the end of it they are taken to
-// be cold for as long as after a start: they may have turned cold a moment before
-// without their entries saying so yet. It returns false if nothing was new.
+// SetEvacuated records that the operators have evacuated a data centre, so that its targets
+// get no new requests, or that they have ended the evacuation. Requests in flight there
+// continue, and the prompts that its targets hold may still be fetched. After an evacuation
+// the targets count as cold for as long as after a start, because they may have turned cold a
+// moment before without their entries showing it yet. It returns false if nothing changed.
 func (b *Balancer) SetEvacuated(dataCenter string, evacuated bool, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -26,7 +26,7 @@
 		if target.DataCenter != dataCenter {
 			continue
 		}
-		target.aside = true
+		target.needsCheck = true
 		if start := target.service.cold.Start; !evacuated && now.Add(start).After(target.cold.until) {
 			target.cold.since, target.cold.until = now, now.Add(start)
 		}
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Evacuated are the data centres to which nothing is to be sent, in order.
+// Evacuated returns the evacuated data centres in sorted order.
 func (b *Balancer) Evacuated() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/fills.go
+++ b/internal/balance/fills.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// longFill is from how many tokens the reading of a part is worth waiting
-	// for: a second reading beside it takes as long again, for both.
-	longFill = 1500
-	// fillLife is how long another gateway's report of a fill is believed.
-	fillLife = 800 * time.Millisecond
-	// mostFill bounds how long a fill of this process is waited for, in case
-	// nobody ends it.
-	mostFill = 5 * time.Second
+	// minFillTokens is the length from which the reading of a part is worth waiting for: a
+	// second read at the same time doubles the time for both.
+	minFillTokens = 1500
+	// fillTTL is how long another gateway's report of a fill stays valid.
+	fillTTL = 800 * time.Millisecond
+	// maxFillWait limits how long a fill of this process is waited for, in case nothing ends
+	// it.
+	maxFillWait = 5 * time.Second
 )
 
 // fill is the reading of a part of prompts that no target holds yet.
@@ -21,17 +21,16 @@
 	target uint32
 	// done is closed when the part has been read, or will not be.
 	done chan struct{}
-	// until is when the fill is given up.
+	// until is when the fill is abandoned.
 	until time.Time
-	// own says that it is for a request of this process.
+	// own reports whether the fill serves a request of this process.
 	own bool
 }
 
-// fills are the parts that are being read, by the upper halves of their
-// hashes.
+// fills holds the parts that are being read, by the upper halves of their hashes.
 type fills map[uint32]*fill
 
-// begin notes that a target is about to read a part.
+// begin records that a target is about to read a part.
 func (f fills) begin(placement Placement, until time.Time, own bool) {
 	if known, ok := f[placement.Part]; ok {
 		if known.target == placement.Target {
@@ -42,7 +41,7 @@
 	f[placement.Part] = &fill{target: placement.Target, done: make(chan struct{}), until: until, own: own}
 }
 
-// end notes that a part has been read, or that its target will not read it.
+// end records that a part has been read, or that its target will not read it.
 func (f fills) end(placement Placement, read bool) {
 	known, ok := f[placement.Part]
 	if !ok || !read && known.target != placement.Target {
@@ -52,7 +51,7 @@
 	delete(f, placement.Part)
 }
 
-// expire gives up the fills whose time is over.
+// expire abandons the fills whose time is over.
 func (f fills) expire(now time.Time) {
 	for part, known := range f {
 		if now.After(known.until) {
@@ -62,59 +61,58 @@
 	}
 }
 
-// Filling says whether a long part of the query's prompt is being read by a target for
-// another request, here or at another gateway, with weights that the query's targets
-// have; the channel is closed when that is over. A request that waits for it finds the
-// part cached.
+// Filling reports whether a target is reading a long part of the query's prompt for another
+// request, here or at another gateway, with weights that the query's targets have. The channel
+// is closed when the reading is over; a request that waits for it finds the part cached.
 func (b *Balancer) Filling(query Query, now time.Time) (done <-chan struct{}, filling bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fills.expire(now)
 	for _, part := range query.Parts {
-		if known, ok := b.fills[shortOf(part)]; ok && b.readsFor(query, known.target) {
+		if known, ok := b.fills[shortHash(part)]; ok && b.canUseRead(query, known.target) {
 			return known.done, true
 		}
 	}
 	return nil, false
 }
 
-// readsFor says whether what a target reads is of use to one that may take a query's
-// request; unknown targets are taken to be. b.mu is held.
-func (b *Balancer) readsFor(query Query, target uint32) bool {
+// canUseRead reports whether a part read by a target can be used by a target that may take the
+// query's request; an unknown reader is assumed to be usable. The caller must hold b.mu.
+func (b *Balancer) canUseRead(query Query, target uint32) bool {
 	reader, ok := b.byShort[target]
 	if !ok {
 		return true
 	}
 	return slices.ContainsFunc(b.serviceOf(query.Service).targets, func(t *state) bool {
-		return t.Weights == reader.Weights && t.goneAt.IsZero() && query.Versions.Admits(t.Version)
+		return t.Weights == reader.Weights && t.unlistedAt.IsZero() && query.Versions.Admits(t.Version)
 	})
 }
 
-// noteFills begins fills for the long parts that no target holds and returns
-// those begun; b.mu is held.
-func (b *Balancer) noteFills(query Query, chosen *state, now time.Time) []Placement {
+// beginFills begins fills for the long parts that no target holds and returns those begun. The
+// caller must hold b.mu.
+func (b *Balancer) beginFills(query Query, chosen *state, now time.Time) []Placement {
 	var begun []Placement
 	for i, part := range query.Parts {
-		if i >= len(query.Tokens) || query.Tokens[i] < longFill || b.heldFor(chosen, shortOf(part)) {
+		if i >= len(query.Tokens) || query.Tokens[i] < minFillTokens || b.isHeldFor(chosen, shortHash(part)) {
 			continue
 		}
 		placement := placementOf(part, chosen)
-		b.fills.begin(placement, now.Add(mostFill), true)
+		b.fills.begin(placement, now.Add(maxFillWait), true)
 		begun = append(begun, placement)
 	}
 	return begun
 }
 
-// heldFor says whether a target with the same weights as the chosen one is known to hold
-// a part; b.mu is held.
-func (b *Balancer) heldFor(chosen *state, part uint32) bool {
+// isHeldFor reports whether a target with the same weights as the chosen one is known to hold
+// a part. The caller must hold b.mu.
+func (b *Balancer) isHeldFor(chosen *state, part uint32) bool {
 	return slices.ContainsFunc(b.holders.of(part), func(k holder) bool {
 		target, known := b.byShort[k.target]
-		return k.sure && (!known || target.Weights == chosen.Weights)
+		return k.confirmed && (!known || target.Weights == chosen.Weights)
 	})
 }
 
-// Fills are the parts that targets are reading for requests of this process.
+// Fills returns the parts that targets are reading for requests of this process.
 func (b *Balancer) Fills() []Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,15 +125,15 @@
 	return placements
 }
 
-// LearnFills takes another gateway's report of what targets are reading.
+// LearnFills records another gateway's report of which parts targets are reading.
 func (b *Balancer) LearnFills(placements []Placement, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, placement := range placements {
-		if b.holders.held(placement.Part) {
+		if b.holders.hasConfirmed(placement.Part) {
 			continue
 		}
-		b.holders.note(placement, false)
-		b.fills.begin(placement, now.Add(fillLife), false)
+		b.holders.record(placement, false)
+		b.fills.begin(placement, now.Add(fillTTL), false)
 	}
 }
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// Ejection: a target that fails its requests is left out for a while that
-// grows with each time, and comes back through real requests.
+// Ejection: a target that fails its requests gets none for a time that grows with each
+// ejection, and is tested by real requests afterwards.
 const (
-	// failWeight is the share of a new result in the moving failure rate.
-	failWeight = 0.2
-	// ejectRate is the failure rate at which a target is left out.
+	// failureWeight is the weight of a new result in the moving failure rate.
+	failureWeight = 0.2
+	// ejectRate is the failure rate at which a target is ejected.
 	ejectRate = 0.45
-	// ejectRow is how many failures in a row eject whatever the rate.
+	// ejectRow is the number of consecutive failures that eject a target regardless of its
+	// rate.
 	ejectRow = 3
-	// typicalMost is the failure rate of the others above which failures are
-	// the service's and not the target's; ejectRowMost in a row eject still.
-	typicalMost  = 0.2
-	ejectRowMost = 8
-	// ejectFirst and ejectMost bound the time out.
-	ejectFirst = 1500 * time.Millisecond
-	ejectMost  = 8 * time.Second
-	// unreachableFor is the time out after a connection could not be made. After
-	// refused ones, here or at other gateways, it doubles up to mostDoubled times
+	// maxTypicalRate is the failure rate of the other targets above which failures are
+	// attributed to the service and not to the target. Even then, alwaysEjectRow consecutive
+	// failures eject a target.
+	maxTypicalRate = 0.2
+	alwaysEjectRow = 8
+	// minEjection and maxEjection limit the duration of an ejection.
+	minEjection = 1500 * time.Millisecond
+	maxEjection = 8 * time.Second
+	// unreachableFor is how long a target is ejected after a failed connection attempt. After
+	// refused connections, here or at other gateways, it doubles up to maxDoublings times
 	// until the target has answered.
 	unreachableFor = 800 * time.Millisecond
-	mostDoubled    = 2
-	// forgiveAfter without an ejection resets the growth.
-	forgiveAfter = 15 * time.Second
+	maxDoublings   = 2
+	// resetAfter is the time without an ejection after which the duration starts from
+	// minEjection again.
+	resetAfter = 15 * time.Second
 )
 
 // health is the record of one target's results.
 type health struct {
-	// rate is the moving share of failures.
+	// rate is the moving failure rate.
 	rate float64
-	// row counts failures since the last success.
+	// row is the number of consecutive failures.
 	row int
-	// ejections counts those since the growth was last reset.
+	// ejections counts the ejections since the duration was last reset.
 	ejections    int
 	ejectedUntil time.Time
 	lastEjection time.Time
-	// losses counts the requests without an answer since the last good one, which
-	// came at answeredAt; the last of them was lost at lostAt.
+	// losses is the number of requests without an answer since the last good one, which
+	// arrived at answeredAt. The last of them was lost at lostAt.
 	losses     int
 	lostAt     time.Time
 	answeredAt time.Time
-	// refusals counts the times out for refused connections since the last
-	// success.
+	// refusals is the number of ejections for refused connections since the last success.
 	refusals int
 }
 
-// good notes a request that the target answered as it should.
-func (h *health) good() {
+// recordSuccess records a request that the target answered correctly.
+func (h *health) recordSuccess() {
 	h.row = 0
 	h.refusals = 0
-	h.rate -= failWeight * h.rate
+	h.rate -= failureWeight * h.rate
 }
 
-// bad notes a failure and says whether the target is to be left out now. One
-// that fails no more often than is typical of its service stays: the others
-// would do no better.
-func (h *health) bad(now time.Time, typical float64) bool {
+// recordFailure records a failure and reports whether the target is ejected for it. A target
+// that fails no more often than is typical of its service stays, because the others would do
+// no better.
+func (h *health) recordFailure(now time.Time, typical float64) bool {
 	h.row++
-	h.rate += failWeight * (1 - h.rate)
+	h.rate += failureWeight * (1 - h.rate)
 	if h.row < ejectRow && h.rate < ejectRate {
 		return false
 	}
-	if typical > typicalMost && h.row < ejectRowMost {
+	if typical > maxTypicalRate && h.row < alwaysEjectRow {
 		return false
 	}
 	h.eject(now)
 	return true
 }
 
-// unreachable notes that no connection could be made.
-func (h *health) unreachable(now time.Time) {
+// recordUnreachable records that no connection could be made.
+func (h *health) recordUnreachable(now time.Time) {
 	h.row++
 	until := now.Add(unreachableFor)
 	if h.row >= ejectRow {
@@ -85,9 +87,9 @@
 	}
 }
 
-// refused notes that nothing listens at the target's address.
-func (h *health) refused(now time.Time) {
-	until := now.Add(unreachableFor << min(h.refusals, mostDoubled))
+// recordRefused records that nothing listens at the target's address.
+func (h *health) recordRefused(now time.Time) {
+	until := now.Add(unreachableFor << min(h.refusals, maxDoublings))
 	h.refusals++
 	if until.After(h.ejectedUntil) {
 		h.ejectedUntil = until
@@ -95,15 +97,15 @@
 }
 
 func (h *health) eject(now time.Time) {
-	if now.Sub(h.lastEjection) > forgiveAfter {
+	if now.Sub(h.lastEjection) > resetAfter {
 		h.ejections = 0
 	}
-	out := min(ejectFirst<<min(h.ejections, 4), ejectMost)
+	duration := min(minEjection<<min(h.ejections, 4), maxEjection)
 	h.ejections++
 	h.lastEjection = now
-	h.ejectedUntil = now.Add(out)
-	// After its time out one failure is enough to be left out again, and a
-	// few successes clear the record.
+	h.ejectedUntil = now.Add(duration)
+	// After the ejection one failure is enough for another one, and a few successes clear the
+	// record.
 	h.row = ejectRow - 1
 	h.rate = ejectRate / 2
 }
@@ -115,63 +117,63 @@
 // Result is how a request at a target ended.
 type Result int
 
-// The results.
+// The possible results.
 const (
-	// Good: answered as it should be.
+	// Good: answered correctly.
 	Good Result = iota
-	// Bad: failed, was silent for too long, or gave bytes that are no answer.
+	// Bad: failed, was silent for too long, or sent bytes that are not a valid answer.
 	Bad
-	// Lost: gave no answer, or broke off.
+	// Lost: sent no answer, or broke off.
 	Lost
 	// Unreachable: no connection could be made.
 	Unreachable
-	// Refused: nothing listens at its address any more, or another target does.
+	// Refused: nothing listens at the target's address any more, or another target does.
 	Refused
-	// Neutral says nothing of the target.
+	// Neutral: the result says nothing about the target.
 	Neutral
 )
 
-// Release ends a request that Choose counted. It returns true if the target
-// was ejected for the result.
-func (b *Balancer) Release(life string, result Result, now time.Time) bool {
+// Release ends a request that Choose counted. It returns true if the target was ejected
+// because of the result.
+func (b *Balancer) Release(incarnation string, result Result, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	target, ok := b.targets[life]
+	target, ok := b.targets[incarnation]
 	if !ok {
 		return false
 	}
-	target.count(-1)
+	target.addInFlight(-1)
 	if result == Bad || result == Lost || result == Unreachable || result == Refused {
-		target.aside = true
+		target.needsCheck = true
 	}
 	switch result {
 	case Good:
-		target.health.noteAnswer(now)
-		target.health.good()
-		target.noteLife(now)
+		target.health.recordAnswer(now)
+		target.health.recordSuccess()
+		target.recordSignOfLife(now)
 	case Lost:
-		target.health.noteLoss(now)
-		return target.health.bad(now, b.typicalFailures(target))
+		target.health.recordLoss(now)
+		return target.health.recordFailure(now, b.typicalFailures(target))
 	case Bad:
-		return target.health.bad(now, b.typicalFailures(target))
+		return target.health.recordFailure(now, b.typicalFailures(target))
 	case Unreachable:
-		target.health.noteLoss(now)
-		target.health.unreachable(now)
+		target.health.recordLoss(now)
+		target.health.recordUnreachable(now)
 		return true
 	case Refused:
-		target.noteEnd(now, false)
-		target.health.refused(now)
+		target.recordEnd(now, false)
+		target.health.recordRefused(now)
 		return true
 	case Neutral:
 	}
 	return false
 }
 
-// typicalFailures is the median failure rate of the service's other targets.
+// typicalFailures returns the median failure rate of the service's other targets.
 func (b *Balancer) typicalFailures(except *state) float64 {
 	var rates []float64
 	for _, target := range b.serviceOf(except.Service).targets {
-		if target != except && target.goneAt.IsZero() {
+		if target != except && target.unlistedAt.IsZero() {
 			rates = append(rates, target.health.rate)
 		}
 	}
--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// mostParts bounds how many parts of prompts are remembered; a forgotten
-	// one costs a guess at where it is cached.
-	mostParts = 20000
-	// mostHolders bounds how many targets are remembered for one part. Those that
-	// serve no more are forgotten first.
-	mostHolders = 8
-	// mostNews bounds the placements that wait to be reported to other gateways.
-	mostNews = 2048
-	// leastNews is from how many tokens a part is worth telling of: shorter ones
-	// are read as fast as they are fetched, and there are many.
-	leastNews = 400
+	// maxParts limits how many parts of prompts are remembered. After a part is forgotten, its
+	// location has to be guessed.
+	maxParts = 20000
+	// maxHolders limits how many targets are remembered for one part. Targets that no longer
+	// serve are forgotten first.
+	maxHolders = 8
+	// maxUnreported limits the placements that wait to be reported to other gateways.
+	maxUnreported = 2048
+	// minReportedTokens is the length from which a part is worth reporting: shorter parts are
+	// read as fast as they are fetched, and there are many of them.
+	minReportedTokens = 400
 )
 
-// Placement says that a target holds a part of prompts in its cache; both are
-// named by the upper halves of their hashes. Two parts of the same name cost a
-// wrong guess at most.
+// Placement records that a target holds a part of prompts in its cache. Both are identified by
+// the upper halves of their hashes. A collision of two parts costs at most a wrong guess.
 type Placement struct {
 	Part   uint32
 	Target uint32
@@ -31,58 +30,58 @@
 // holder is a target that holds a part, or soon will.
 type holder struct {
 	target uint32
-	// sure is false until an answer has shown that the target has read the
-	// part.
-	sure bool
+	// confirmed is false until an answer has shown that the target has read the part.
+	confirmed bool
 }
 
-// holders remembers which targets hold which parts of prompts.
+// holders tracks which targets hold which parts of prompts.
 type holders struct {
 	cache *lru.Cache[uint32, []holder]
-	// serves says whether a target serves what it holds.
+	// serves reports whether a target serves what it holds.
 	serves func(target uint32) bool
-	// news are this process's own placements in the order of their making;
-	// the first one has the number first.
-	news  []Placement
-	first int
+	// unreported holds this process's own placements, oldest first; firstNumber is the number
+	// of the first one.
+	unreported  []Placement
+	firstNumber int
 }
 
 func newHolders(serves func(target uint32) bool) *holders {
-	cache, err := lru.New[uint32, []holder](mostParts)
+	cache, err := lru.New[uint32, []holder](maxParts)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // lru.New fails only for a size that is not positive
 	}
 	return &holders{cache: cache, serves: serves}
 }
 
-// of are the targets that hold a part or soon will, the first to come first.
+// of returns the targets that hold a part or soon will, in the order in which they were added.
 func (h *holders) of(part uint32) []holder {
 	known, _ := h.cache.Get(part)
 	return known
 }
 
-// surely says whether a target is known to hold a part.
-func (h *holders) surely(part, target uint32) bool {
-	return slices.Contains(h.of(part), holder{target: target, sure: true})
+// isConfirmed reports whether a target is known to hold a part.
+func (h *holders) isConfirmed(part, target uint32) bool {
+	return slices.Contains(h.of(part), holder{target: target, confirmed: true})
 }
 
-// held says whether any target is known to hold a part.
-func (h *holders) held(part uint32) bool {
-	return slices.ContainsFunc(h.of(part), func(k holder) bool { return k.sure })
+// hasConfirmed reports whether any target is known to hold a part.
+func (h *holders) hasConfirmed(part uint32) bool {
+	return slices.ContainsFunc(h.of(part), func(k holder) bool { return k.confirmed })
 }
 
-// note remembers a placement; it returns false if it was known as surely.
-func (h *holders) note(placement Placement, sure bool) bool {
+// record stores a placement. It returns false if the placement was already known with the same
+// certainty.
+func (h *holders) record(placement Placement, sure bool) bool {
 	known := h.of(placement.Part)
 	at := slices.IndexFunc(known, func(k holder) bool { return k.target == placement.Target })
-	if at >= 0 && (known[at].sure || !sure) {
+	if at >= 0 && (known[at].confirmed || !sure) {
 		return false
 	}
 	known = slices.Clone(known)
 	switch {
 	case at >= 0:
-		known[at].sure = true
-	case len(known) >= mostHolders:
+		known[at].confirmed = true
+	case len(known) >= maxHolders:
 		drop := max(slices.IndexFunc(known, func(k holder) bool { return !h.serves(k.target) }), 0)
 		known = append(slices.Delete(known, drop, drop+1), holder{placement.Target, sure})
 	default:
@@ -92,35 +91,35 @@
 	return true
 }
 
-// confirm notes a placement that this process has seen to be true, and keeps it
-// as news if it is worth telling others; it returns false if it was known.
+// confirm stores a placement that this process has verified, and queues it for reporting if it
+// is worth that. It returns false if the placement was already confirmed.
 func (h *holders) confirm(placement Placement, worthReporting bool) bool {
-	if !h.note(placement, true) {
+	if !h.record(placement, true) {
 		return false
 	}
 	if !worthReporting {
 		return true
 	}
-	h.news = append(h.news, placement)
-	if len(h.news) > mostNews {
-		cut := len(h.news) - mostNews
-		h.news = slices.Clone(h.news[cut:])
-		h.first += cut
+	h.unreported = append(h.unreported, placement)
+	if len(h.unreported) > maxUnreported {
+		cut := len(h.unreported) - maxUnreported
+		h.unreported = slices.Clone(h.unreported[cut:])
+		h.firstNumber += cut
 	}
 	return true
 }
 
-// newsFrom are own placements from a number on, at most so many, and the
-// number that follows them.
-func (h *holders) newsFrom(from, most int) ([]Placement, int) {
-	from = max(from, h.first)
-	at := min(from-h.first, len(h.news))
-	end := min(at+most, len(h.news))
-	return slices.Clone(h.news[at:end]), h.first + end
+// unreportedFrom returns at most limit own placements, starting at a number, and the number
+// that follows them.
+func (h *holders) unreportedFrom(from, limit int) ([]Placement, int) {
+	from = max(from, h.firstNumber)
+	at := min(from-h.firstNumber, len(h.unreported))
+	end := min(at+limit, len(h.unreported))
+	return slices.Clone(h.unreported[at:end]), h.firstNumber + end
 }
 
-// withdraw forgets a placement that did not come about.
-func (h *holders) withdraw(placement Placement) {
+// remove forgets an expected placement that did not come about.
+func (h *holders) remove(placement Placement) {
 	known := h.of(placement.Part)
 	at := slices.Index(known, holder{target: placement.Target})
 	if at >= 0 {
@@ -128,14 +127,15 @@
 	}
 }
 
-// all are the sure placements, those used lately last, at most so many.
-func (h *holders) all(most int) []Placement {
+// confirmedPlacements returns the confirmed placements of at most limit parts, the most
+// recently used last.
+func (h *holders) confirmedPlacements(limit int) []Placement {
 	var placements []Placement
 	keys := h.cache.Keys()
-	for _, part := range keys[max(0, len(keys)-most):] {
+	for _, part := range keys[max(0, len(keys)-limit):] {
 		known, _ := h.cache.Peek(part)
 		for _, k := range known {
-			if k.sure {
+			if k.confirmed {
 				placements = append(placements, Placement{Part: part, Target: k.target})
 			}
 		}
--- a/internal/balance/lives_test.go
+++ b/internal/balance/incarnation_test.go
@@ -16,7 +16,7 @@
 }
 
 func shortLife(target Target) uint32 {
-	return shortOf(policy.HashName(target.Life()))
+	return shortHash(policy.HashName(target.Life()))
 }
 
 // TestAnotherLifeBeginsAnew: whatever was known of a target's life, by whomever, says
@@ -78,7 +78,7 @@
 }
 
 func failRow(b *Balancer, target Target, now time.Time) {
-	for range ejectRowMost {
+	for range alwaysEjectRow {
 		b.Choose(Query{Service: "s"}, now)
 		b.Release(target.Life(), Bad, now)
 	}
@@ -101,7 +101,7 @@
 	now := time.Now()
 	b := New(DefaultOptions())
 	first, second := lifeOf(1000), lifeOf(2000)
-	own := func() int { return b.serviceOf("s").overall.own }
+	own := func() int { return b.serviceOf("s").load.own }
 	b.Put(first, now)
 	b.Choose(Query{Service: "s"}, now)
 	b.Choose(Query{Service: "s"}, now)
@@ -160,7 +160,7 @@
 	is.Equal(pick.Load, 1) // the one under way went along
 	b.Release("t", Good, now)
 	b.Release("t", Good, now)
-	is.Equal(b.serviceOf("s").overall.own+b.serviceOf("other").overall.own, 0)
+	is.Equal(b.serviceOf("s").load.own+b.serviceOf("other").load.own, 0)
 }
 
 // TestEnds: a life ends without a plan when nothing listens any more, its entry goes or
@@ -240,7 +240,7 @@
 					b.Release(life.Life(), Good, now)
 				}
 			}
-			if own := b.serviceOf("s").overall.own + b.serviceOf("other").overall.own; own != total {
+			if own := b.serviceOf("s").load.own + b.serviceOf("other").load.own; own != total {
 				t.Fatalf("%d requests are under way, %d are counted", total, own)
 			}
 		}
--- a/internal/balance/list.go
+++ b/internal/balance/list.go
@@ -7,119 +7,123 @@
 )
 
 const (
-	// forgetAfter is how long a dropped target without requests is kept.
+	// forgetAfter is how long an unlisted target without requests is kept.
 	forgetAfter = time.Minute
 )
 
-// Change is what a Put has brought about.
+// Change describes the effect of a Put.
 type Change struct {
-	// Any says that something was new.
+	// Any reports whether anything changed.
 	Any bool
-	// TurnedCold says that the target is cold and was not known to be.
+	// TurnedCold reports whether the target is cold and was not known to be.
 	TurnedCold bool
-	// Unusable says that the entry lacks the start of a life that the target has stated: it
-	// is another writer's, and the target is left out.
+	// Unusable reports whether the entry lacks the start time of an incarnation that had
+	// stated one. Such an entry comes from another writer, and the target gets no new
+	// requests.
 	Unusable bool
-	// Outlived is the life of the target before, if another one has begun; else empty.
+	// Outlived is the name of the target's previous incarnation, if a new one has begun;
+	// otherwise empty.
 	Outlived string
 }
 
-// Put adds a target or takes over what has changed of it.
+// Put adds a target or applies the changes in its entry.
 func (b *Balancer) Put(target Target, now time.Time) Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known, ok := b.current[target.ID]
-	if ok && target.Born == 0 && known.Born != 0 {
-		left := known.leaveOut()
-		return Change{Any: left, Unusable: left}
+	existing, ok := b.current[target.ID]
+	if ok && target.Born == 0 && existing.Born != 0 {
+		changed := existing.markUnusable()
+		return Change{Any: changed, Unusable: changed}
 	}
-	outlived, before := "", said{}
-	if ok && (target.Born != known.Born || target.Service != known.Service) {
-		b.outlive(known, now)
+	replaced, earlier := "", announcement{}
+	if ok && (target.Born != existing.Born || target.Service != existing.Service) {
+		b.supersede(existing, now)
 		ok = false
-		if target.Born != known.Born {
-			outlived = known.life
+		if target.Born != existing.Born {
+			replaced = existing.incarnation
 		}
-		if known.Born == 0 {
-			// The life that has spoken may be the one whose start is stated now.
-			before = known.said
+		if existing.Born == 0 {
+			// The incarnation that made the announcements may be the one whose start is stated
+			// now.
+			earlier = existing.announced
 		}
 	}
 	if !ok {
 		added := b.add(target)
-		if before.any(now) {
-			added.said = before
+		if earlier.isRelevant(now) {
+			added.announced = earlier
 		}
-		return Change{Any: true, TurnedCold: added.noteCold(target.ColdFor, now), Outlived: outlived}
+		return Change{Any: true, TurnedCold: added.updateCold(target.ColdFor, now), Outlived: replaced}
 	}
-	changed := known.Target != target || !known.goneAt.IsZero()
-	if known.Version != target.Version {
-		known.service.leave(known.version)
-		known.version = known.service.join(target.Version)
+	changed := existing.Target != target || !existing.unlistedAt.IsZero()
+	if existing.Version != target.Version {
+		existing.service.removeFromVersion(existing.version)
+		existing.version = existing.service.addToVersion(target.Version)
 	}
-	known.Target = target
-	known.unusable, known.aside = false, true
-	if !known.goneAt.IsZero() {
-		known.goneAt, known.end = time.Time{}, End{}
+	existing.Target = target
+	existing.unusable, existing.needsCheck = false, true
+	if !existing.unlistedAt.IsZero() {
+		existing.unlistedAt, existing.end = time.Time{}, End{}
 	}
-	return Change{Any: changed, TurnedCold: known.noteCold(target.ColdFor, now)}
+	return Change{Any: changed, TurnedCold: existing.updateCold(target.ColdFor, now)}
 }
 
-// add begins to know a target; b.mu is held.
+// add starts tracking a target. The caller must hold b.mu.
 func (b *Balancer) add(target Target) *state {
-	known := b.serviceOf(target.Service)
-	added := newState(target, known)
-	if before, ok := b.targets[added.life]; ok {
-		// The same life again, or under another service: its requests are still under way.
-		underWay := before.inFlight
-		before.count(-underWay)
-		added.count(underWay)
-		added.said = before.said
+	svc := b.serviceOf(target.Service)
+	added := newState(target, svc)
+	if previous, ok := b.targets[added.incarnation]; ok {
+		// The same incarnation again, or under another service: its requests are still in
+		// flight.
+		inFlight := previous.inFlight
+		previous.addInFlight(-inFlight)
+		added.addInFlight(inFlight)
+		added.announced = previous.announced
 	}
-	b.recall(added)
-	b.targets[added.life] = added
+	b.restoreAnnouncement(added)
+	b.targets[added.incarnation] = added
 	b.current[target.ID] = added
 	b.byHash[added.hash] = added
-	b.byShort[shortOf(added.hash)] = added
-	known.targets = append(known.targets, added)
-	known.samples++
+	b.byShort[shortHash(added.hash)] = added
+	svc.targets = append(svc.targets, added)
+	svc.samples++
 	return added
 }
 
-// SetUnusable leaves a target out whose entry names none any more, until it is put again;
-// false if nothing is known of it.
+// SetUnusable excludes a target whose entry no longer describes a valid target, until it is
+// put again. It returns false if the target is unknown or already leaving.
 func (b *Balancer) SetUnusable(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.current[id]
-	return ok && target.leaveOut()
+	return ok && target.markUnusable()
 }
 
-// leaveOut has the target get nothing new; false if it is so already.
-func (s *state) leaveOut() bool {
+// markUnusable stops new requests to the target. It returns false if the target is already
+// leaving.
+func (s *state) markUnusable() bool {
 	if s.Leaving {
 		return false
 	}
-	s.Leaving, s.unusable, s.aside = true, true, true
+	s.Leaving, s.unusable, s.needsCheck = true, true, true
 	return true
 }
 
-// Drop notes that the list no longer has a target.
+// Drop records that a target is no longer listed.
 func (b *Balancer) Drop(id string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if target, ok := b.current[id]; ok && target.goneAt.IsZero() {
-		target.noteEnd(now, true)
-		target.goneAt = now
-		target.aside = true
+	if target, ok := b.current[id]; ok && target.unlistedAt.IsZero() {
+		target.recordEnd(now, true)
+		target.unlistedAt = now
+		target.needsCheck = true
 	}
-	b.forget(now)
+	b.forgetUnlisted(now)
 }
 
-// Restore adds targets that took work when a checkpoint was written and that
-// are not registered: their entries may have lapsed. They count as deregistered
-// now, and serve for as long as lapsed ones do. Known targets are left as they
-// are.
+// Restore adds targets from a checkpoint that took requests when it was written and that are
+// not registered, because their entries may have expired. They count as deregistered now, and
+// serve for as long as expired ones do. Known targets stay unchanged.
 func (b *Balancer) Restore(targets []Target, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,49 +131,49 @@
 		if _, known := b.current[target.ID]; known {
 			continue
 		}
-		b.add(target).goneAt = now
+		b.add(target).unlistedAt = now
 	}
 }
 
-// forget removes targets that were dropped long ago, or that were leaving
-// when they were dropped, once nothing is in flight at them.
-func (b *Balancer) forget(now time.Time) {
-	for life, target := range b.targets {
-		if target.goneAt.IsZero() || target.inFlight > 0 {
+// forgetUnlisted removes targets that were unlisted long ago, or that were leaving when they
+// were unlisted, once nothing is in flight at them.
+func (b *Balancer) forgetUnlisted(now time.Time) {
+	for incarnation, target := range b.targets {
+		if target.unlistedAt.IsZero() || target.inFlight > 0 {
 			continue
 		}
-		if !target.leaving() && now.Sub(target.goneAt) < forgetAfter {
+		if !target.leaving() && now.Sub(target.unlistedAt) < forgetAfter {
 			continue
 		}
-		b.remember(target, now)
-		delete(b.targets, life)
-		if !target.outlived {
+		b.saveAnnouncement(target, now)
+		delete(b.targets, incarnation)
+		if !target.superseded {
 			delete(b.current, target.ID)
-			b.unlist(target)
+			b.removeFromLists(target)
 		}
 	}
 }
 
-// unlist takes a target out of all lists; b.mu is held.
-func (b *Balancer) unlist(target *state) {
+// removeFromLists removes a target from all lists. The caller must hold b.mu.
+func (b *Balancer) removeFromLists(target *state) {
 	delete(b.byHash, target.hash)
-	delete(b.byShort, shortOf(target.hash))
-	target.service.leave(target.version)
-	known := b.serviceOf(target.Service)
-	known.targets = slices.DeleteFunc(known.targets, func(s *state) bool {
+	delete(b.byShort, shortHash(target.hash))
+	target.service.removeFromVersion(target.version)
+	svc := b.serviceOf(target.Service)
+	svc.targets = slices.DeleteFunc(svc.targets, func(s *state) bool {
 		return s == target
 	})
 }
 
-// outlive ends what is known of a target of which another life has begun, but for the
-// requests that are still under way at the one before; b.mu is held.
-func (b *Balancer) outlive(target *state, now time.Time) {
-	target.noteEnd(now, false)
-	target.goneAt, target.outlived, target.aside = now, true, true
-	b.unlist(target)
+// supersede stops tracking an incarnation after a newer one of the same target has begun,
+// except for the requests that are still in flight at it. The caller must hold b.mu.
+func (b *Balancer) supersede(target *state, now time.Time) {
+	target.recordEnd(now, false)
+	target.unlistedAt, target.superseded, target.needsCheck = now, true, true
+	b.removeFromLists(target)
 }
 
-// Forgive clears the targets' records of failures.
+// Forgive clears the failure records of all targets.
 func (b *Balancer) Forgive() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -178,26 +182,24 @@
 	}
 }
 
-// Targets are the known targets in the order of their ids.
+// Targets returns the known targets sorted by ID.
 func (b *Balancer) Targets() []Target {
-	return b.list(func(*state) bool { return true })
+	return b.filtered(func(*state) bool { return true })
 }
 
-// Working are the targets that are listed and take work, in the order of their
-// ids.
+// Working returns the targets that are listed and take requests, sorted by ID.
 func (b *Balancer) Working() []Target {
-	return b.list(func(target *state) bool { return !target.leaving() && target.goneAt.IsZero() })
+	return b.filtered(func(target *state) bool { return !target.leaving() && target.unlistedAt.IsZero() })
 }
 
-// list are the known targets of which a condition holds, in the order of their
-// ids.
-func (b *Balancer) list(holds func(target *state) bool) []Target {
+// filtered returns the known targets that satisfy a condition, sorted by ID.
+func (b *Balancer) filtered(matches func(target *state) bool) []Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var targets []Target
 	for _, id := range slices.Sorted(maps.Keys(b.current)) {
-		if known := b.current[id]; holds(known) {
-			targets = append(targets, known.Target)
+		if target := b.current[id]; matches(target) {
+			targets = append(targets, target.Target)
 		}
 	}
 	return targets
--- a/internal/balance/loads.go
+++ b/internal/balance/loads.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Count is a number of requests in flight at a target, named by its hash; the
-// upper half of the hash is enough.
+// Count is a number of requests in flight at a target. The target is identified by its hash,
+// of which the upper half is enough.
 type Count struct {
 	Target uint64
 	Count  int
 }
 
-// report is another gateway's requests in flight, as it reported them last.
+// report is the last report of another gateway's requests in flight.
 type report struct {
 	counts []reported
 	at     time.Time
@@ -25,10 +25,10 @@
 	count  int
 }
 
-// reportLife is how long another gateway's report is believed.
-const reportLife = 2500 * time.Millisecond
+// reportTTL is how long another gateway's report stays valid.
+const reportTTL = 2500 * time.Millisecond
 
-// Observe notes another gateway's requests in flight, without zeros.
+// Observe records another gateway's requests in flight, without zeros.
 func (b *Balancer) Observe(gateway string, counts []Count, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,38 +37,38 @@
 		known = new(report)
 		b.reports[gateway] = known
 	}
-	known.withdraw()
+	known.remove()
 	known.at = now
 	for _, count := range counts {
-		if target, ok := b.byShort[shortOf(count.Target)]; ok {
+		if target, ok := b.byShort[shortHash(count.Target)]; ok {
 			target.others += count.Count
 			known.counts = append(known.counts, reported{target: target, count: count.Count})
 		}
 	}
-	if end := now.Add(reportLife); b.reportsEnd.IsZero() || end.Before(b.reportsEnd) {
+	if end := now.Add(reportTTL); b.reportsEnd.IsZero() || end.Before(b.reportsEnd) {
 		b.reportsEnd = end
 	}
 }
 
-// withdraw takes the report's counts off its targets.
-func (r *report) withdraw() {
+// remove subtracts the report's counts from its targets.
+func (r *report) remove() {
 	for _, count := range r.counts {
 		count.target.others -= count.count
 	}
 	r.counts = r.counts[:0]
 }
 
-// expireReports withdraws reports that are too old; b.mu is held. Whoever uses
-// loads calls it first.
+// expireReports removes reports that are too old. It must be called before loads are used. The
+// caller must hold b.mu.
 func (b *Balancer) expireReports(now time.Time) {
 	if b.reportsEnd.IsZero() || !now.After(b.reportsEnd) {
 		return
 	}
 	b.reportsEnd = time.Time{}
 	for gateway, known := range b.reports {
-		end := known.at.Add(reportLife)
+		end := known.at.Add(reportTTL)
 		if now.After(end) {
-			known.withdraw()
+			known.remove()
 			delete(b.reports, gateway)
 			continue
 		}
@@ -78,13 +78,13 @@
 	}
 }
 
-// shortOf is the upper half of a target's hash: gateways name targets by it
-// when they report their loads to each other.
-func shortOf(hash uint64) uint32 {
+// shortHash returns the upper half of a hash, by which gateways identify targets in their load
+// reports.
+func shortHash(hash uint64) uint32 {
 	return uint32(hash >> 32)
 }
 
-// InFlight are this process's own requests in flight, without zeros.
+// InFlight returns this process's own requests in flight, without zeros.
 func (b *Balancer) InFlight() []Count {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/notice.go
+++ b/internal/balance/notice.go
@@ -2,18 +2,21 @@
 
 import "time"
 
-// Notice is what a target says of itself in the heads of its answers, beside its load.
+// Notice is what a target announces about itself in the heads of its answers, apart from its
+// load.
 type Notice struct {
-	// Leaving says that it will end, and wants nothing new from anyone.
+	// Leaving reports whether the target is shutting down and wants no new requests from any
+	// gateway.
 	Leaving bool
-	// Rest is for how long it wants nothing from the gateway that it has turned away; zero
-	// is not said.
+	// Rest is the back-off that the target requests from the gateway that it rejected
+	// (Retry-After); zero if it requests none.
 	Rest time.Duration
-	// Unreadable is what it says in place of such a time; empty if it is one, or nothing.
+	// Unreadable is the invalid text in place of a back-off; empty if the back-off is valid or
+	// absent.
 	Unreadable string
 }
 
-// Join is what two answers of the same target say together.
+// Join combines the notices of two answers of the same target.
 func (n Notice) Join(other Notice) Notice {
 	if n.Unreadable == "" {
 		n.Unreadable = other.Unreadable
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -12,7 +12,7 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// heldUp has a target say that its work takes so many times as long as usual.
+// isHeldUp has a target say that its work takes so many times as long as usual.
 func heldUp(b *balance.Balancer, life string, factor float64, now time.Time) {
 	b.NoteLoad(life, balance.Load{Pace: factor}, now)
 }
--- a/internal/balance/paths.go
+++ b/internal/balance/paths.go
@@ -6,40 +6,39 @@
 )
 
 const (
-	// haltWeight is the share of a new stream in a path's moving share of
-	// streams that halted.
-	haltWeight = 0.1
-	// haltHalfLife is how fast that share fades: a path that is avoided shows
-	// nothing new of itself, and is tried again after a few seconds.
-	haltHalfLife = 2 * time.Second
-	// haltMost is the share from which a path is avoided, if another one has
-	// less than a third of it.
-	haltMost  = 0.45
-	haltRatio = 3.0
+	// stallWeight is the weight of a new stream in a path's moving share of stalled streams.
+	stallWeight = 0.1
+	// stallHalfLife is the half-life with which that share decays: a path that is avoided
+	// yields no new samples, and is tried again after a few seconds.
+	stallHalfLife = 2 * time.Second
+	// minBadShare is the share from which a path is avoided, if another one has less than a
+	// third of it.
+	minBadShare   = 0.45
+	badShareRatio = 3.0
 )
 
-// path is what is known of the way from this process to a data centre.
+// path is the state of the network path from this process to a data centre.
 type path struct {
-	// halted is the moving share of streams that halted on the way.
-	halted float64
-	at     time.Time
+	// stalled is the moving share of streams that stalled on the path.
+	stalled   float64
+	updatedAt time.Time
 }
 
-// share is the moving share now.
+// share returns the moving share at a time.
 func (p *path) share(now time.Time) float64 {
 	if p == nil {
 		return 0
 	}
-	return p.halted * math.Exp2(-max(now.Sub(p.at), 0).Seconds()/haltHalfLife.Seconds())
+	return p.stalled * math.Exp2(-max(now.Sub(p.updatedAt), 0).Seconds()/stallHalfLife.Seconds())
 }
 
-// NoteStream notes whether a stream from a target halted between two events
-// for much longer than its callers want. Where packets are lost between data
-// centres, most streams over that way do.
-func (b *Balancer) NoteStream(life string, halted bool, now time.Time) {
+// NoteStream records whether a stream from a target stalled between two events for much longer
+// than its callers accept. If packets are lost between data centres, most streams on that path
+// stall.
+func (b *Balancer) NoteStream(incarnation string, halted bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	target, ok := b.targets[life]
+	target, ok := b.targets[incarnation]
 	if !ok {
 		return
 	}
@@ -49,12 +48,12 @@
 	}
 	known := b.paths[target.DataCenter]
 	share := known.share(now)
-	b.paths[target.DataCenter] = &path{halted: share + haltWeight*(sample-share), at: now}
+	b.paths[target.DataCenter] = &path{stalled: share + stallWeight*(sample-share), updatedAt: now}
 }
 
-// overGoodPaths are the targets that are not behind a bad path and that are
-// below a bound; all if there are none such. b.mu is held.
-func (b *Balancer) overGoodPaths(targets []*state, bound float64, now time.Time) []*state {
+// avoidBadPaths returns the targets that are not behind a bad path and are below a bound, or
+// all targets if there are none. The caller must hold b.mu.
+func (b *Balancer) avoidBadPaths(targets []*state, bound float64, now time.Time) []*state {
 	if !b.anyBadPath(now) {
 		return targets
 	}
@@ -63,13 +62,13 @@
 		share := b.paths[target.DataCenter].share(now)
 		worst, best = max(worst, share), min(best, share)
 	}
-	if worst < haltMost {
+	if worst < minBadShare {
 		return targets
 	}
-	most := max(haltMost, haltRatio*best)
+	maxShare := max(minBadShare, badShareRatio*best)
 	good := b.scratch.good[:0]
 	for _, target := range targets {
-		if b.paths[target.DataCenter].share(now) < most && target.load() <= bound {
+		if b.paths[target.DataCenter].share(now) < maxShare && target.load() <= bound {
 			good = append(good, target)
 		}
 	}
@@ -80,10 +79,10 @@
 	return good
 }
 
-// anyBadPath says whether streams halt on the way to some data centre.
+// anyBadPath reports whether streams stall on the path to any data centre.
 func (b *Balancer) anyBadPath(now time.Time) bool {
 	for _, known := range b.paths {
-		if known.share(now) >= haltMost {
+		if known.share(now) >= minBadShare {
 			return true
 		}
 	}
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -6,59 +6,57 @@
 )
 
 const (
-	// holdWeight is the share of a new request in the moving means of how long
-	// requests stay at a target and how soon their callers want an answer.
+	// holdWeight is the weight of a new request in the moving means of how long requests stay
+	// at a target and how soon their callers want an answer.
 	holdWeight = 0.02
-	// queueShare of the time within which callers want an answer may be spent
-	// in a target's own queue.
+	// queueShare is the fraction of the time within which callers want an answer that may be
+	// spent in a target's own queue.
 	queueShare = 0.25
-	// leastHeadroom is the number of requests for each of its slots up to which
-	// a target has room, at least; mostHeadroom at most.
-	leastHeadroom = 1.0
-	mostHeadroom  = 3.0
-	// firstHeadroom holds until requests of the service have ended.
-	firstHeadroom = 1.25
+	// minHeadroom and maxHeadroom limit the number of requests per slot up to which a target
+	// has room.
+	minHeadroom = 1.0
+	maxHeadroom = 3.0
+	// initialHeadroom applies until requests of the service have ended.
+	initialHeadroom = 1.25
 )
 
-// pacing is how long a service's requests stay at a target, and how soon their
-// callers want an answer: moving means over requests, in seconds; zero before
-// the first.
-type pacing struct {
+// requestTiming holds how long a service's requests stay at a target and how soon their
+// callers want an answer: moving means over requests, in seconds; zero before the first.
+type requestTiming struct {
 	hold   float64
 	wanted float64
 }
 
-// headroom is the number of requests for each of its slots up to which a target
-// has room: those beyond the slots wait there, for no longer than a share of
-// the time within which callers want an answer.
-func (p *pacing) headroom() float64 {
+// headroom returns the number of requests per slot up to which a target has room. Requests
+// beyond the slots wait at the target, for at most a fraction of the time within which callers
+// want an answer.
+func (p *requestTiming) headroom() float64 {
 	if p == nil || p.hold <= 0 || p.wanted <= 0 {
-		return firstHeadroom
+		return initialHeadroom
 	}
-	return min(max(1+queueShare*p.wanted/p.hold, leastHeadroom), mostHeadroom)
+	return min(max(1+queueShare*p.wanted/p.hold, minHeadroom), maxHeadroom)
 }
 
-// NoteHold notes how long a request that was answered stayed at a target, and
-// within which time its caller wanted the answer or its first event; zero if
-// nothing is known of that.
+// NoteHold records how long an answered request stayed at a target, and within which time its
+// caller wanted the answer or its first event; zero if that is unknown.
 func (b *Balancer) NoteHold(service string, took, wanted time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.serviceOf(service)
-	if known.pacing == nil {
-		known.pacing = &pacing{hold: took.Seconds(), wanted: wanted.Seconds()}
+	svc := b.serviceOf(service)
+	if svc.timing == nil {
+		svc.timing = &requestTiming{hold: took.Seconds(), wanted: wanted.Seconds()}
 		return
 	}
-	known.pacing.hold += holdWeight * (took.Seconds() - known.pacing.hold)
-	known.pacing.wanted += holdWeight * (wanted.Seconds() - known.pacing.wanted)
+	svc.timing.hold += holdWeight * (took.Seconds() - svc.timing.hold)
+	svc.timing.wanted += holdWeight * (wanted.Seconds() - svc.timing.wanted)
 }
 
-// NoteLoad records what a target said of itself in an answer, in flight or done: how many
-// requests it works on at once, for targets whose entry does not state it, and its pace.
-func (b *Balancer) NoteLoad(life string, load Load, now time.Time) {
+// NoteLoad records the load information in a target's answer, complete or in progress: the
+// target's slots, if its entry does not state them, and its pace.
+func (b *Balancer) NoteLoad(incarnation string, load Load, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	target, ok := b.targets[life]
+	target, ok := b.targets[incarnation]
 	if !ok {
 		return
 	}
@@ -66,67 +64,66 @@
 		target.reportedSlots = load.Slots
 	}
 	if load.Pace > 0 {
-		b.notePace(target, load.Pace, now)
+		b.recordPace(target, load.Pace, now)
 	}
 }
 
-// Room is how many more requests the open targets of a service that are of the versions
-// which take its requests can take, at most so many. Where no target is open, only such
-// as are to be tried first, or one has slots unknown, nothing bounds it: who waited would be
+// Room returns how many more requests the open targets of the admitted versions of a service
+// can take, up to a maximum. It returns the maximum if no target is open, if all open targets
+// have to be probed first, or if the slots of one are unknown: a request that waited would be
 // refused later.
-func (b *Balancer) Room(service string, versions Versions, most int, now time.Time) int {
+func (b *Balancer) Room(service string, versions Versions, limit int, now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireReports(now)
-	known := b.serviceOf(service)
-	known.admitting = versions
-	headroom := known.pacing.headroom()
+	svc := b.serviceOf(service)
+	svc.admitting = versions
+	headroom := svc.timing.headroom()
 	if b.manyPeers {
-		b.refresh(known, now)
-		most = min(most, known.overall.roomLeft(headroom, most))
+		b.refreshTotals(svc, now)
+		limit = min(limit, svc.load.remainingRoom(headroom, limit))
 	}
-	if known.plainRoom(headroom, most) >= most {
-		return most
+	if svc.roomWithoutCheck(headroom, limit) >= limit {
+		return limit
 	}
-	open := b.open(known, nil, versions, now)
-	if len(open) == 0 || onlyTries(open) {
-		return most
+	open := b.openTargets(svc, nil, versions, now)
+	if len(open) == 0 || onlyProbes(open) {
+		return limit
 	}
-	return roomOf(open, headroom, most)
+	return roomOf(open, headroom, limit)
 }
 
-// plainRoom is the room of the admitting versions' targets that were open at the last
-// choice and to which nothing has happened since. Where it is enough the others need no
-// look.
-func (s *service) plainRoom(headroom float64, most int) int {
-	everyVersion := !s.boundBy(&s.admitting)
+// roomWithoutCheck returns the room of the admitted versions' targets that were open at the
+// last choice and have not changed since. If that is enough, the other targets need no check.
+func (s *service) roomWithoutCheck(headroom float64, limit int) int {
+	everyVersion := !s.restrictedBy(&s.admitting)
 	if !everyVersion {
-		s.admit(s.admitting)
+		s.markAdmitted(s.admitting)
 	}
 	room := 0
 	for _, target := range s.targets {
-		if target.aside || !everyVersion && !s.versions[target.version].admitted {
+		if target.needsCheck || !everyVersion && !s.versions[target.version].admitted {
 			continue
 		}
-		if room += target.room(headroom, most); room >= most {
-			return most
+		if room += target.room(headroom, limit); room >= limit {
+			return limit
 		}
 	}
 	return room
 }
 
-// roomOf is the room of targets, at most so many.
-func roomOf(targets []*state, headroom float64, most int) int {
+// roomOf returns the room of the targets, up to a maximum.
+func roomOf(targets []*state, headroom float64, limit int) int {
 	room := 0
 	for _, target := range targets {
-		if room += target.room(headroom, most); room >= most {
-			return most
+		if room += target.room(headroom, limit); room >= limit {
+			return limit
 		}
 	}
 	return room
 }
 
-// slots is how many requests the target works on at once; zero if unknown.
+// slots returns how many requests the target processes at once; zero if unknown.
 func (s *state) slots() int {
 	if s.Slots > 0 {
 		return s.Slots
@@ -134,24 +131,24 @@
 	return s.reportedSlots
 }
 
-// room is how many more requests the target can take at a headroom; unbounded
-// if its slots are unknown.
+// room returns how many more requests the target can take at a given headroom; unbounded if
+// its slots are unknown.
 func (s *state) room(headroom float64, unbounded int) int {
 	slots := s.slots()
-	if s.cold.yet && s.service.cold.Rate > 0 {
-		return 1 // until this gateway's next turn
+	if s.cold.isCold && s.service.cold.Rate > 0 {
+		return 1 // until this gateway's next window
 	}
-	if s.said.rest.untried() {
-		return 1 // until that is answered
+	if s.announced.backoff.unprobed() {
+		return 1 // until the probe is answered
 	}
 	if slots == 0 {
 		return unbounded
 	}
-	return max(int(math.Floor(headroom*float64(slots)-s.reported())), 0)
+	return max(int(math.Floor(headroom*float64(slots)-s.reportedLoad())), 0)
 }
 
-// withRoom are the targets that can take one more request; all if none can.
-// b.mu is held.
+// withRoom returns the targets that can take one more request, or all if none can. The caller
+// must hold b.mu.
 func (b *Balancer) withRoom(targets []*state, headroom float64) []*state {
 	roomy := b.scratch.roomy[:0]
 	for _, target := range targets {
--- a/internal/balance/service.go
+++ b/internal/balance/service.go
@@ -2,45 +2,44 @@
 
 import "slices"
 
-// service is what the balancer knows of one service.
+// service is what the balancer knows about one service.
 type service struct {
 	targets []*state
-	// versions are those that its known targets have.
+	// versions holds the versions of its known targets.
 	versions []version
-	// admitting are those that take requests at all, as was said last.
+	// admitting restricts which versions take requests at all, as of the last call of Room.
 	admitting Versions
-	// overall is what is known of all of its requests.
-	overall overall
-	// cold is what its cold targets bear.
+	// load describes all of its requests.
+	load serviceLoad
+	// cold is the bound for its cold targets.
 	cold ColdBound
-	// pacing is nil until a request of the service has ended.
-	pacing *pacing
-	// typical is the median of the targets' moving means of latency, in
-	// seconds; zero if none is known. samples counts what changed them since
-	// it was worked out.
+	// timing is nil until a request of the service has ended.
+	timing *requestTiming
+	// typical is the median of the targets' moving mean latencies, in seconds; zero if none is
+	// known. samples counts the changes since it was computed.
 	typical float64
 	samples int
-	// latencies are used again whenever it is.
+	// latencies is reused for each computation.
 	latencies []float64
 }
 
-// typicalEvery is the share of a service's targets of which new samples leave
-// the median as it is: it moves slowly, and to sort anew for each request would
-// cost more than the rest of a choice.
+// typicalEvery is the number of new samples per target up to which the median is not
+// recomputed: it changes slowly, and sorting for each request would cost more than the rest of
+// a choice.
 const typicalEvery = 1.0 / 16
 
-// serviceOf is a service, new if need be; b.mu is held.
+// serviceOf returns a service and adds it if necessary. The caller must hold b.mu.
 func (b *Balancer) serviceOf(name string) *service {
-	known, ok := b.services[name]
+	svc, ok := b.services[name]
 	if !ok {
-		known = new(service)
-		b.services[name] = known
+		svc = new(service)
+		b.services[name] = svc
 	}
-	return known
+	return svc
 }
 
-// typicalLatency is the median of the listed targets' moving means; zero if
-// none is known.
+// typicalLatency returns the median of the listed targets' moving means; zero if none is
+// known.
 func (s *service) typicalLatency() float64 {
 	if float64(s.samples) <= typicalEvery*float64(len(s.targets)) {
 		return s.typical
@@ -48,7 +47,7 @@
 	s.samples = 0
 	s.latencies = s.latencies[:0]
 	for _, target := range s.targets {
-		if target.latency > 0 && target.goneAt.IsZero() {
+		if target.latency > 0 && target.unlistedAt.IsZero() {
 			s.latencies = append(s.latencies, target.latency)
 		}
 	}
@@ -60,18 +59,18 @@
 	return s.typical
 }
 
-// scratch are slices that choices use again, so that a choice allocates
-// nothing. What they hold is valid until the next choice.
+// scratch holds slices that are reused so that a choice does not allocate. Their content is
+// valid until the next choice.
 type scratch struct {
-	admitted []*state
-	healthy  []*state
-	ejected  []*state
-	lapsed   []*state
-	roomy    []*state
-	good     []*state
-	drawn    []*state
-	near     []string
-	scored   []scored
-	// idle are those of the last look at the targets.
+	admitted          []*state
+	healthy           []*state
+	ejected           []*state
+	lapsed            []*state
+	roomy             []*state
+	good              []*state
+	drawFrom          []*state
+	holderDataCenters []string
+	scored            []scored
+	// idle counts the idle targets of the last check.
 	idle idleTargets
 }
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -7,33 +7,34 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// Target is one back end as the list of targets has it.
+// Target is one back end, as described by its entry in the store.
 type Target struct {
-	// ID names the target. One that begins anew may keep it.
+	// ID identifies the target. It may stay the same when the target restarts.
 	ID string
-	// Born is when its present life began, in Unix milliseconds by its own clock; zero if
-	// its entry does not state it, and then each life has an id of its own.
+	// Born is the start of the current incarnation, in Unix milliseconds by the target's own
+	// clock. It is zero if the entry does not state it; each incarnation then has an ID of its
+	// own.
 	Born    int64
 	Service string
 	// Address is IP:port.
 	Address    string
 	DataCenter string
-	// Version is that of its software; empty if its entry states none.
+	// Version is the version of the target's software; empty if its entry states none.
 	Version string
-	// Weights name the models that it serves and their versions; what it has read of
-	// prompts is of use to targets with the same weights only. Empty if not stated.
+	// Weights identifies the models that the target serves and their versions. Cached parts of
+	// prompts can be used only by targets with the same weights. Empty if not stated.
 	Weights string
-	// Slots is how many requests it works on at once; zero is unknown.
+	// Slots is how many requests the target processes at once; zero if unknown.
 	Slots int
-	// Leaving targets get no new work.
+	// Leaving reports whether the target is shutting down and gets no new requests.
 	Leaving bool
-	// ColdFor is how much longer it stays cold from its start, as of when its entry
+	// ColdFor is how much longer the target stays cold after its start, as of when its entry
 	// was read; zero if it is warm.
 	ColdFor time.Duration
 }
 
-// Life names one life of the target: what is known of an earlier one, and what other
-// gateways report of it, says nothing of this one.
+// Life returns the name of the target's incarnation. Data about an earlier incarnation,
+// including reports of other gateways, does not apply to this one.
 func (t Target) Life() string {
 	if t.Born == 0 {
 		return t.ID
@@ -42,108 +43,111 @@
 	return t.ID + "@" + strconv.FormatInt(t.Born, base)
 }
 
-// Load is what a target said of itself in an answer; what it did not say is zero.
+// Load is the load information in a target's answer. Fields that the target did not send are
+// zero.
 type Load struct {
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the target processes at once.
 	Slots int
-	// Pace is how many times as long as usual work takes there now, since its host is
-	// shared with others.
+	// Pace is the current slowdown of the target: how many times as long as usual its work
+	// takes because it shares its host with other work.
 	Pace float64
 }
 
-// state is what the balancer knows of one target.
+// state is what the balancer knows about one incarnation of a target.
 type state struct {
-	// What each choice looks at stands first, within one line of the
-	// processor's cache.
+	// The fields that every choice reads come first, within one line of the processor's cache.
 
-	// inFlight are the requests of this process at the target.
+	// inFlight is the number of this process's requests in flight at the target.
 	inFlight int
-	// others are those of the other gateways, the sum of their reports.
+	// others is the sum of the requests in flight that the other gateways reported.
 	others int
-	// choice is the number of the last choice that the target was open to.
-	choice uint64
-	hash   uint64
-	// reportedSlots is how many requests the target reports in its answers to
-	// work on at once; zero if it does not.
+	// lastChoice is the number of the last choice that the target was a candidate for.
+	lastChoice uint64
+	hash       uint64
+	// reportedSlots is how many requests the target processes at once according to its
+	// answers; zero if it does not report that.
 	reportedSlots int
-	// service is the target's.
+	// service is the service that the target belongs to.
 	service *service
-	// aside is false only while the target is registered, warm, not leaving, not
-	// resting, not ejected and not in an evacuated data centre. It may be true for longer.
-	aside bool
-	// version is that of its software, among the service's.
+	// needsCheck is false only while the target is registered, warm, not leaving, not backing
+	// off, not ejected and not in an evacuated data centre. It may stay true for longer than
+	// necessary.
+	needsCheck bool
+	// version identifies the target's software version among the service's versions.
 	version versionID
 
 	Target
-	// life names the target's life, of which hash is the hash.
-	life string
-	// latency is the moving mean of the time to an answer's head, in seconds;
-	// zero before the first.
-	// It is that at the usual pace.
+	// incarnation is the name of the incarnation; hash is its hash.
+	incarnation string
+	// latency is the moving mean of the time to the head of an answer at the usual pace, in
+	// seconds; zero before the first sample.
 	latency float64
 	pace    pace
 	health  health
-	cold    coldness
-	// suspicions are other gateways'.
+	cold    coldState
+	// suspicions holds the suspicions that other gateways reported.
 	suspicions []suspicion
-	// goneAt is when the list dropped the target; zero while it is listed.
-	goneAt time.Time
-	// end is how this life ended without a plan, if it did.
+	// unlistedAt is when the target's entry disappeared; zero while it is listed.
+	unlistedAt time.Time
+	// end describes how this incarnation ended unplanned, if it did.
 	end End
-	// said is what it has said of itself in its answers.
-	said said
-	// unusable says that it counts as leaving since its entry names no target any more.
+	// announced is what the incarnation announced in its answers.
+	announced announcement
+	// unusable reports whether the target counts as leaving because its entry no longer
+	// describes a valid target.
 	unusable bool
-	// outlived says that another life of the target has begun: this one is in no list.
-	outlived bool
+	// superseded reports whether a newer incarnation of the target has begun. A superseded
+	// incarnation is in no list.
+	superseded bool
 }
 
 func newState(target Target, of *service) *state {
-	life := target.Life()
-	return &state{Target: target, life: life, service: of, version: of.join(target.Version), hash: policy.HashName(life), aside: true}
+	incarnation := target.Life()
+	return &state{Target: target, incarnation: incarnation, service: of, version: of.addToVersion(target.Version), hash: policy.HashName(incarnation), needsCheck: true}
 }
 
-// load is the requests in flight at the target as far as can be told from what is known: what
-// the others have there is estimated from those that were heard lately.
+// load estimates the requests in flight at the target. The other gateways' part is
+// extrapolated from those that reported recently.
 func (s *state) load() float64 {
-	return float64(s.inFlight) + s.estimate() + s.service.overall.unestimated
+	return float64(s.inFlight) + s.estimatedOthers() + s.service.load.unestimated
 }
 
-// estimate is how many requests the other gateways have in flight at the target, unless none
-// that was heard lately has any.
-func (s *state) estimate() float64 {
-	return float64(s.others) * max(s.service.overall.scale, 1)
+// estimatedOthers returns the estimated number of requests that the other gateways have in flight at
+// the target; zero if no gateway that reported recently has any.
+func (s *state) estimatedOthers() float64 {
+	return float64(s.others) * max(s.service.load.scale, 1)
 }
 
-// reported is the requests in flight at the target by all that is known, and no more.
-func (s *state) reported() float64 {
-	return float64(s.inFlight+s.others) + s.service.overall.unreported
+// reportedLoad returns the requests in flight at the target according to the reports alone,
+// without extrapolation.
+func (s *state) reportedLoad() float64 {
+	return float64(s.inFlight+s.others) + s.service.load.unreported
 }
 
-// count adds requests of this process, or takes them off.
-func (s *state) count(requests int) {
+// addInFlight adds a number of requests of this process, which may be negative.
+func (s *state) addInFlight(requests int) {
 	s.inFlight += requests
-	s.service.overall.own += requests
+	s.service.load.own += requests
 }
 
-// goneFor is how long ago the list dropped the target; zero while it is listed.
-func (s *state) goneFor(now time.Time) time.Duration {
-	if s.goneAt.IsZero() {
+// unlistedFor returns how long ago the target's entry disappeared; zero while it is listed.
+func (s *state) unlistedFor(now time.Time) time.Duration {
+	if s.unlistedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(s.goneAt)
+	return now.Sub(s.unlistedAt)
 }
 
-// latencyWeight is the share of a new sample in the moving mean.
+// latencyWeight is the weight of a new sample in the moving mean.
 const latencyWeight = 0.15
 
-// sample takes one more time to the head of an answer. What the host's other work has
-// added to it is left out: the pace says that, and changes sooner than the mean.
-func (s *state) sample(took time.Duration, now time.Time) {
-	usual := took.Seconds() / s.pace.at(now)
+// recordLatency adds a sample of the time to the head of an answer. The delay caused by other
+// work on the host is excluded: the pace accounts for it and changes faster than the mean.
+func (s *state) recordLatency(took time.Duration, now time.Time) {
+	atUsualPace := took.Seconds() / s.pace.factorAt(now)
 	if s.latency == 0 {
-		s.latency = usual
+		s.latency = atUsualPace
 		return
 	}
-	s.latency += latencyWeight * (usual - s.latency)
+	s.latency += latencyWeight * (atUsualPace - s.latency)
 }
--- a/internal/balance/few.go
+++ b/internal/balance/topscored.go
@@ -8,9 +8,9 @@
 	score  uint64
 }
 
-// firstBy moves the first targets in the rendezvous order of a seed to the front, so
-// many of them and in any order. It works in scratch, which it returns for further use.
-func firstBy(targets []*state, count int, seed uint64, scratch []scored) []scored {
+// moveTopScored moves the first count targets in the rendezvous order of a seed to the front,
+// in any order. It works in scratch, which it returns for reuse.
+func moveTopScored(targets []*state, count int, seed uint64, scratch []scored) []scored {
 	if count >= len(targets) {
 		return scratch
 	}
@@ -24,8 +24,8 @@
 	return scratch
 }
 
-// partition moves the targets with the highest scores to the front, so many of them
-// (quickselect). To sort all of a large service would cost more than the choice.
+// partition moves the count targets with the highest scores to the front (quickselect).
+// Sorting all targets of a large service would cost more than the choice.
 func partition(all []scored, count int) {
 	low, high := 0, len(all)-1
 	for low < high {
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -49,7 +49,7 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// leaveOut has a target ejected.
+// markUnusable has a target ejected.
 func leaveOut(b *balance.Balancer, id string) {
 	b.NoteRefused(short(id), start)
 }
