--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -49,9 +49,9 @@
 	return pick, true
 }
 
-// minLapsed is how many targets a service must have lost at about the same time for their
+// minExpired is how many targets a service must have lost at about the same time for their
 // entries to be treated as expired rather than removed.
-const minLapsed = 2
+const minExpired = 2
 
 func meanLoad(targets []*state) float64 {
 	total := 0.0
--- a/internal/balance/fills.go
+++ b/internal/balance/fills.go
@@ -32,9 +32,9 @@
 
 // begin records that a target is about to read a part.
 func (f fills) begin(placement Placement, until time.Time, own bool) {
-	if known, ok := f[placement.Part]; ok {
-		if known.target == placement.Target {
-			known.until = until
+	if existing, ok := f[placement.Part]; ok {
+		if existing.target == placement.Target {
+			existing.until = until
 		}
 		return
 	}
@@ -43,11 +43,11 @@
 
 // end records that a part has been read, or that its target will not read it.
 func (f fills) end(placement Placement, read bool) {
-	known, ok := f[placement.Part]
-	if !ok || !read && known.target != placement.Target {
+	existing, ok := f[placement.Part]
+	if !ok || !read && existing.target != placement.Target {
 		return
 	}
-	close(known.done)
+	close(existing.done)
 	delete(f, placement.Part)
 }
 
@@ -69,8 +69,8 @@
 	defer b.mu.Unlock()
 	b.fills.expire(now)
 	for _, part := range query.Parts {
-		if known, ok := b.fills[shortHash(part)]; ok && b.canUseRead(query, known.target) {
-			return known.done, true
+		if reading, ok := b.fills[shortHash(part)]; ok && b.canUseRead(query, reading.target) {
+			return reading.done, true
 		}
 	}
 	return nil, false
@@ -117,9 +117,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var placements []Placement
-	for part, known := range b.fills {
-		if known.own {
-			placements = append(placements, Placement{Part: part, Target: known.target})
+	for part, reading := range b.fills {
+		if reading.own {
+			placements = append(placements, Placement{Part: part, Target: reading.target})
 		}
 	}
 	return placements
--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -13,8 +13,8 @@
 	// maxHolders limits how many targets are remembered for one part. Targets that no longer
 	// serve are forgotten first.
 	maxHolders = 8
-	// maxUnreported limits the placements that wait to be reported to other gateways.
-	maxUnreported = 2048
+	// maxOwnPlacements limits the own placements that wait to be reported to other gateways.
+	maxOwnPlacements = 2048
 	// minReportedTokens is the length from which a part is worth reporting: shorter parts are
 	// read as fast as they are fetched, and there are many of them.
 	minReportedTokens = 400
@@ -39,10 +39,10 @@
 	cache *lru.Cache[uint32, []holder]
 	// serves reports whether a target serves what it holds.
 	serves func(target uint32) bool
-	// unreported holds this process's own placements, oldest first; firstNumber is the number
-	// of the first one.
-	unreported  []Placement
-	firstNumber int
+	// own holds the latest placements of this process, oldest first; firstOwn is the number of
+	// the first one.
+	own      []Placement
+	firstOwn int
 }
 
 func newHolders(serves func(target uint32) bool) *holders {
@@ -71,10 +71,10 @@
 
 // record stores a placement. It returns false if the placement was already known with the same
 // certainty.
-func (h *holders) record(placement Placement, sure bool) bool {
+func (h *holders) record(placement Placement, confirmed bool) bool {
 	known := h.of(placement.Part)
 	at := slices.IndexFunc(known, func(k holder) bool { return k.target == placement.Target })
-	if at >= 0 && (known[at].confirmed || !sure) {
+	if at >= 0 && (known[at].confirmed || !confirmed) {
 		return false
 	}
 	known = slices.Clone(known)
@@ -83,9 +83,9 @@
 		known[at].confirmed = true
 	case len(known) >= maxHolders:
 		drop := max(slices.IndexFunc(known, func(k holder) bool { return !h.serves(k.target) }), 0)
-		known = append(slices.Delete(known, drop, drop+1), holder{placement.Target, sure})
+		known = append(slices.Delete(known, drop, drop+1), holder{placement.Target, confirmed})
 	default:
-		known = append(known, holder{placement.Target, sure})
+		known = append(known, holder{placement.Target, confirmed})
 	}
 	h.cache.Add(placement.Part, known)
 	return true
@@ -100,22 +100,22 @@
 	if !worthReporting {
 		return true
 	}
-	h.unreported = append(h.unreported, placement)
-	if len(h.unreported) > maxUnreported {
-		cut := len(h.unreported) - maxUnreported
-		h.unreported = slices.Clone(h.unreported[cut:])
-		h.firstNumber += cut
+	h.own = append(h.own, placement)
+	if len(h.own) > maxOwnPlacements {
+		cut := len(h.own) - maxOwnPlacements
+		h.own = slices.Clone(h.own[cut:])
+		h.firstOwn += cut
 	}
 	return true
 }
 
-// unreportedFrom returns at most limit own placements, starting at a number, and the number
+// ownFrom returns at most limit own placements, starting at a number, and the number
 // that follows them.
-func (h *holders) unreportedFrom(from, limit int) ([]Placement, int) {
-	from = max(from, h.firstNumber)
-	at := min(from-h.firstNumber, len(h.unreported))
-	end := min(at+limit, len(h.unreported))
-	return slices.Clone(h.unreported[at:end]), h.firstNumber + end
+func (h *holders) ownFrom(from, limit int) ([]Placement, int) {
+	from = max(from, h.firstOwn)
+	at := min(from-h.firstOwn, len(h.own))
+	end := min(at+limit, len(h.own))
+	return slices.Clone(h.own[at:end]), h.firstOwn + end
 }
 
 // remove forgets an expected placement that did not come about.
--- a/internal/balance/loads.go
+++ b/internal/balance/loads.go
@@ -32,17 +32,17 @@
 func (b *Balancer) Observe(gateway string, counts []Count, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known, ok := b.reports[gateway]
+	last, ok := b.reports[gateway]
 	if !ok {
-		known = new(report)
-		b.reports[gateway] = known
+		last = new(report)
+		b.reports[gateway] = last
 	}
-	known.remove()
-	known.at = now
+	last.remove()
+	last.at = now
 	for _, count := range counts {
 		if target, ok := b.byShort[shortHash(count.Target)]; ok {
 			target.others += count.Count
-			known.counts = append(known.counts, reported{target: target, count: count.Count})
+			last.counts = append(last.counts, reported{target: target, count: count.Count})
 		}
 	}
 	if end := now.Add(reportTTL); b.reportsEnd.IsZero() || end.Before(b.reportsEnd) {
--- a/internal/balance/open.go
+++ b/internal/balance/open.go
@@ -29,7 +29,7 @@
 
 // openAmong returns the open targets among those listed. The caller must hold b.mu.
 func (b *Balancer) openAmong(listed []*state, exclude []string, now time.Time) []*state {
-	healthy, ejected, lapsed := b.scratch.healthy[:0], b.scratch.ejected[:0], b.scratch.lapsed[:0]
+	healthy, ejected, expired := b.scratch.healthy[:0], b.scratch.ejected[:0], b.scratch.expired[:0]
 	present := 0
 	for _, target := range listed {
 		if !target.needsCheck && len(exclude) == 0 {
@@ -47,7 +47,7 @@
 			b.scratch.idle.add(target)
 		case idle || target.leaving() || slices.Contains(exclude, target.incarnation):
 		case unlisted && target.unlistedFor(now) <= b.options.Lapse && !target.health.ejected(now):
-			lapsed = append(lapsed, target)
+			expired = append(expired, target)
 		case unlisted:
 		case target.health.ejected(now) || target.suspectedByPeers(now):
 			ejected = append(ejected, target)
@@ -56,14 +56,14 @@
 			healthy = append(healthy, target)
 		}
 	}
-	if len(lapsed) >= minLapsed && len(lapsed) >= present {
-		healthy = append(healthy, lapsed...)
-		present += len(lapsed)
+	if len(expired) >= minExpired && len(expired) >= present {
+		healthy = append(healthy, expired...)
+		present += len(expired)
 	}
 	if maxEjected := int(b.options.MaxEjected * float64(present)); len(ejected) > maxEjected {
 		healthy = append(healthy, soonestBack(ejected, len(ejected)-maxEjected)...)
 	}
-	b.scratch.healthy, b.scratch.ejected, b.scratch.lapsed = healthy, ejected, lapsed
+	b.scratch.healthy, b.scratch.ejected, b.scratch.expired = healthy, ejected, expired
 	if len(healthy) == 0 {
 		return ejected
 	}
--- a/internal/balance/paths.go
+++ b/internal/balance/paths.go
@@ -35,7 +35,7 @@
 // NoteStream records whether a stream from a target stalled between two events for much longer
 // than its callers accept. If packets are lost between data centres, most streams on that path
 // stall.
-func (b *Balancer) NoteStream(incarnation string, halted bool, now time.Time) {
+func (b *Balancer) NoteStream(incarnation string, stalled bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.targets[incarnation]
@@ -43,11 +43,11 @@
 		return
 	}
 	sample := 0.0
-	if halted {
+	if stalled {
 		sample = 1
 	}
-	known := b.paths[target.DataCenter]
-	share := known.share(now)
+	previous := b.paths[target.DataCenter]
+	share := previous.share(now)
 	b.paths[target.DataCenter] = &path{stalled: share + stallWeight*(sample-share), updatedAt: now}
 }
 
@@ -66,13 +66,13 @@
 		return targets
 	}
 	maxShare := max(minBadShare, badShareRatio*best)
-	good := b.scratch.good[:0]
+	good := b.scratch.onGoodPaths[:0]
 	for _, target := range targets {
 		if b.paths[target.DataCenter].share(now) < maxShare && target.load() <= bound {
 			good = append(good, target)
 		}
 	}
-	b.scratch.good = good
+	b.scratch.onGoodPaths = good
 	if len(good) == 0 {
 		return targets
 	}
@@ -81,8 +81,8 @@
 
 // anyBadPath reports whether streams stall on the path to any data centre.
 func (b *Balancer) anyBadPath(now time.Time) bool {
-	for _, known := range b.paths {
-		if known.share(now) >= minBadShare {
+	for _, p := range b.paths {
+		if p.share(now) >= minBadShare {
 			return true
 		}
 	}
--- a/internal/balance/placements.go
+++ b/internal/balance/placements.go
@@ -162,7 +162,7 @@
 func (b *Balancer) Placements(from, limit int) ([]Placement, int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.holders.unreportedFrom(from, limit)
+	return b.holders.ownFrom(from, limit)
 }
 
 // AllPlacements returns the known placements of the most recently used parts, up to a number
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -150,13 +150,13 @@
 // withRoom returns the targets that can take one more request, or all if none can. The caller
 // must hold b.mu.
 func (b *Balancer) withRoom(targets []*state, headroom float64) []*state {
-	roomy := b.scratch.roomy[:0]
+	roomy := b.scratch.withRoom[:0]
 	for _, target := range targets {
 		if target.room(headroom, 1) > 0 {
 			roomy = append(roomy, target)
 		}
 	}
-	b.scratch.roomy = roomy
+	b.scratch.withRoom = roomy
 	if len(roomy) == 0 {
 		return targets
 	}
--- a/internal/balance/service.go
+++ b/internal/balance/service.go
@@ -65,9 +65,9 @@
 	admitted          []*state
 	healthy           []*state
 	ejected           []*state
-	lapsed            []*state
-	roomy             []*state
-	good              []*state
+	expired           []*state
+	withRoom          []*state
+	onGoodPaths       []*state
 	drawFrom          []*state
 	holderDataCenters []string
 	scored            []scored
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -102,7 +102,7 @@
 }
 
 func (s *state) dropSuspicion(gateway string) {
-	s.suspicions = slices.DeleteFunc(s.suspicions, func(known suspicion) bool { return known.gateway == gateway })
+	s.suspicions = slices.DeleteFunc(s.suspicions, func(s suspicion) bool { return s.gateway == gateway })
 }
 
 // suspectedByPeers reports whether the target is excluded because of other gateways'
@@ -113,14 +113,14 @@
 
 // suspectedByPeersSince reports whether enough gateways suspect the target because of what
 // they saw after a time.
-func (s *state) suspectedByPeersSince(from, now time.Time) bool {
+func (s *state) suspectedByPeersSince(since, now time.Time) bool {
 	agreeing := 0
-	for _, known := range s.suspicions {
-		if now.Sub(known.at) < suspectFor && known.at.After(from) {
+	for _, other := range s.suspicions {
+		if now.Sub(other.at) < suspectFor && other.at.After(since) {
 			agreeing++
 		}
 	}
-	if s.health.suspected(now) && !s.health.lostAt.Before(from) {
+	if s.health.suspected(now) && !s.health.lostAt.Before(since) {
 		agreeing++
 	}
 	return agreeing >= minSuspicions
