--- a/internal/balance/admitted.go
+++ b/internal/balance/admitted.go
@@ -115,8 +115,8 @@
 // The others are counted as idle for it. The caller must hold b.mu.
 func (b *Balancer) applyVersions(svc *service, open []*state, versions Versions) []*state {
 	kept := len(open)
-	if versions.Rather != "" {
-		kept = svc.movePreferredFirst(open, versions.Rather)
+	if versions.Preferred != "" {
+		kept = svc.movePreferredFirst(open, versions.Preferred)
 	}
 	if versions.Only != "" && versions.Share > 0 {
 		kept = min(kept, shareTargets(versions.Share, b.scratch.idle.notAdmitted))
--- a/internal/balance/announcement.go
+++ b/internal/balance/announcement.go
@@ -25,24 +25,24 @@
 // according to its entry or its answers.
 func (s *state) leaving() bool { return s.Leaving || s.announced.leaving }
 
-// News is the part of a notice that was not known yet.
-type News struct {
+// NoticeChange is the part of a notice that was not known yet.
+type NoticeChange struct {
 	Leaving bool
-	// Resting reports whether the target requested a new back-off, or one so much longer that
+	// BackingOff reports whether the target requested a new back-off, or one so much longer that
 	// it is worth reporting.
-	Resting    bool
+	BackingOff bool
 	Unreadable bool
 }
 
-// Heed records the announcements in an answer of an incarnation to this gateway.
-func (b *Balancer) Heed(life string, notice Notice, now time.Time) News {
+// ObserveNotice records the announcements in an answer of an incarnation to this gateway.
+func (b *Balancer) ObserveNotice(life string, notice Notice, now time.Time) NoticeChange {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.targets[life]
 	if !ok {
-		return News{}
+		return NoticeChange{}
 	}
-	news := News{
+	news := NoticeChange{
 		Leaving:    notice.Leaving && !target.announced.leaving,
 		Unreadable: notice.Unreadable != "" && !target.announced.unreadable,
 	}
@@ -50,8 +50,8 @@
 	if news.Leaving {
 		target.announced.leaving, target.needsCheck = true, true
 	}
-	if notice.Rest > 0 {
-		news.Resting = target.announced.backoff.extend(now.Add(notice.Rest), b.probeOffset(target), now)
+	if notice.RetryAfter > 0 {
+		news.BackingOff = target.announced.backoff.extend(now.Add(notice.RetryAfter), b.probeOffset(target), now)
 		target.needsCheck = true
 	}
 	return news
--- a/internal/balance/announcement_test.go
+++ b/internal/balance/announcement_test.go
@@ -22,7 +22,7 @@
 	for number := range 40 {
 		pick, ok := b.Choose(Query{Service: "s", Parts: []uint64{uint64(number) << 40}}, now)
 		if ok {
-			b.Release(pick.Target.Life(), Good, now)
+			b.Release(pick.Target.Incarnation(), Good, now)
 		}
 		if ok && pick.Target.ID == "t" {
 			return true
@@ -88,8 +88,8 @@
 			b.Put(next, now)
 		},
 		"records are cleared":                func(b *Balancer, _ time.Time) { b.Forgive() },
-		"it answers as it should":            func(b *Balancer, now time.Time) { b.Release(t1.Life(), Good, now) },
-		"it answers without saying it again": func(b *Balancer, _ time.Time) { b.Heed(t1.Life(), Notice{}, time.Time{}) },
+		"it answers as it should":            func(b *Balancer, now time.Time) { b.Release(t1.Incarnation(), Good, now) },
+		"it answers without saying it again": func(b *Balancer, _ time.Time) { b.ObserveNotice(t1.Incarnation(), Notice{}, time.Time{}) },
 		"its data centre is evacuated and returns": func(b *Balancer, now time.Time) {
 			b.SetEvacuated("", true, now)
 			b.SetEvacuated("", false, now)
@@ -105,13 +105,13 @@
 			is := is.New(t)
 			b := saying(later)
 			is.True(chosen(b, later)) // or nothing is shown
-			is.True(b.Heed(t1.Life(), Notice{Leaving: true}, time.Time{}).Leaving)
-			is.True(!b.Heed(t1.Life(), Notice{Leaving: true}, time.Time{}).Leaving) // no news
+			is.True(b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, time.Time{}).Leaving)
+			is.True(!b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, time.Time{}).Leaving) // no news
 			happens(b, later)
 			for _, after := range []time.Duration{0, time.Second, time.Minute} {
 				is.True(!chosen(b, later.Add(after)))
 			}
-			is.True(b.Closed(t1.Life(), later) || !b.Serving(t1.Life()))
+			is.True(b.Closed(t1.Incarnation(), later) || !b.Serving(t1.Incarnation()))
 		})
 	}
 }
@@ -122,7 +122,7 @@
 	is := is.New(t)
 	now := time.Now()
 	b := saying(now)
-	b.Heed("t@1000", Notice{Leaving: true}, time.Time{})
+	b.ObserveNotice("t@1000", Notice{Leaving: true}, time.Time{})
 	is.True(!b.Serving("t@1000"))
 	is.Equal(len(b.Working()), 1)
 	b.NoteRefused(shortLife(lifeOf(1000)), now)
@@ -137,7 +137,7 @@
 	now := time.Now()
 	b := New(DefaultOptions())
 	b.Put(lifeOf(0), now)
-	b.Heed("t", Notice{Leaving: true}, time.Time{})
+	b.ObserveNotice("t", Notice{Leaving: true}, time.Time{})
 	b.Put(lifeOf(1000), now)
 	is.True(!chosen(b, now))
 	b.Put(lifeOf(2000), now) // surely another one
@@ -152,13 +152,13 @@
 	for number := range 100 {
 		made := Target{ID: fmt.Sprint(number), Born: 1, Service: "s"}
 		b.Put(made, now)
-		b.Heed(made.Life(), Notice{Leaving: true}, time.Time{})
+		b.ObserveNotice(made.Incarnation(), Notice{Leaving: true}, time.Time{})
 		b.Drop(made.ID, now)
 	}
 	is.Equal(len(b.pastAnnouncements), 100)
 	is.Equal(len(b.targets), 0)
 	b.Put(lifeOf(1), now)
-	b.Heed("t@1", Notice{Leaving: true}, time.Time{})
+	b.ObserveNotice("t@1", Notice{Leaving: true}, time.Time{})
 	b.Drop("t", now.Add(rememberFor+time.Second))
 	is.Equal(len(b.pastAnnouncements), 1)
 }
@@ -194,12 +194,12 @@
 				if !ok {
 					return
 				}
-				life := pick.Target.Life()
+				life := pick.Target.Incarnation()
 				if told[life] {
 					t.Fatalf("%s was chosen and has said that it leaves", life)
 				}
 				if rapid.Bool().Draw(t, "says") {
-					b.Heed(life, Notice{Leaving: true}, time.Time{})
+					b.ObserveNotice(life, Notice{Leaving: true}, time.Time{})
 					told[life] = true
 				}
 				b.Release(life, rapid.SampledFrom([]Result{Good, Bad, Lost, Unreachable, Refused, Neutral}).Draw(t, "result"), now)
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -69,10 +69,10 @@
 	return time.Duration(b.windowOffset(target) * float64(maxOffset))
 }
 
-// EndTry records that the request that probed a target after a back-off has ended. If it was
+// EndProbe records that the request that probed a target after a back-off has ended. If it was
 // answered, others may follow unless the target has requested another back-off in the
 // meantime. If it ended without an answer, another request may probe.
-func (b *Balancer) EndTry(incarnation string, answered bool, now time.Time) {
+func (b *Balancer) EndProbe(incarnation string, answered bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.targets[incarnation]
@@ -98,10 +98,10 @@
 	maxRetryIn = 30 * time.Second
 )
 
-// BackIn returns after which time a caller for whom no target is open may retry, because a
+// RetryIn returns after which time a caller for whom no target is open may retry, because a
 // target's back-off ends then. It returns false if a target is open, or none is backing off.
 // Callers are spread over a while after that time.
-func (b *Balancer) BackIn(query Query, now time.Time) (time.Duration, bool) {
+func (b *Balancer) RetryIn(query Query, now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	svc := b.serviceOf(query.Service)
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -11,23 +11,26 @@
 )
 
 // restOf is a wish for rest.
-func restOf(length time.Duration) Notice { return Notice{Rest: length} }
+func restOf(length time.Duration) Notice { return Notice{RetryAfter: length} }
 
 // TestARestHolds: until its end, against whatever becomes known of the target by other ways.
 func TestARestHolds(t *testing.T) {
 	t1 := lifeOf(1000)
 	later := time.Now()
 	cases := map[string]func(b *Balancer, now time.Time){
-		"nothing happens":                     func(*Balancer, time.Time) {},
-		"it asks for less":                    func(b *Balancer, now time.Time) { b.Heed(t1.Life(), restOf(time.Second), now) },
-		"it answers others":                   func(b *Balancer, now time.Time) { b.Heed(t1.Life(), Notice{}, now); b.Release(t1.Life(), Good, now) },
-		"an earlier try is answered":          func(b *Balancer, now time.Time) { b.EndTry(t1.Life(), true, now) },
-		"an earlier try is lost":              func(b *Balancer, now time.Time) { b.EndTry(t1.Life(), false, now) },
+		"nothing happens":  func(*Balancer, time.Time) {},
+		"it asks for less": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), restOf(time.Second), now) },
+		"it answers others": func(b *Balancer, now time.Time) {
+			b.ObserveNotice(t1.Incarnation(), Notice{}, now)
+			b.Release(t1.Incarnation(), Good, now)
+		},
+		"an earlier try is answered":          func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), true, now) },
+		"an earlier try is lost":              func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), false, now) },
 		"its entry says that it takes work":   func(b *Balancer, now time.Time) { b.Put(t1, now) },
 		"its entry goes and comes back":       func(b *Balancer, now time.Time) { b.Drop("t", now); b.Put(t1, now) },
 		"its entry goes, and it is not back":  func(b *Balancer, now time.Time) { b.Drop("t", now) },
 		"all entries lapse":                   func(b *Balancer, now time.Time) { b.Drop("t", now); b.Drop("other", now) },
-		"all others leave":                    func(b *Balancer, now time.Time) { b.Heed("other@1000", Notice{Leaving: true}, now) },
+		"all others leave":                    func(b *Balancer, now time.Time) { b.ObserveNotice("other@1000", Notice{Leaving: true}, now) },
 		"records are cleared":                 func(b *Balancer, _ time.Time) { b.Forgive() },
 		"its data centre returns":             func(b *Balancer, now time.Time) { b.SetEvacuated("", true, now); b.SetEvacuated("", false, now) },
 		"it changes its service and back":     func(b *Balancer, now time.Time) { moved := t1; moved.Service = "x"; b.Put(moved, now); b.Put(t1, now) },
@@ -37,14 +40,14 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := saying(later)
-			is.True(b.Heed(t1.Life(), restOf(3*time.Second), later).Resting)
-			is.True(!b.Heed(t1.Life(), restOf(3*time.Second+time.Millisecond), later).Resting) // no news
+			is.True(b.ObserveNotice(t1.Incarnation(), restOf(3*time.Second), later).BackingOff)
+			is.True(!b.ObserveNotice(t1.Incarnation(), restOf(3*time.Second+time.Millisecond), later).BackingOff) // no news
 			happens(b, later.Add(time.Second))
 			for _, after := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
 				is.True(!chosen(b, later.Add(after)))
-				is.True(b.Closed(t1.Life(), later.Add(after)))
+				is.True(b.Closed(t1.Incarnation(), later.Add(after)))
 			}
-			is.True(!b.Closed(t1.Life(), later.Add(4*time.Second)))
+			is.True(!b.Closed(t1.Incarnation(), later.Add(4*time.Second)))
 		})
 	}
 }
@@ -55,7 +58,7 @@
 	is := is.New(t)
 	now := time.Now()
 	b := saying(now)
-	b.Heed("t@1000", restOf(time.Hour), now)
+	b.ObserveNotice("t@1000", restOf(time.Hour), now)
 	b.Drop("t", now)
 	b.Drop("t", now.Add(2*forgetAfter))
 	is.Equal(len(b.pastAnnouncements), 1)
@@ -69,7 +72,7 @@
 	is := is.New(t)
 	now := time.Now()
 	b := saying(now)
-	b.Heed("t@1000", restOf(time.Hour), now)
+	b.ObserveNotice("t@1000", restOf(time.Hour), now)
 	b.Put(lifeOf(2000), now)
 	is.True(chosen(b, now))
 }
@@ -95,17 +98,23 @@
 		// most, if they may be many.
 		first, later int
 	}{
-		"it is under way":           {func(*Balancer) {}, 0, 1},
-		"it is answered":            {func(b *Balancer) { b.EndTry("t@1000", true, back) }, 20, 20},
-		"it is lost":                {func(b *Balancer) { b.EndTry("t@1000", false, back) }, 1, 1},
-		"the target rests again":    {func(b *Balancer) { b.Heed("t@1000", restOf(3*time.Second), back); b.EndTry("t@1000", false, back) }, 0, 0},
-		"an older one is told rest": {func(b *Balancer) { b.Heed("t@1000", restOf(3*time.Second), back); b.EndTry("t@1000", true, back) }, 0, 0},
+		"it is under way": {func(*Balancer) {}, 0, 1},
+		"it is answered":  {func(b *Balancer) { b.EndProbe("t@1000", true, back) }, 20, 20},
+		"it is lost":      {func(b *Balancer) { b.EndProbe("t@1000", false, back) }, 1, 1},
+		"the target rests again": {func(b *Balancer) {
+			b.ObserveNotice("t@1000", restOf(3*time.Second), back)
+			b.EndProbe("t@1000", false, back)
+		}, 0, 0},
+		"an older one is told rest": {func(b *Balancer) {
+			b.ObserveNotice("t@1000", restOf(3*time.Second), back)
+			b.EndProbe("t@1000", true, back)
+		}, 0, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := saying(begin)
-			b.Heed("t@1000", restOf(3*time.Second), begin)
+			b.ObserveNotice("t@1000", restOf(3*time.Second), begin)
 			is.Equal(tries(b, back), 1)
 			test.ends(b)
 			is.Equal(min(tries(b, back.Add(time.Millisecond)), test.first), test.first)
@@ -127,7 +136,7 @@
 			for place := range count {
 				b := saying(now)
 				b.SetGateways(Gateways{Count: count, Place: place})
-				b.Heed("t@1000", restOf(time.Second), now)
+				b.ObserveNotice("t@1000", restOf(time.Second), now)
 				offsets = append(offsets, b.current["t"].announced.backoff.probeAt.Sub(now)-time.Second)
 			}
 			slices.Sort(offsets)
@@ -150,7 +159,7 @@
 		b.Put(Target{ID: id, Service: "s", Slots: 64}, now)
 	}
 	for _, id := range ids[:2] {
-		b.Heed(id, restOf(time.Minute), now)
+		b.ObserveNotice(id, restOf(time.Minute), now)
 	}
 	const requests = 120
 	loads := make(map[string]int)
@@ -176,15 +185,15 @@
 		b.Put(Target{ID: id, Service: "s", Slots: 8}, now)
 	}
 	whole := b.Room("s", Versions{}, 100, now)
-	b.Heed("a", restOf(time.Second), now)
+	b.ObserveNotice("a", restOf(time.Second), now)
 	is.Equal(b.Room("s", Versions{}, 100, now), whole/2)
-	b.Heed("b", restOf(time.Second), now)
+	b.ObserveNotice("b", restOf(time.Second), now)
 	is.Equal(b.Room("s", Versions{}, 100, now), 100)
 	back := now.Add(1100 * time.Millisecond)
 	is.Equal(b.Room("s", Versions{}, 100, back), 100)
 	b.Choose(Query{Service: "s"}, back)
-	b.EndTry("a", true, back)
-	b.EndTry("b", true, back)
+	b.EndProbe("a", true, back)
+	b.EndProbe("b", true, back)
 	is.True(b.Room("s", Versions{}, 100, back) < whole+1)
 }
 
@@ -195,30 +204,30 @@
 	now := time.Now()
 	b := saying(now)
 	query := Query{Service: "s"}
-	_, ok := b.BackIn(query, now)
+	_, ok := b.RetryIn(query, now)
 	is.True(!ok)
-	b.Heed("t@1000", restOf(4*time.Second), now)
-	_, ok = b.BackIn(query, now)
+	b.ObserveNotice("t@1000", restOf(4*time.Second), now)
+	_, ok = b.RetryIn(query, now)
 	is.True(!ok) // the other one is open
-	b.Heed("other@1000", restOf(8*time.Second), now)
+	b.ObserveNotice("other@1000", restOf(8*time.Second), now)
 	told := make(map[time.Duration]bool)
 	for range 50 {
-		back, ok := b.BackIn(query, now.Add(time.Second))
+		back, ok := b.RetryIn(query, now.Add(time.Second))
 		is.True(ok)
 		is.True(back >= 3*time.Second && back < 4*time.Second)
 		told[back] = true
 	}
 	is.True(len(told) > 10)
-	b.Heed("t@1000", Notice{Leaving: true}, now)
-	back, ok := b.BackIn(query, now)
+	b.ObserveNotice("t@1000", Notice{Leaving: true}, now)
+	back, ok := b.RetryIn(query, now)
 	is.True(ok)
 	is.True(back >= 8*time.Second)
-	b.Heed("other@1000", restOf(time.Hour), now)
-	back, ok = b.BackIn(query, now)
+	b.ObserveNotice("other@1000", restOf(time.Hour), now)
+	back, ok = b.RetryIn(query, now)
 	is.True(ok)
 	is.True(back >= maxRetryIn && back <= maxRetryIn+maxRetrySpread) // somebody else may join
-	b.Heed("other@1000", Notice{Leaving: true}, now)
-	_, ok = b.BackIn(query, now)
+	b.ObserveNotice("other@1000", Notice{Leaving: true}, now)
+	_, ok = b.RetryIn(query, now)
 	is.True(!ok) // nobody is known to come back
 }
 
@@ -250,11 +259,11 @@
 				if !ok {
 					return
 				}
-				life := pick.Target.Life()
+				life := pick.Target.Incarnation()
 				if now.Before(until[life]) {
 					t.Fatalf("%s was chosen and rests", life)
 				}
-				if pick.Try && now.Sub(trying[life]) < probeTimeout {
+				if pick.Probe && now.Sub(trying[life]) < probeTimeout {
 					t.Fatalf("%s is tried by two at once", life)
 				}
 				asks := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond
@@ -262,13 +271,13 @@
 				case rapid.Bool().Draw(t, "unanswered"):
 					trying[life] = now
 				case asks > 0:
-					b.Heed(life, restOf(asks), now)
+					b.ObserveNotice(life, restOf(asks), now)
 					if end := now.Add(asks); end.After(until[life]) {
 						until[life] = end
 					}
 					delete(trying, life)
-				case pick.Try:
-					b.EndTry(life, true, now)
+				case pick.Probe:
+					b.EndProbe(life, true, now)
 					delete(trying, life)
 				}
 				b.Release(life, rapid.SampledFrom([]Result{Good, Bad, Neutral}).Draw(t, "result"), now)
@@ -289,15 +298,15 @@
 		"nothing":                     {func(*Balancer) {}, ReasonNone, 0},
 		"its entry says that it ends": {func(b *Balancer) { b.Put(leaving(t1), now) }, ReasonEntry, 0},
 		"its answers say so": {func(b *Balancer) {
-			b.Heed(t1.Life(), restOf(time.Minute), now)
-			b.Heed(t1.Life(), Notice{Leaving: true}, now)
+			b.ObserveNotice(t1.Incarnation(), restOf(time.Minute), now)
+			b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, now)
 		}, ReasonAnswer, 0},
 		"its entry is gone":           {func(b *Balancer) { b.Drop("t", now) }, ReasonUnlisted, 0},
 		"its data centre is emptied":  {func(b *Balancer) { b.SetEvacuated("", true, now) }, ReasonEvacuated, 0},
-		"it rests":                    {func(b *Balancer) { b.Heed(t1.Life(), restOf(time.Minute), now) }, ReasonRest, time.Minute},
-		"its rest is over":            {func(b *Balancer) { b.Heed(t1.Life(), restOf(time.Second), now.Add(-2*time.Second)) }, ReasonTried, 0},
+		"it rests":                    {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), restOf(time.Minute), now) }, ReasonBackoff, time.Minute},
+		"its rest is over":            {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), restOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
 		"it has refused a connection": {func(b *Balancer) { b.NoteRefused(shortLife(t1), now) }, ReasonEjected, unreachableFor},
-		"others get no answer":        {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonDoubted, 0},
+		"others get no answer":        {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonSuspected, 0},
 		"it has just started":         {func(b *Balancer) { b.Put(coldFor(t1, time.Minute), now) }, ReasonCold, time.Minute},
 	}
 	for name, test := range cases {
@@ -305,11 +314,11 @@
 			is := is.New(t)
 			b := saying(now)
 			test.happens(b)
-			found := b.Standings(now)
+			found := b.TargetStatuses(now)
 			is.Equal(len(found), 2)
-			is.Equal(found[1].Life, t1.Life())
+			is.Equal(found[1].Incarnation, t1.Incarnation())
 			is.Equal(found[1].Reason, test.want)
-			is.Equal(found[1].Left, test.left)
+			is.Equal(found[1].Remaining, test.left)
 		})
 	}
 }
@@ -321,12 +330,12 @@
 	lives := make([]string, 1900)
 	for i := range lives {
 		target := Target{ID: fmt.Sprint("t-", i), Born: 1, Service: "s", Slots: 64}
-		lives[i] = target.Life()
+		lives[i] = target.Incarnation()
 		made.Put(target, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		made.Heed(lives[i%len(lives)], restOf(time.Second), now)
+		made.ObserveNotice(lives[i%len(lives)], restOf(time.Second), now)
 	}
 }
 
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -15,9 +15,9 @@
 	// moves to its next home. Long prompts cost more to move, so short ones make room for
 	// them.
 	Short, Long Bound
-	// ShortOfMany and LongOfMany replace Short and Long when more than a few gateways share
+	// ShortManyGateways and LongManyGateways replace Short and Long when more than a few gateways share
 	// the targets.
-	ShortOfMany, LongOfMany Bound
+	ShortManyGateways, LongManyGateways Bound
 	// Whole is the limit that no target may exceed. The other bounds are fractions of it.
 	Whole Bound
 	// MaxEjected is the largest fraction of a service's targets that may be ejected for
@@ -82,9 +82,9 @@
 	return Bound{Multiple: b.Multiple * whole.Multiple, Extra: b.Extra * whole.Extra}
 }
 
-// MostLapse is how long an entry that expired during a store outage may be missing after the
+// MaxLapse is how long an entry that expired during a store outage may be missing after the
 // store's return. The users' platform specifies it.
-const MostLapse = 2 * time.Second
+const MaxLapse = 2 * time.Second
 
 // DefaultCold is the bound on requests to cold targets if the deployment sets none: exactly
 // the rate that they bear.
@@ -93,14 +93,14 @@
 // OptionsFor returns options that leave room below a bound that no target may exceed.
 func OptionsFor(whole Bound) Options {
 	return Options{
-		Short:       shortShare.shareOf(whole),
-		Long:        longShare.shareOf(whole),
-		ShortOfMany: shortShareOfMany.shareOf(whole),
-		LongOfMany:  longShareOfMany.shareOf(whole),
-		Whole:       whole,
-		MaxEjected:  0.5,
-		Cold:        DefaultCold,
-		Lapse:       MostLapse,
+		Short:             shortShare.shareOf(whole),
+		Long:              longShare.shareOf(whole),
+		ShortManyGateways: shortShareOfMany.shareOf(whole),
+		LongManyGateways:  longShareOfMany.shareOf(whole),
+		Whole:             whole,
+		MaxEjected:        0.5,
+		Cold:              DefaultCold,
+		Lapse:             MaxLapse,
 	}
 }
 
@@ -235,9 +235,9 @@
 	Unread int
 	// Cold reports whether the target has just started.
 	Cold bool
-	// Try reports whether this request probes a target whose back-off has ended. The target
-	// gets no other request until this one is answered; the caller must call EndTry.
-	Try bool
+	// Probe reports whether this request probes a target whose back-off has ended. The target
+	// gets no other request until this one is answered; the caller must call EndProbe.
+	Probe bool
 	// Load and Mean are the values that the choice was based on: the requests in flight at the
 	// target and the mean over the service's open targets.
 	Load int
@@ -249,8 +249,8 @@
 	Fills []Placement
 }
 
-// Sample records how long a target took to send the head of its answer.
-func (b *Balancer) Sample(incarnation string, took time.Duration, now time.Time) {
+// ObserveLatency records how long a target took to send the head of its answer.
+func (b *Balancer) ObserveLatency(incarnation string, took time.Duration, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if target, ok := b.targets[incarnation]; ok {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -158,10 +158,10 @@
 	}
 	_, ok := b.Choose(balance.Query{Service: "s"}, start)
 	is.True(ok) // all at once: their entries lapsed while the store was away
-	_, ok = b.Choose(balance.Query{Service: "s"}, start.Add(balance.MostLapse+time.Millisecond))
+	_, ok = b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxLapse+time.Millisecond))
 	is.True(!ok) // still missing: they are gone
 	b.Put(target(1), start)
-	pick, _ := b.Choose(balance.Query{Service: "s"}, start.Add(balance.MostLapse+time.Millisecond))
+	pick, _ := b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxLapse+time.Millisecond))
 	is.Equal(pick.Target.ID, "t1") // one is back, the others are still missing
 	single := newBalancer(1)
 	single.Drop("t0", start)
@@ -181,7 +181,7 @@
 		"one of four is back":            {missing: 4, back: 1, want: 4},
 		"half are back":                  {missing: 4, back: 2, want: 4},
 		"most are back":                  {missing: 4, back: 3, want: 3},
-		"the time is over":               {missing: 4, back: 1, after: balance.MostLapse + time.Millisecond, want: 1},
+		"the time is over":               {missing: 4, back: 1, after: balance.MaxLapse + time.Millisecond, want: 1},
 		"one of four is removed":         {missing: 1, want: 3},
 		"one of two hosts' is removed":   {missing: 2, want: 4},
 		"three of four at the same time": {missing: 3, want: 4},
@@ -229,7 +229,7 @@
 		pick, _ := b.Choose(balance.Query{Service: "s"}, start)
 		is.True(pick.Target.ID != "t2")
 	}
-	later := start.Add(balance.MostLapse + time.Millisecond)
+	later := start.Add(balance.MaxLapse + time.Millisecond)
 	for range 6 {
 		pick, _ := b.Choose(balance.Query{Service: "s"}, later)
 		is.Equal(pick.Target.ID, "t0")
@@ -333,7 +333,7 @@
 			for b.Loop() {
 				i++
 				pick, _ := balancer.Choose(queries[i%len(queries)], start)
-				balancer.Sample(pick.Target.ID, time.Millisecond, start)
+				balancer.ObserveLatency(pick.Target.ID, time.Millisecond, start)
 				balancer.Release(pick.Target.ID, balance.Good, start)
 			}
 		})
@@ -345,10 +345,10 @@
 func BenchmarkChooseVersions(b *testing.B) {
 	cases := map[string]balance.Versions{
 		"all":    {},
-		"old":    {Not: []string{"new"}},
+		"old":    {Excluded: []string{"new"}},
 		"canary": {Only: "new", Share: 0.1, Seed: 7},
-		"rather": {Rather: "new", Not: []string{"older"}},
-		"moved":  {Rather: "new", Not: []string{"old"}},
+		"rather": {Preferred: "new", Excluded: []string{"older"}},
+		"moved":  {Preferred: "new", Excluded: []string{"old"}},
 	}
 	for name, versions := range cases {
 		b.Run(name, func(b *testing.B) {
@@ -371,7 +371,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				pick, _ := balancer.Choose(query, start)
-				balancer.Sample(pick.Target.ID, time.Millisecond, start)
+				balancer.ObserveLatency(pick.Target.ID, time.Millisecond, start)
 				balancer.Release(pick.Target.ID, balance.Good, start)
 			}
 		})
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -43,7 +43,7 @@
 		chosen.cold.sentAt = now
 	}
 	if chosen.announced.backoff.unprobed() {
-		pick.Try = true
+		pick.Probe = true
 		chosen.announced.backoff.probedAt = now
 	}
 	return pick, true
@@ -225,9 +225,9 @@
 func (b *Balancer) boundOf(query Query) Bound {
 	switch {
 	case b.manyPeers && query.isLong():
-		return b.options.LongOfMany.scaled(b.tightness)
+		return b.options.LongManyGateways.scaled(b.tightness)
 	case b.manyPeers:
-		return b.options.ShortOfMany.scaled(b.tightness)
+		return b.options.ShortManyGateways.scaled(b.tightness)
 	case query.isLong():
 		return b.options.Long
 	}
--- a/internal/balance/directory.go
+++ b/internal/balance/directory.go
@@ -19,10 +19,10 @@
 	Unanswered Finding = "unanswered"
 )
 
-// Unplaced returns the parts of a query's prompt whose holders are worth asking for: the
+// PartsToLocate returns the parts of a query's prompt whose holders are worth asking for: the
 // deepest long part if no target known to hold it can take the request, and with it the other
 // long parts that have no known source.
-func (b *Balancer) Unplaced(query Query, now time.Time) []uint32 {
+func (b *Balancer) PartsToLocate(query Query, now time.Time) []uint32 {
 	deepest := len(query.Parts) - 1
 	if deepest < 0 || query.tokensOf(deepest) < minReportedTokens {
 		return nil
--- a/internal/balance/directory_test.go
+++ b/internal/balance/directory_test.go
@@ -70,7 +70,7 @@
 			if tc.unplaced {
 				want = []uint32{uint32(query.Parts[0] >> 32)}
 			}
-			is.Equal(b.Unplaced(query, start), want)
+			is.Equal(b.PartsToLocate(query, start), want)
 		})
 	}
 }
@@ -82,13 +82,13 @@
 	is := is.New(t)
 	b := newBalancer(9)
 	query := balance.Query{Service: "s", Parts: []uint64{1 << 32, 2 << 32, 3 << 32, 4 << 32}, Tokens: []int{500, 100, 600, 5000}}
-	is.Equal(b.Unplaced(query, start), []uint32{4, 1, 3}) // the deepest first, no short one
+	is.Equal(b.PartsToLocate(query, start), []uint32{4, 1, 3}) // the deepest first, no short one
 	b.Confirm("t1", balance.Query{Service: "s", Parts: query.Parts[:1], Tokens: query.Tokens[:1]})
-	is.Equal(b.Unplaced(query, start), []uint32{4, 3})
+	is.Equal(b.PartsToLocate(query, start), []uint32{4, 3})
 	b.NoteRefused(short("t1"), start)
-	is.Equal(b.Unplaced(query, start), []uint32{4, 1, 3}) // its holder does not serve
+	is.Equal(b.PartsToLocate(query, start), []uint32{4, 1, 3}) // its holder does not serve
 	b.Confirm("t2", query)
-	is.Equal(len(b.Unplaced(query, start)), 0)
+	is.Equal(len(b.PartsToLocate(query, start)), 0)
 }
 
 // TestHoldersThatServeAreKept: where a part has many holders, those that have
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -16,7 +16,7 @@
 }
 
 func shortLife(target Target) uint32 {
-	return shortHash(policy.HashName(target.Life()))
+	return shortHash(policy.HashName(target.Incarnation()))
 }
 
 // TestAnotherLifeBeginsAnew: whatever was known of a target's life, by whomever, says
@@ -25,18 +25,20 @@
 	first, second := lifeOf(1000), lifeOf(2000)
 	part := Query{Service: "s", Parts: []uint64{7 << 32}, Tokens: []int{1000}}
 	cases := map[string]func(b *Balancer, now time.Time){
-		"prompts that it held":       func(b *Balancer, _ time.Time) { b.Confirm(first.Life(), part) },
+		"prompts that it held":       func(b *Balancer, _ time.Time) { b.Confirm(first.Incarnation(), part) },
 		"prompts that others placed": func(b *Balancer, _ time.Time) { b.Learn([]Placement{{Part: 7, Target: shortLife(first)}}) },
 		"requests of others": func(b *Balancer, now time.Time) {
-			b.Observe("g", []Count{{Target: policy.HashName(first.Life()), Count: 9}}, now)
+			b.Observe("g", []Count{{Target: policy.HashName(first.Incarnation()), Count: 9}}, now)
+		},
+		"suspicions of others":       func(b *Balancer, now time.Time) { suspectBoth(b, first, now) },
+		"a refused connection":       func(b *Balancer, now time.Time) { b.Choose(part, now); b.Release(first.Incarnation(), Refused, now) },
+		"refused at another gateway": func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) },
+		"failures":                   func(b *Balancer, now time.Time) { failRow(b, first, now) },
+		"that it is cold":            func(b *Balancer, now time.Time) { b.Put(coldFor(first, time.Hour), now) },
+		"that it leaves":             func(b *Balancer, now time.Time) { b.Put(leaving(first), now) },
+		"that it said that it leaves": func(b *Balancer, _ time.Time) {
+			b.ObserveNotice(first.Incarnation(), Notice{Leaving: true}, time.Time{})
 		},
-		"suspicions of others":         func(b *Balancer, now time.Time) { suspectBoth(b, first, now) },
-		"a refused connection":         func(b *Balancer, now time.Time) { b.Choose(part, now); b.Release(first.Life(), Refused, now) },
-		"refused at another gateway":   func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) },
-		"failures":                     func(b *Balancer, now time.Time) { failRow(b, first, now) },
-		"that it is cold":              func(b *Balancer, now time.Time) { b.Put(coldFor(first, time.Hour), now) },
-		"that it leaves":               func(b *Balancer, now time.Time) { b.Put(leaving(first), now) },
-		"that it said that it leaves":  func(b *Balancer, _ time.Time) { b.Heed(first.Life(), Notice{Leaving: true}, time.Time{}) },
 		"that its entry was gone":      func(b *Balancer, now time.Time) { b.Drop("t", now) },
 		"that its entry named nothing": func(b *Balancer, _ time.Time) { b.SetUnusable("t") },
 	}
@@ -80,7 +82,7 @@
 func failRow(b *Balancer, target Target, now time.Time) {
 	for range alwaysEjectRow {
 		b.Choose(Query{Service: "s"}, now)
-		b.Release(target.Life(), Bad, now)
+		b.Release(target.Incarnation(), Bad, now)
 	}
 }
 
@@ -108,13 +110,13 @@
 	b.Put(second, now)
 	b.Choose(Query{Service: "s"}, now)
 	is.Equal(own(), 3)
-	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(second.Life()), Count: 1}})
-	b.Release(first.Life(), Good, now)
+	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(second.Incarnation()), Count: 1}})
+	b.Release(first.Incarnation(), Good, now)
 	is.Equal(own(), 2)
 	b.Put(first, now) // a clock at the target's host was set back, or another writer
-	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(first.Life()), Count: 1}})
-	b.Release(first.Life(), Good, now)
-	b.Release(second.Life(), Good, now)
+	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(first.Incarnation()), Count: 1}})
+	b.Release(first.Incarnation(), Good, now)
+	b.Release(second.Incarnation(), Good, now)
 	is.Equal(own(), 0)
 	is.Equal(len(b.InFlight()), 0)
 	b.Drop("t", now)
@@ -131,12 +133,12 @@
 	b.Put(lifeOf(1000), now)
 	b.Choose(Query{Service: "s"}, now)
 	change := b.Put(lifeOf(0), now)
-	is.Equal(change.Outlived, "")
+	is.Equal(change.Superseded, "")
 	is.True(change.Unusable)
 	is.True(!b.Put(lifeOf(0), now).Any) // nor is it news again
 	_, ok := b.Choose(Query{Service: "s"}, now)
 	is.True(!ok) // it gets nothing until its entry is whole
-	is.True(!b.EndOf(lifeOf(1000).Life()).Known())
+	is.True(!b.EndOf(lifeOf(1000).Incarnation()).Known())
 	is.True(b.Put(lifeOf(1000), now).Any)
 	pick, ok := b.Choose(Query{Service: "s"}, now)
 	is.True(ok)
@@ -173,19 +175,19 @@
 	}{
 		"refused here": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
-			b.Release(first.Life(), Refused, now)
+			b.Release(first.Incarnation(), Refused, now)
 		}, true},
 		"refused elsewhere":         {nil, func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) }, true},
-		"refused without a request": {nil, func(b *Balancer, now time.Time) { b.NoteSilentPort(first.Life(), now) }, true},
+		"refused without a request": {nil, func(b *Balancer, now time.Time) { b.NoteSilentPort(first.Incarnation(), now) }, true},
 		"its entry goes":            {nil, func(b *Balancer, now time.Time) { b.Drop("t", now) }, true},
 		"another life":              {nil, func(b *Balancer, now time.Time) { b.Put(lifeOf(2000), now) }, true},
 		"a lost answer": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
-			b.Release(first.Life(), Lost, now)
+			b.Release(first.Incarnation(), Lost, now)
 		}, false},
 		"no way there": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
-			b.Release(first.Life(), Unreachable, now)
+			b.Release(first.Incarnation(), Unreachable, now)
 		}, false},
 		"refused, leaving": {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) }, false},
 		"gone, leaving":    {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.Drop("t", now) }, false},
@@ -196,13 +198,13 @@
 			now := time.Now()
 			b := New(DefaultOptions())
 			b.Put(first, now)
-			is.True(b.Serving(first.Life()))
+			is.True(b.Serving(first.Incarnation()))
 			if tc.before != nil {
 				tc.before(b, now)
-				is.True(!b.Serving(first.Life()))
+				is.True(!b.Serving(first.Incarnation()))
 			}
 			tc.happens(b, now)
-			is.Equal(b.EndOf(first.Life()).Known(), tc.ended)
+			is.Equal(b.EndOf(first.Incarnation()).Known(), tc.ended)
 		})
 	}
 }
@@ -230,14 +232,14 @@
 					if pick.Target != present {
 						t.Fatalf("%+v was chosen, and %+v is the present life", pick.Target, present)
 					}
-					underWay[pick.Target.Life()]++
+					underWay[pick.Target.Incarnation()]++
 					total++
 				}
 			case 3:
-				if underWay[life.Life()] > 0 {
-					underWay[life.Life()]--
+				if underWay[life.Incarnation()] > 0 {
+					underWay[life.Incarnation()]--
 					total--
-					b.Release(life.Life(), Good, now)
+					b.Release(life.Incarnation(), Good, now)
 				}
 			}
 			if own := b.serviceOf("s").load.own + b.serviceOf("other").load.own; own != total {
@@ -261,7 +263,7 @@
 			b.NoteRefused(shortLife(first), now)
 			later := now.Add(5 * time.Second)
 			b.Choose(Query{Service: "s"}, later)
-			b.Release(first.Life(), Good, later)
+			b.Release(first.Incarnation(), Good, later)
 			return later
 		},
 	}
@@ -272,9 +274,9 @@
 			b := New(DefaultOptions())
 			b.Put(first, now)
 			now = goesOn(b, now)
-			is.True(!b.EndOf(first.Life()).Known())
+			is.True(!b.EndOf(first.Incarnation()).Known())
 			b.NoteRefused(shortLife(first), now)
-			is.Equal(b.EndOf(first.Life()), End{At: now})
+			is.Equal(b.EndOf(first.Incarnation()), End{At: now})
 		})
 	}
 }
@@ -287,6 +289,6 @@
 	b.Put(lifeOf(1000), now)
 	b.Choose(Query{Service: "s"}, now)
 	b.NoteRefused(shortLife(lifeOf(1000)), now)
-	b.Release(lifeOf(1000).Life(), Good, now.Add(10*time.Millisecond))
-	is.True(b.EndOf(lifeOf(1000).Life()).Known())
+	b.Release(lifeOf(1000).Incarnation(), Good, now.Add(10*time.Millisecond))
+	is.True(b.EndOf(lifeOf(1000).Incarnation()).Known())
 }
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -229,7 +229,7 @@
 	if toNew {
 		return balance.Versions{Only: "new", Share: limitShare, Seed: limitSeed}
 	}
-	return balance.Versions{Not: []string{"new"}}
+	return balance.Versions{Excluded: []string{"new"}}
 }
 
 func moving(bool) balance.Versions { return balance.Versions{Only: "new"} }
--- a/internal/balance/list.go
+++ b/internal/balance/list.go
@@ -21,9 +21,9 @@
 	// stated one. Such an entry comes from another writer, and the target gets no new
 	// requests.
 	Unusable bool
-	// Outlived is the name of the target's previous incarnation, if a new one has begun;
+	// Superseded is the name of the target's previous incarnation, if a new one has begun;
 	// otherwise empty.
-	Outlived string
+	Superseded string
 }
 
 // Put adds a target or applies the changes in its entry.
@@ -53,7 +53,7 @@
 		if earlier.isRelevant(now) {
 			added.announced = earlier
 		}
-		return Change{Any: true, TurnedCold: added.updateCold(target.ColdFor, now), Outlived: replaced}
+		return Change{Any: true, TurnedCold: added.updateCold(target.ColdFor, now), Superseded: replaced}
 	}
 	changed := existing.Target != target || !existing.unlistedAt.IsZero()
 	if existing.Version != target.Version {
--- a/internal/balance/notice.go
+++ b/internal/balance/notice.go
@@ -8,9 +8,9 @@
 	// Leaving reports whether the target is shutting down and wants no new requests from any
 	// gateway.
 	Leaving bool
-	// Rest is the back-off that the target requests from the gateway that it rejected
+	// RetryAfter is the back-off that the target requests from the gateway that it rejected
 	// (Retry-After); zero if it requests none.
-	Rest time.Duration
+	RetryAfter time.Duration
 	// Unreadable is the invalid text in place of a back-off; empty if the back-off is valid or
 	// absent.
 	Unreadable string
@@ -22,6 +22,6 @@
 		n.Unreadable = other.Unreadable
 	}
 	n.Leaving = n.Leaving || other.Leaving
-	n.Rest = max(n.Rest, other.Rest)
+	n.RetryAfter = max(n.RetryAfter, other.RetryAfter)
 	return n
 }
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -74,9 +74,9 @@
 	Age    time.Duration
 }
 
-// PaceNews returns at most the given number of paces that this process received recently and
+// ChangedPaces returns at most the given number of paces that this process received recently and
 // that differ from what the other gateways assume, the largest differences first.
-func (b *Balancer) PaceNews(limit int, now time.Time) []Pace {
+func (b *Balancer) ChangedPaces(limit int, now time.Time) []Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.receivedPaces) == 0 {
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -121,17 +121,17 @@
 	heldUp(one, "t0", 1.1, start) // as good as usual
 	heldUp(one, "t1", 2, start)
 	heldUp(one, "t2", 4, start)
-	news := one.PaceNews(1, start.Add(100*time.Millisecond))
+	news := one.ChangedPaces(1, start.Add(100*time.Millisecond))
 	is.Equal(len(news), 1)
 	is.Equal(news[0].Factor, 4.0)
 	is.Equal(news[0].Age, 100*time.Millisecond)
-	is.Equal(len(one.PaceNews(9, start.Add(100*time.Millisecond))), 2)
-	other.ObservePaces(one.PaceNews(9, start.Add(100*time.Millisecond)), start.Add(200*time.Millisecond))
+	is.Equal(len(one.ChangedPaces(9, start.Add(100*time.Millisecond))), 2)
+	other.ObservePaces(one.ChangedPaces(9, start.Add(100*time.Millisecond)), start.Add(200*time.Millisecond))
 	for range 2 {
 		pick, _ := other.Choose(balance.Query{Service: "s"}, start.Add(200*time.Millisecond))
 		is.True(pick.Target.ID == "t0" || pick.Target.ID == "t3")
 	}
-	is.Equal(len(one.PaceNews(9, start.Add(time.Second))), 0)
+	is.Equal(len(one.ChangedPaces(9, start.Add(time.Second))), 0)
 
 	heldUp(other, "t3", 5, start.Add(time.Second))
 	late := []balance.Pace{{Target: uint32(policy.HashName("t3") >> 32), Factor: 1, Age: 5 * time.Second}}
--- a/internal/balance/planned_leave.go
+++ b/internal/balance/planned_leave.go
@@ -1,10 +1,10 @@
 package balance
 
-// Left reports whether all known targets of some versions of a service have left or are
+// LeftAsPlanned reports whether all known targets of some versions of a service have left or are
 // leaving as planned, as announced by their entries or their answers. It returns false if no
 // such target is known. A target that was lost, or whose entry disappeared or became invalid
 // without an announcement, has not left as planned.
-func (b *Balancer) Left(service string, versions Versions) bool {
+func (b *Balancer) LeftAsPlanned(service string, versions Versions) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	svc, ok := b.services[service]
--- a/internal/balance/planned_leave_test.go
+++ b/internal/balance/planned_leave_test.go
@@ -29,7 +29,7 @@
 		}, true},
 		"it said so itself": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
-			b.Heed("a", balance.Notice{Leaving: true}, now)
+			b.ObserveNotice("a", balance.Notice{Leaving: true}, now)
 		}, true},
 		"its entry went after that": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", true), now)
@@ -52,7 +52,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := balance.New(balance.DefaultOptions())
 			tc.prepare(b)
-			is.New(t).Equal(b.Left("s", balance.Versions{Not: []string{"v2"}}), tc.left)
+			is.New(t).Equal(b.LeftAsPlanned("s", balance.Versions{Excluded: []string{"v2"}}), tc.left)
 		})
 	}
 }
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -21,42 +21,42 @@
 	ReasonUnlisted Reason = "unlisted"
 	// ReasonEvacuated: the operators evacuate the target's data centre.
 	ReasonEvacuated Reason = "evacuated"
-	// ReasonRest: the target asked this gateway to back off.
-	ReasonRest Reason = "resting"
-	// ReasonTried: the back-off is over, and one request probes the target first.
-	ReasonTried Reason = "tried_after_rest"
+	// ReasonBackoff: the target asked this gateway to back off.
+	ReasonBackoff Reason = "resting"
+	// ReasonProbed: the back-off is over, and one request probes the target first.
+	ReasonProbed Reason = "tried_after_rest"
 	// ReasonEjected: the target failed requests of this gateway.
 	ReasonEjected Reason = "ejected"
-	// ReasonDoubted: several gateways get no answer from the target.
-	ReasonDoubted Reason = "doubted"
+	// ReasonSuspected: several gateways get no answer from the target.
+	ReasonSuspected Reason = "doubted"
 	// ReasonCold: the target has just started.
 	ReasonCold Reason = "cold"
 )
 
-// Standing is a gateway's view of one target.
-type Standing struct {
+// TargetStatus is a gateway's view of one target.
+type TargetStatus struct {
 	Target
-	// Life is the name of the target's current incarnation.
-	Life   string
-	Reason Reason
-	// Left is how much longer the reason applies; zero if unknown.
-	Left time.Duration
+	// Incarnation is the name of the target's current incarnation.
+	Incarnation string
+	Reason      Reason
+	// Remaining is how much longer the reason applies; zero if unknown.
+	Remaining time.Duration
 	// InFlight is the number of this gateway's requests at the target; Others is the number
 	// that the other gateways reported.
 	InFlight, Others int
 }
 
-// Standings returns this gateway's view of all targets, sorted by ID.
-func (b *Balancer) Standings(now time.Time) []Standing {
+// TargetStatuses returns this gateway's view of all targets, sorted by ID.
+func (b *Balancer) TargetStatuses(now time.Time) []TargetStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.expireReports(now)
-	statuses := make([]Standing, 0, len(b.current))
+	statuses := make([]TargetStatus, 0, len(b.current))
 	for _, id := range slices.Sorted(maps.Keys(b.current)) {
 		target := b.current[id]
 		reason, remaining := b.reasonOf(target, now)
-		statuses = append(statuses, Standing{
-			Target: target.Target, Life: target.incarnation, Reason: reason, Left: max(remaining, 0),
+		statuses = append(statuses, TargetStatus{
+			Target: target.Target, Incarnation: target.incarnation, Reason: reason, Remaining: max(remaining, 0),
 			InFlight: target.inFlight, Others: target.others,
 		})
 	}
@@ -77,13 +77,13 @@
 	case b.evacuated[target.DataCenter]:
 		return ReasonEvacuated, 0
 	case backoff.unprobed() && now.Before(backoff.probeAt):
-		return ReasonRest, backoff.probeAt.Sub(now)
+		return ReasonBackoff, backoff.probeAt.Sub(now)
 	case backoff.unprobed():
-		return ReasonTried, 0
+		return ReasonProbed, 0
 	case target.health.ejected(now):
 		return ReasonEjected, target.health.ejectedUntil.Sub(now)
 	case target.suspectedByPeers(now):
-		return ReasonDoubted, 0
+		return ReasonSuspected, 0
 	case now.Before(target.cold.until):
 		return ReasonCold, target.cold.until.Sub(now)
 	}
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -126,9 +126,9 @@
 	return agreeing >= minSuspicions
 }
 
-// Doubted reports whether several gateways suspect a target because of what they saw since
+// SuspectedByPeers reports whether several gateways suspect a target because of what they saw since
 // this gateway last heard from it, in an answer or otherwise.
-func (b *Balancer) Doubted(incarnation string, heardAt, now time.Time) bool {
+func (b *Balancer) SuspectedByPeers(incarnation string, heardAt, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.targets[incarnation]
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -33,9 +33,9 @@
 	ColdFor time.Duration
 }
 
-// Life returns the name of the target's incarnation. Data about an earlier incarnation,
+// Incarnation returns the name of the target's incarnation. Data about an earlier incarnation,
 // including reports of other gateways, does not apply to this one.
-func (t Target) Life() string {
+func (t Target) Incarnation() string {
 	if t.Born == 0 {
 		return t.ID
 	}
@@ -102,7 +102,7 @@
 }
 
 func newState(target Target, of *service) *state {
-	incarnation := target.Life()
+	incarnation := target.Incarnation()
 	return &state{Target: target, incarnation: incarnation, service: of, version: of.addToVersion(target.Version), hash: policy.HashName(incarnation), needsCheck: true}
 }
 
--- a/internal/balance/versions.go
+++ b/internal/balance/versions.go
@@ -8,11 +8,11 @@
 	// Only is the single version that is admitted; empty admits all versions that are not in
 	// Not.
 	Only string
-	// Not lists the versions that are not admitted.
-	Not []string
-	// Rather is the version that takes the request while one of its targets is open; empty for
+	// Excluded lists the versions that are not admitted.
+	Excluded []string
+	// Preferred is the version that takes the request while one of its targets is open; empty for
 	// none.
-	Rather string
+	Preferred string
 	// Share is the fraction of the traffic that targets of Only get together. Only so many of
 	// them take requests that each is as loaded as one of the other targets: the first in the
 	// order given by Seed. Zero selects all of them.
@@ -22,7 +22,7 @@
 
 // Any reports whether all versions are admitted without preference.
 func (v Versions) Any() bool {
-	return v.Only == "" && len(v.Not) == 0 && v.Rather == ""
+	return v.Only == "" && len(v.Excluded) == 0 && v.Preferred == ""
 }
 
 // Admits reports whether targets of a version may take the request.
@@ -30,5 +30,5 @@
 	if v.Only != "" {
 		return version == v.Only
 	}
-	return !slices.Contains(v.Not, version)
+	return !slices.Contains(v.Excluded, version)
 }
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -56,7 +56,7 @@
 
 func TestWhichVersionsGetRequests(t *testing.T) {
 	onlyNew, onlyOld := balance.Versions{Only: "new"}, balance.Versions{Only: "old"}
-	notNew, ratherNew := balance.Versions{Not: []string{"new"}}, balance.Versions{Rather: "new"}
+	notNew, ratherNew := balance.Versions{Excluded: []string{"new"}}, balance.Versions{Preferred: "new"}
 	olds, news := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
 	cases := map[string]struct {
 		versions balance.Versions
@@ -197,7 +197,7 @@
 	}{
 		"all":                      {want: 18},
 		"one":                      {versions: balance.Versions{Only: "new"}, want: 8},
-		"not one":                  {versions: balance.Versions{Not: []string{"new"}}, want: 10},
+		"not one":                  {versions: balance.Versions{Excluded: []string{"new"}}, want: 10},
 		"all, among many":          {peers: 20, want: 18},
 		"one, among many":          {versions: balance.Versions{Only: "new"}, peers: 20, want: 8},
 		"one of none, nothing yet": {versions: balance.Versions{Only: "newer"}, want: 100},
@@ -290,8 +290,8 @@
 		"all":         {asked: 0},
 		"its version": {versions: balance.Versions{Only: "old"}, asked: 0},
 		"another":     {versions: balance.Versions{Only: "new"}, asked: 1},
-		"not its own": {versions: balance.Versions{Not: []string{"old"}}, asked: 1},
-		"rather":      {versions: balance.Versions{Rather: "new"}, asked: 1},
+		"not its own": {versions: balance.Versions{Excluded: []string{"old"}}, asked: 1},
+		"rather":      {versions: balance.Versions{Preferred: "new"}, asked: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -299,7 +299,7 @@
 			query := longSession(1)
 			query.Versions = tc.versions
 			b.Learn([]balance.Placement{{Part: uint32(query.Parts[len(query.Parts)-1] >> 32), Target: short("old0")}})
-			is.New(t).Equal(len(b.Unplaced(query, start)), tc.asked)
+			is.New(t).Equal(len(b.PartsToLocate(query, start)), tc.asked)
 		})
 	}
 }
@@ -326,7 +326,7 @@
 // TestAChoiceAmongVersionsAllocatesNothing: it is made for each request.
 func TestAChoiceAmongVersionsAllocatesNothing(t *testing.T) {
 	for name, versions := range map[string]balance.Versions{
-		"all": {}, "not": {Not: []string{"new"}}, "rather": {Rather: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
+		"all": {}, "not": {Excluded: []string{"new"}}, "rather": {Preferred: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := twoVersions(50)
@@ -397,9 +397,9 @@
 		old, load int
 	}{
 		"all":                            {load: 6},
-		"a single version, all admitted": {admitting: balance.Versions{Not: []string{"older"}, Rather: "new"}, load: 6},
-		"one of two":                     {admitting: balance.Versions{Not: []string{"old"}}, old: 2, load: 6},
-		"both of two":                    {admitting: balance.Versions{Not: []string{"older"}}, old: 2, load: 3},
+		"a single version, all admitted": {admitting: balance.Versions{Excluded: []string{"older"}, Preferred: "new"}, load: 6},
+		"one of two":                     {admitting: balance.Versions{Excluded: []string{"old"}}, old: 2, load: 6},
+		"both of two":                    {admitting: balance.Versions{Excluded: []string{"older"}}, old: 2, load: 3},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -436,7 +436,7 @@
 		"the same weights":                 {"w1", balance.Versions{Only: "new"}, true},
 		"others":                           {"w2", balance.Versions{Only: "new"}, false},
 		"others, and its own are admitted": {"w2", balance.Versions{}, true},
-		"others, and only its own are":     {"w2", balance.Versions{Not: []string{"new"}}, true},
+		"others, and only its own are":     {"w2", balance.Versions{Excluded: []string{"new"}}, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -66,7 +66,7 @@
 }
 
 func newAttempt(c *call, pick balance.Pick) *attempt {
-	return &attempt{call: c, pick: pick, life: pick.Target.Life(), started: clock.Now(), result: balance.Neutral}
+	return &attempt{call: c, pick: pick, life: pick.Target.Incarnation(), started: clock.Now(), result: balance.Neutral}
 }
 
 const (
@@ -120,7 +120,7 @@
 	if answer.Load != nil {
 		a.call.gateway.Balancer.NoteLoad(a.life, *answer.Load, now)
 	}
-	a.call.gateway.Balancer.Sample(a.life, a.head, now)
+	a.call.gateway.Balancer.ObserveLatency(a.life, a.head, now)
 	if answer.Status < http.StatusBadRequest && len(a.call.parts) > 0 {
 		a.confirmed = true
 		placed := a.call.gateway.Balancer.Confirm(a.life, a.call.prompt())
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -207,7 +207,7 @@
 		return
 	}
 	began := clock.Now()
-	unplaced := c.gateway.Balancer.Unplaced(c.query(), began)
+	unplaced := c.gateway.Balancer.PartsToLocate(c.query(), began)
 	if len(unplaced) == 0 {
 		return
 	}
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -98,7 +98,7 @@
 		w.gateway.Balancer.Put(target, time.Now())
 	}
 	refusedElsewhere := func(w *world, _ *knocks, target balance.Target) {
-		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Life())>>32), time.Now())
+		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Incarnation())>>32), time.Now())
 	}
 	type step = func(w *world, k *knocks, target balance.Target)
 	cases := map[string]struct {
@@ -220,7 +220,7 @@
 				target := only(w, 1000)
 				time.AfterFunc(50*time.Millisecond, func() {
 					target.Born++
-					w.gateway.Outlived(w.gateway.Balancer.Put(target, time.Now()).Outlived)
+					w.gateway.Outlived(w.gateway.Balancer.Put(target, time.Now()).Superseded)
 				})
 				w.serve(t.Context(), tc.path)
 				is.Equal(w.caller.records[0].Took, 50*time.Millisecond)
--- a/internal/gateway/dark.go
+++ b/internal/gateway/dark.go
@@ -204,7 +204,7 @@
 	if a.dark.passing.Load() || now.Sub(last) < darkLook {
 		return false
 	}
-	if a.call.gateway.Balancer.Doubted(a.life, last, now) {
+	if a.call.gateway.Balancer.SuspectedByPeers(a.life, last, now) {
 		a.dark.doubtedFrom = last
 	}
 	return a.dark.doubtedFrom.Equal(last) && now.Sub(last) >= a.usualSilence()
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -22,7 +22,7 @@
 	// Request is the id of the request that was answered.
 	Request string
 	Notice  balance.Notice
-	News    balance.News
+	News    balance.NoticeChange
 }
 
 // heed takes what the target says of itself. It holds from now on for whatever this gateway
@@ -32,8 +32,8 @@
 	if notice == (balance.Notice{}) {
 		return
 	}
-	news := a.call.gateway.Balancer.Heed(a.life, notice, clock.Check())
-	if news == (balance.News{}) {
+	news := a.call.gateway.Balancer.ObserveNotice(a.life, notice, clock.Check())
+	if news == (balance.NoticeChange{}) {
 		return
 	}
 	a.call.gateway.Events.Notice(&NoticeRecord{
@@ -50,18 +50,18 @@
 // endTry says how the first request after a rest has ended: others may follow the head of its
 // answer, however long that goes on.
 func (a *attempt) endTry(answered bool) {
-	if !a.pick.Try || a.tried {
+	if !a.pick.Probe || a.tried {
 		return
 	}
 	a.tried = true
-	a.call.gateway.Balancer.EndTry(a.life, answered, clock.Now())
+	a.call.gateway.Balancer.EndProbe(a.life, answered, clock.Now())
 }
 
 // comeBack is when the caller of a request that did not run is to come back: when a target that
 // rests is back, if nobody else is open, else when the service has room.
 func (c *call) comeBack() time.Duration {
 	now := clock.Now()
-	if back, ok := c.gateway.Balancer.BackIn(c.query(), now); ok {
+	if back, ok := c.gateway.Balancer.RetryIn(c.query(), now); ok {
 		return back
 	}
 	if c.gateway.Limiters == nil {
@@ -72,7 +72,7 @@
 
 // comeBackToTarget is the same where no target was open at all.
 func (c *call) comeBackToTarget() time.Duration {
-	if back, ok := c.gateway.Balancer.BackIn(c.query(), clock.Now()); ok {
+	if back, ok := c.gateway.Balancer.RetryIn(c.query(), clock.Now()); ok {
 		return back
 	}
 	return retrySoon
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -118,7 +118,7 @@
 // another target, which costs nothing of the retry budget, though there is none.
 func TestWhatWasChosenBeforeIsNotSentAfter(t *testing.T) {
 	notices := map[string]func(b *balance.Balancer){
-		"it said that it leaves": func(b *balance.Balancer) { b.Heed("a", balance.Notice{Leaving: true}, time.Now()) },
+		"it said that it leaves": func(b *balance.Balancer) { b.ObserveNotice("a", balance.Notice{Leaving: true}, time.Now()) },
 		"its entry says that it leaves": func(b *balance.Balancer) {
 			b.Put(balance.Target{ID: "a", Service: "s", Address: "a", Leaving: true}, time.Now())
 		},
@@ -157,7 +157,7 @@
 		is := is.New(t)
 		w := newWorld(whole(http.StatusOK, "yes"))
 		for _, id := range []string{"a", "b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, time.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, time.Now())
 		}
 		began := time.Now()
 		w.serve(t.Context(), "/once/x")
--- a/internal/gateway/rest_test.go
+++ b/internal/gateway/rest_test.go
@@ -25,7 +25,7 @@
 func resting(until time.Time) script {
 	return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		if time.Now().Before(until) {
-			return saying(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return saying(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
 		}
 		return whole(http.StatusOK, one)(ctx, out)
 	}
@@ -69,9 +69,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(whole(http.StatusOK, "yes"))
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		time.Sleep(time.Second)
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		time.Sleep(restTime - time.Millisecond)
 		for number := range 50 {
 			w.serve(t.Context(), fmt.Sprintf("/once/%d", number))
@@ -86,7 +86,7 @@
 		is := is.New(t)
 		w := newWorld(whole(http.StatusOK, "yes"))
 		w.gateway.Options.KeyFreshness = 0
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Minute}, clock.Check())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Minute}, clock.Check())
 		w.serve(t.Context(), "/once/x")
 		defer clock.Simulate(2 * time.Minute)()
 		for number := range 50 {
@@ -105,7 +105,7 @@
 		w := newWorld(whole(http.StatusOK, "yes"))
 		w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 		for _, id := range []string{"a", "b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Rest: restTime}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{RetryAfter: restTime}, clock.Now())
 		}
 		told := make(map[time.Duration]bool)
 		for time.Since(began) < restTime {
@@ -132,9 +132,9 @@
 func TestTheLastTargetAsksForRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(saying(balance.Notice{Rest: restTime}, rejected))
+		w := newWorld(saying(balance.Notice{RetryAfter: restTime}, rejected))
 		for _, id := range []string{"b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 		}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(w.caller.refusal.State, fault.NotRun)
@@ -148,7 +148,7 @@
 		is := is.New(t)
 		w := newFullWorld(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			time.Sleep(5 * time.Millisecond)
-			return saying(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return saying(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
 		})
 		first := make(chan *recorder, 1)
 		go func() { first <- w.serveAs(t.Context(), "/once/first") }()
@@ -174,7 +174,7 @@
 			go func() { callers[i] = w.serveAs(t.Context(), "/once/x") }()
 		}
 		synctest.Wait()
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		close(held.let)
 		synctest.Wait()
 		is.Equal(w.sentTo("a"), 0)
@@ -187,7 +187,7 @@
 // TestAStreamIsNotResumedWhereRestIsWanted: nor where the target leaves, when its target has
 // broken it off.
 func TestAStreamIsNotResumedWhereRestIsWanted(t *testing.T) {
-	for name, notice := range map[string]balance.Notice{"rest": {Rest: time.Minute}, "leaving": {Leaving: true}} {
+	for name, notice := range map[string]balance.Notice{"rest": {RetryAfter: time.Minute}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -198,7 +198,7 @@
 					}
 					for _, id := range []string{"a", "b", "c"} {
 						if id != out.Target.ID && id != "c" {
-							w.gateway.Balancer.Heed(id, notice, clock.Now())
+							w.gateway.Balancer.ObserveNotice(id, notice, clock.Now())
 						}
 					}
 					return stream(one+two[:5], io.ErrUnexpectedEOF)(ctx, out)
@@ -245,9 +245,9 @@
 				is := is.New(t)
 				w := newWorld(saying(balance.Notice{}, test.answers))
 				for _, id := range []string{"b", "c"} {
-					w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+					w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 				}
-				w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Second}, clock.Now())
+				w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Second}, clock.Now())
 				time.Sleep(time.Second)
 				go w.serveAs(t.Context(), "/stream/first")
 				synctest.Wait()
@@ -276,9 +276,9 @@
 			return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: body}, nil
 		})
 		for _, id := range []string{"b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 		}
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Second}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Second}, clock.Now())
 		time.Sleep(time.Second)
 		for range 5 {
 			go w.serveAs(t.Context(), "/stream/x")
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -17,7 +17,7 @@
 		return
 	}
 	c.giveBack()
-	left := func(versions balance.Versions) bool { return c.gateway.Balancer.Left(c.service, versions) }
+	left := func(versions balance.Versions) bool { return c.gateway.Balancer.LeftAsPlanned(c.service, versions) }
 	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.tried) > 0, Left: left}
 	c.assignment, c.assigned, c.assignedAt = gate.Assign(ask, now), true, now
 	c.versions = c.assignment.Versions
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -187,9 +187,9 @@
 	if notice.Leaving {
 		text.WriteString(",leaving:true")
 	}
-	if notice.Rest > 0 {
+	if notice.RetryAfter > 0 {
 		text.WriteString(",rest_ms:")
-		text.WriteString(strconv.FormatInt(notice.Rest.Milliseconds(), 10))
+		text.WriteString(strconv.FormatInt(notice.RetryAfter.Milliseconds(), 10))
 	}
 	if notice.Unreadable != "" {
 		text.WriteString(",rest_unreadable:")
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -88,9 +88,9 @@
 		o.metrics.notices.WithLabelValues(record.Service, noticeLeaving).Inc()
 		o.log.Info(EventLeaving, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request)
 	}
-	if record.News.Resting {
+	if record.News.BackingOff {
 		o.metrics.notices.WithLabelValues(record.Service, noticeRest).Inc()
-		o.log.Info(EventRests, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.Rest))
+		o.log.Info(EventRests, "target", record.Target, "life", record.Life, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.RetryAfter))
 	}
 	if record.News.Unreadable {
 		o.metrics.notices.WithLabelValues(record.Service, noticeUnreadable).Inc()
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -124,7 +124,7 @@
 
 // addPaces adds the paces that targets told this process a moment ago.
 func (s *Service) addPaces(beat *wire.GatewayBeat, now time.Time) {
-	for _, told := range s.options.Balancer.PaceNews(mostPaces, now) {
+	for _, told := range s.options.Balancer.ChangedPaces(mostPaces, now) {
 		beat.Paced = append(beat.Paced, told.Target)
 		beat.Paces = append(beat.Paces, uint32(math.Round(told.Factor/paceUnit)))
 		beat.PaceAgesMs = append(beat.PaceAgesMs, uint32(told.Age.Milliseconds()))
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -165,7 +165,7 @@
 		Lag:       func() float64 { return p.lag.Lag().Seconds() },
 		Held:      func() float64 { return float64(p.held.Held()) },
 		HeldBack:  func() float64 { return float64(len(p.crashes.Table.Cases(clock.Now()))) },
-		Resting:   func() float64 { return p.countReason(balance.ReasonRest) },
+		Resting:   func() float64 { return p.countReason(balance.ReasonBackoff) },
 		Leaving:   func() float64 { return p.countReason(balance.ReasonAnswer) },
 		Evacuated: func() float64 { return float64(len(p.gateway.Balancer.Evacuated())) },
 		InFlight: func() float64 {
@@ -244,7 +244,7 @@
 	options.Cold = balance.Bound{Multiple: s.Cold.Multiple, Extra: s.Cold.Extra}
 	// What lapsed may also have left, and then gets no new work for long.
 	const leaveShare = 0.85
-	options.Lapse = min(balance.MostLapse, time.Duration(leaveShare*float64(s.Leave)))
+	options.Lapse = min(balance.MaxLapse, time.Duration(leaveShare*float64(s.Leave)))
 	return options
 }
 
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -58,8 +58,8 @@
 		s.urge()
 		return
 	}
-	if change.Outlived != "" {
-		s.process.gateway.Outlived(change.Outlived)
+	if change.Superseded != "" {
+		s.process.gateway.Outlived(change.Superseded)
 	}
 	// A process that begins says how many there are (targetsListed): thousands of
 	// lines cost a small host as much time as the targets themselves.
--- a/internal/process/gateway_targets_http.go
+++ b/internal/process/gateway_targets_http.go
@@ -28,11 +28,11 @@
 // targets are all targets as this gateway sees them.
 func (p *GatewayProcess) targets() []TargetStanding {
 	var targets []TargetStanding
-	for _, known := range p.gateway.Balancer.Standings(clock.Check()) {
+	for _, known := range p.gateway.Balancer.TargetStatuses(clock.Check()) {
 		targets = append(targets, TargetStanding{
-			ID: known.ID, Life: known.Life, Service: known.Service, Address: known.Address,
+			ID: known.ID, Life: known.Incarnation, Service: known.Service, Address: known.Address,
 			DataCenter: known.DataCenter, Version: known.Version, Standing: known.Reason,
-			LeftMS: known.Left.Milliseconds(), InFlight: known.InFlight, Others: known.Others,
+			LeftMS: known.Remaining.Milliseconds(), InFlight: known.InFlight, Others: known.Others,
 		})
 	}
 	return targets
@@ -41,7 +41,7 @@
 // countReason is how many targets get nothing for a reason.
 func (p *GatewayProcess) countReason(reason balance.Reason) float64 {
 	count := 0
-	for _, known := range p.gateway.Balancer.Standings(clock.Check()) {
+	for _, known := range p.gateway.Balancer.TargetStatuses(clock.Check()) {
 		if known.Reason == reason {
 			count++
 		}
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// Most bounds what is read: whoever asks for more has most likely written nonsense, and a
+	// Max bounds what is read: whoever asks for more has most likely written nonsense, and a
 	// back end is away for longer than a day only if it ends.
-	Most = 24 * time.Hour
+	Max = 24 * time.Hour
 	// mostQuoted bounds what is given back of a value that can't be read, in bytes.
 	mostQuoted = 40
 )
@@ -48,10 +48,10 @@
 	if err != nil {
 		return 0, false
 	}
-	return min(max(until.Sub(from), 0), Most), true
+	return min(max(until.Sub(from), 0), Max), true
 }
 
-// parseSeconds reads a decimal number of seconds, at most Most. Signs, exponents and names of
+// parseSeconds reads a decimal number of seconds, at most Max. Signs, exponents and names of
 // numbers are none that a back end writes.
 func parseSeconds(text string) (time.Duration, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
@@ -61,8 +61,8 @@
 	if err != nil {
 		return 0, false
 	}
-	if seconds >= Most.Seconds() {
-		return Most, true
+	if seconds >= Max.Seconds() {
+		return Max, true
 	}
 	return time.Duration(seconds * float64(time.Second)), true
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -73,7 +73,7 @@
 	}
 	f.Fuzz(func(t *testing.T, value, date string) {
 		wait, unreadable := retryafter.Of(http.Header{"Retry-After": {value}, "Date": {date}}, time.Now())
-		if wait < 0 || wait > retryafter.Most || len(unreadable) > 40 {
+		if wait < 0 || wait > retryafter.Max || len(unreadable) > 40 {
 			t.Fatalf("%q, at %q: %v %q", value, date, wait, unreadable)
 		}
 	})
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -59,21 +59,21 @@
 		"nothing": {func(*Gate) {}, balance.Versions{}},
 		"an order": {
 			func(g *Gate) { g.Ordered(orderOf("v2", 1), noon) },
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"an order that is withdrawn": {
 			func(g *Gate) {
 				g.Ordered(orderOf("v2", 1), noon)
 				g.Withdrawn(theService, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"the first order is for the version that serves": {
 			func(g *Gate) {
 				send(g, 1, "v1", "v1", noon)
 				g.ordered(orderOf("v1", 1), map[string]int{"v1": 3}, noon)
 			},
-			balance.Versions{Rather: "v1"},
+			balance.Versions{Preferred: "v1"},
 		},
 		"the first order is for one of the versions that serve": {
 			func(g *Gate) {
@@ -81,14 +81,14 @@
 				send(g, 1, "v2", "v2", noon)
 				g.ordered(orderOf("v2", 1), map[string]int{"v1": 3, "v2": 3}, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"the first order is for the only version that got requests, beside another": {
 			func(g *Gate) {
 				send(g, 1, "v2", "v2", noon)
 				g.ordered(orderOf("v2", 1), map[string]int{"v1": 3, "v2": 3}, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"the first order is for a version that came in another's place": {
 			func(g *Gate) {
@@ -96,7 +96,7 @@
 				send(g, 1, "v2", "v2", noon)
 				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"the first order is for a version that came in another's place long ago": {
 			func(g *Gate) {
@@ -104,11 +104,11 @@
 				send(g, 1, "v2", "v2", noon.Add(-servedWithin))
 				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
 			},
-			balance.Versions{Rather: "v2"},
+			balance.Versions{Preferred: "v2"},
 		},
 		"the first order is for a version that got no requests": {
 			func(g *Gate) { g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon) },
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"the version that served is ordered after another one": {
 			func(g *Gate) {
@@ -116,7 +116,7 @@
 				g.Ordered(orderOf("v2", 1), noon)
 				g.Ordered(orderOf("v1", 2), noon)
 			},
-			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
+			balance.Versions{Excluded: []string{"v2"}, Preferred: "v1"},
 		},
 		"the version that served is overtaken": {
 			func(g *Gate) {
@@ -125,14 +125,14 @@
 				g.Ordered(orderOf("v1", 2), noon)
 				g.Ordered(orderOf("v3", 3), noon)
 			},
-			balance.Versions{Not: []string{"v2", "v3"}},
+			balance.Versions{Excluded: []string{"v2", "v3"}},
 		},
 		"a record says what served": {
 			func(g *Gate) {
 				g.Recorded(Record{Order: orderOf("v2", 1), State: Running, Served: []string{"v1"}}, 2, noon)
 				g.Ordered(orderOf("v1", 3), noon)
 			},
-			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
+			balance.Versions{Excluded: []string{"v2"}, Preferred: "v1"},
 		},
 		"a record has completed, and what served before is ordered": {
 			func(g *Gate) {
@@ -141,39 +141,39 @@
 				g.Recorded(completed, 2, noon)
 				g.Ordered(orderOf("v1", 3), noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 		"an order that another follows": {
 			func(g *Gate) {
 				g.Ordered(orderOf("v2", 1), noon)
 				g.Ordered(orderOf("v3", 2), noon)
 			},
-			balance.Versions{Not: []string{"v2", "v3"}},
+			balance.Versions{Excluded: []string{"v2", "v3"}},
 		},
 		"an older copy of an order": {
 			func(g *Gate) {
 				g.Ordered(orderOf("v3", 2), noon)
 				g.Ordered(orderOf("v2", 1), noon)
 			},
-			balance.Versions{Not: []string{"v3"}},
+			balance.Versions{Excluded: []string{"v3"}},
 		},
 		"a running record without its order": {
 			func(g *Gate) { g.Recorded(Record{Order: orderOf("v2", 1), State: Running}, 2, noon) },
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"completed": {
 			func(g *Gate) {
 				g.Ordered(orderOf("v2", 1), noon)
 				g.Recorded(completed, 2, noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 		"completed, and an older record": {
 			func(g *Gate) {
 				g.Recorded(completed, 3, noon)
 				g.Recorded(rolledBack, 2, noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 		"completed, then withdrawn": {
 			func(g *Gate) {
@@ -181,7 +181,7 @@
 				g.Recorded(completed, 2, noon)
 				g.Withdrawn(theService, noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 		"completed after a halt": {
 			func(g *Gate) {
@@ -189,7 +189,7 @@
 				g.obey(haltOf(1), time.Time{}, noon)
 				g.Recorded(completed, 2, noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 		"completed, as was told": {
 			func(g *Gate) {
@@ -205,7 +205,7 @@
 				g.obey(doneOf(1), time.Time{}, noon.Add(-recordLag))
 				g.obey(doneOf(1), time.Time{}, noon.Add(-time.Second))
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"completed, as was told after a halt": {
 			func(g *Gate) {
@@ -213,14 +213,14 @@
 				g.obey(haltOf(1), time.Time{}, noon)
 				g.obey(doneOf(1), time.Time{}, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"another order completed, as was told": {
 			func(g *Gate) {
 				g.Ordered(orderOf("v2", 1), noon)
 				g.obey(doneOf(9), time.Time{}, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"a hold for no time": {
 			func(g *Gate) {
@@ -235,14 +235,14 @@
 				g.Ordered(orderOf("v2", 1), noon)
 				g.Recorded(rolledBack, 2, noon)
 			},
-			balance.Versions{Not: []string{"v2"}},
+			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"an order after a completed one": {
 			func(g *Gate) {
 				g.Recorded(completed, 2, noon)
 				g.Ordered(orderOf("v3", 3), noon)
 			},
-			balance.Versions{Not: []string{"v1", "v3"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1", "v3"}, Preferred: "v2"},
 		},
 		"an order for the version that all have": {
 			func(g *Gate) {
@@ -250,7 +250,7 @@
 				g.Ordered(orderOf("v2", 3), noon)
 				g.obey(grantOf(3, Canary, time.Minute), noon, noon)
 			},
-			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
+			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
 	}
 	for name, c := range cases {
@@ -320,7 +320,7 @@
 		}
 		if only != "" && i%2 == 0 {
 			is.True(assignment.Versions.Share > 0 && assignment.Versions.Share <= 0.1)
-			is.Equal(*assignment.Otherwise, balance.Versions{Not: []string{"v2"}})
+			is.Equal(*assignment.Otherwise, balance.Versions{Excluded: []string{"v2"}})
 			g.Unused(assignment)
 			continue
 		}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -117,9 +117,9 @@
 	if len(not) == 0 {
 		not = nil
 	}
-	s.base = balance.Versions{Not: not, Rather: s.record.Current}
+	s.base = balance.Versions{Excluded: not, Preferred: s.record.Current}
 	if s.trial != nil && s.trial.current {
-		s.base.Rather = s.trial.order.Version
+		s.base.Preferred = s.trial.order.Version
 	}
 }
 
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -384,8 +384,8 @@
 }
 
 func (w *world) pick(v balance.Versions) string {
-	if v.Rather != "" && w.targets[v.Rather] > 0 {
-		return v.Rather
+	if v.Preferred != "" && w.targets[v.Preferred] > 0 {
+		return v.Preferred
 	}
 	var open []string
 	for version, count := range w.targets {
