--- a/internal/balance/announcement.go
+++ b/internal/balance/announcement.go
@@ -35,10 +35,10 @@
 }
 
 // ObserveNotice records the announcements in an answer of an incarnation to this gateway.
-func (b *Balancer) ObserveNotice(life string, notice Notice, now time.Time) NoticeChange {
+func (b *Balancer) ObserveNotice(incarnation string, notice Notice, now time.Time) NoticeChange {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	target, ok := b.targets[life]
+	target, ok := b.targets[incarnation]
 	if !ok {
 		return NoticeChange{}
 	}
@@ -59,10 +59,10 @@
 
 // Closed reports whether an incarnation of a target that was already chosen must get no
 // request any more. Sending the first byte may take as long as opening a new connection.
-func (b *Balancer) Closed(life string, now time.Time) bool {
+func (b *Balancer) Closed(incarnation string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	target, ok := b.targets[life]
+	target, ok := b.targets[incarnation]
 	return ok && (target.leaving() || target.announced.backoff.active(now) || b.evacuated[target.DataCenter])
 }
 
--- a/internal/balance/announcement_test.go
+++ b/internal/balance/announcement_test.go
@@ -9,16 +9,16 @@
 	"pgregory.net/rapid"
 )
 
-// saying is a balancer with two targets, of which t says what it says.
-func saying(now time.Time) *Balancer {
+// newWithTwoTargets returns a balancer with two targets, of which t makes the announcements.
+func newWithTwoTargets(now time.Time) *Balancer {
 	b := New(DefaultOptions())
-	b.Put(lifeOf(1000), now)
+	b.Put(incarnationOf(1000), now)
 	b.Put(Target{ID: "other", Born: 1000, Service: "s", Address: "b", Slots: 8}, now)
 	return b
 }
 
-// chosen says whether t is chosen for one of many requests.
-func chosen(b *Balancer, now time.Time) bool {
+// isChosen reports whether t is chosen for one of many requests.
+func isChosen(b *Balancer, now time.Time) bool {
 	for number := range 40 {
 		pick, ok := b.Choose(Query{Service: "s", Parts: []uint64{uint64(number) << 40}}, now)
 		if ok {
@@ -31,10 +31,11 @@
 	return false
 }
 
-// TestWhatALifeHasSaidHolds: that it leaves, against whatever becomes known of it by other
-// ways, and by all the ways by which targets that are left out serve all the same.
-func TestWhatALifeHasSaidHolds(t *testing.T) {
-	t1 := lifeOf(1000)
+// TestLeavingAnnouncementPersists checks that an announced leave persists whatever else
+// becomes known about the target, and in all situations in which excluded targets serve
+// nevertheless.
+func TestLeavingAnnouncementPersists(t *testing.T) {
+	t1 := incarnationOf(1000)
 	moved := t1
 	moved.Service = "elsewhere"
 	later := time.Now()
@@ -98,54 +99,56 @@
 			b.Put(coldFor(t1, time.Millisecond), now)
 			b.Put(t1, now)
 		},
-		"another gateway saw it refuse": func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(t1), now) },
+		"another gateway saw it refuse": func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(t1), now) },
 	}
 	for name, happens := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := saying(later)
-			is.True(chosen(b, later)) // or nothing is shown
+			b := newWithTwoTargets(later)
+			is.True(isChosen(b, later)) // otherwise the test shows nothing
 			is.True(b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, time.Time{}).Leaving)
-			is.True(!b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, time.Time{}).Leaving) // no news
+			is.True(!b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, time.Time{}).Leaving) // nothing new
 			happens(b, later)
 			for _, after := range []time.Duration{0, time.Second, time.Minute} {
-				is.True(!chosen(b, later.Add(after)))
+				is.True(!isChosen(b, later.Add(after)))
 			}
 			is.True(b.Closed(t1.Incarnation(), later) || !b.Serving(t1.Incarnation()))
 		})
 	}
 }
 
-// TestALifeThatHasSaidThatItLeavesEndsAsPlanned: what was under way there when its entry went or
-// its address refused did not end it, and a checkpoint does not name it.
-func TestALifeThatHasSaidThatItLeavesEndsAsPlanned(t *testing.T) {
+// TestAnnouncedLeaveIsPlannedEnd checks that after an announced leave the disappearance of the
+// entry, or a refused connection, is no unplanned end for the requests in flight, and that a
+// checkpoint does not contain the target.
+func TestAnnouncedLeaveIsPlannedEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := saying(now)
+	b := newWithTwoTargets(now)
 	b.ObserveNotice("t@1000", Notice{Leaving: true}, time.Time{})
 	is.True(!b.Serving("t@1000"))
 	is.Equal(len(b.Working()), 1)
-	b.NoteRefused(shortLife(lifeOf(1000)), now)
+	b.NoteRefused(shortIncarnation(incarnationOf(1000)), now)
 	is.True(!b.EndOf("t@1000").Known())
 	b.Drop("t", now)
 	is.True(!b.EndOf("t@1000").Known())
 }
 
-// TestALifeWhoseStartIsStatedLate: it may be the one that has spoken.
-func TestALifeWhoseStartIsStatedLate(t *testing.T) {
+// TestAnnouncementBeforeStartTimeIsKnown checks that an announcement is kept when the start
+// time of the incarnation is stated later, because it may be the same incarnation.
+func TestAnnouncementBeforeStartTimeIsKnown(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
-	b.Put(lifeOf(0), now)
+	b.Put(incarnationOf(0), now)
 	b.ObserveNotice("t", Notice{Leaving: true}, time.Time{})
-	b.Put(lifeOf(1000), now)
-	is.True(!chosen(b, now))
-	b.Put(lifeOf(2000), now) // surely another one
-	is.True(chosen(b, now))
+	b.Put(incarnationOf(1000), now)
+	is.True(!isChosen(b, now))
+	b.Put(incarnationOf(2000), now) // certainly another one
+	is.True(isChosen(b, now))
 }
 
-// TestWhatWasSaidIsForgottenInTheEnd: memory is bounded.
-func TestWhatWasSaidIsForgottenInTheEnd(t *testing.T) {
+// TestAnnouncementsAreForgotten checks that memory use is bounded.
+func TestAnnouncementsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
@@ -157,52 +160,52 @@
 	}
 	is.Equal(len(b.pastAnnouncements), 100)
 	is.Equal(len(b.targets), 0)
-	b.Put(lifeOf(1), now)
+	b.Put(incarnationOf(1), now)
 	b.ObserveNotice("t@1", Notice{Leaving: true}, time.Time{})
 	b.Drop("t", now.Add(rememberFor+time.Second))
 	is.Equal(len(b.pastAnnouncements), 1)
 }
 
-// TestALeavingLifeIsNeverChosen: whatever comes in whichever order, from the entry, from
-// peers, and from requests.
-func TestALeavingLifeIsNeverChosen(t *testing.T) {
+// TestLeavingInAnyOrder checks that a leaving incarnation is never chosen, for any sequence of
+// events from entries, peers and requests.
+func TestLeavingInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		b := New(DefaultOptions())
-		told := make(map[string]bool)
+		announced := make(map[string]bool)
 		id := rapid.SampledFrom([]string{"a", "b", "c"})
 		born := rapid.SampledFrom([]int64{1, 2})
-		drawn := func(t *rapid.T) Target {
+		drawTarget := func(t *rapid.T) Target {
 			return Target{
 				ID: id.Draw(t, "id"), Born: born.Draw(t, "born"), Service: "s", DataCenter: "d",
 				Leaving: rapid.Bool().Draw(t, "leaving"),
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"put":     func(t *rapid.T) { b.Put(drawn(t), now) },
+			"put":     func(t *rapid.T) { b.Put(drawTarget(t), now) },
 			"drop":    func(t *rapid.T) { b.Drop(id.Draw(t, "id"), now) },
 			"odd":     func(t *rapid.T) { b.SetUnusable(id.Draw(t, "id")) },
-			"restore": func(t *rapid.T) { b.Restore([]Target{drawn(t)}, now) },
+			"restore": func(t *rapid.T) { b.Restore([]Target{drawTarget(t)}, now) },
 			"forgive": func(*rapid.T) { b.Forgive() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 100_000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"evacuate": func(t *rapid.T) { b.SetEvacuated("d", rapid.Bool().Draw(t, "evacuated"), now) },
-			"refused":  func(t *rapid.T) { b.NoteRefused(shortLife(drawn(t)), now) },
+			"refused":  func(t *rapid.T) { b.NoteRefused(shortIncarnation(drawTarget(t)), now) },
 			"choose": func(t *rapid.T) {
 				pick, ok := b.Choose(Query{Service: "s"}, now)
 				if !ok {
 					return
 				}
-				life := pick.Target.Incarnation()
-				if told[life] {
-					t.Fatalf("%s was chosen and has said that it leaves", life)
+				incarnation := pick.Target.Incarnation()
+				if announced[incarnation] {
+					t.Fatalf("%s was chosen and has said that it leaves", incarnation)
 				}
 				if rapid.Bool().Draw(t, "says") {
-					b.ObserveNotice(life, Notice{Leaving: true}, time.Time{})
-					told[life] = true
+					b.ObserveNotice(incarnation, Notice{Leaving: true}, time.Time{})
+					announced[incarnation] = true
 				}
-				b.Release(life, rapid.SampledFrom([]Result{Good, Bad, Lost, Unreachable, Refused, Neutral}).Draw(t, "result"), now)
+				b.Release(incarnation, rapid.SampledFrom([]Result{Good, Bad, Lost, Unreachable, Refused, Neutral}).Draw(t, "result"), now)
 			},
 		})
 	})
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -10,16 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// restOf is a wish for rest.
-func restOf(length time.Duration) Notice { return Notice{RetryAfter: length} }
+// backoffOf returns a notice that requests a back-off.
+func backoffOf(length time.Duration) Notice { return Notice{RetryAfter: length} }
 
-// TestARestHolds: until its end, against whatever becomes known of the target by other ways.
-func TestARestHolds(t *testing.T) {
-	t1 := lifeOf(1000)
+// TestBackoff checks that a back-off applies until its end, whatever else becomes known about
+// the target.
+func TestBackoff(t *testing.T) {
+	t1 := incarnationOf(1000)
 	later := time.Now()
 	cases := map[string]func(b *Balancer, now time.Time){
 		"nothing happens":  func(*Balancer, time.Time) {},
-		"it asks for less": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), restOf(time.Second), now) },
+		"it asks for less": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now) },
 		"it answers others": func(b *Balancer, now time.Time) {
 			b.ObserveNotice(t1.Incarnation(), Notice{}, now)
 			b.Release(t1.Incarnation(), Good, now)
@@ -39,12 +40,12 @@
 	for name, happens := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := saying(later)
-			is.True(b.ObserveNotice(t1.Incarnation(), restOf(3*time.Second), later).BackingOff)
-			is.True(!b.ObserveNotice(t1.Incarnation(), restOf(3*time.Second+time.Millisecond), later).BackingOff) // no news
+			b := newWithTwoTargets(later)
+			is.True(b.ObserveNotice(t1.Incarnation(), backoffOf(3*time.Second), later).BackingOff)
+			is.True(!b.ObserveNotice(t1.Incarnation(), backoffOf(3*time.Second+time.Millisecond), later).BackingOff) // nothing new
 			happens(b, later.Add(time.Second))
 			for _, after := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
-				is.True(!chosen(b, later.Add(after)))
+				is.True(!isChosen(b, later.Add(after)))
 				is.True(b.Closed(t1.Incarnation(), later.Add(after)))
 			}
 			is.True(!b.Closed(t1.Incarnation(), later.Add(4*time.Second)))
@@ -52,33 +53,34 @@
 	}
 }
 
-// TestARestOutlivesWhatIsForgotten: an entry that lapsed for longer than targets are kept comes
-// back while the target still rests.
-func TestARestOutlivesWhatIsForgotten(t *testing.T) {
+// TestBackoffAfterEntryExpired checks that a back-off still applies when an entry comes back
+// that had expired for longer than targets are kept.
+func TestBackoffAfterEntryExpired(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := saying(now)
-	b.ObserveNotice("t@1000", restOf(time.Hour), now)
+	b := newWithTwoTargets(now)
+	b.ObserveNotice("t@1000", backoffOf(time.Hour), now)
 	b.Drop("t", now)
 	b.Drop("t", now.Add(2*forgetAfter))
 	is.Equal(len(b.pastAnnouncements), 1)
-	b.Put(lifeOf(1000), now.Add(3*forgetAfter))
-	is.True(!chosen(b, now.Add(59*time.Minute)))
-	is.Equal(tries(b, now.Add(61*time.Minute)), 1)
+	b.Put(incarnationOf(1000), now.Add(3*forgetAfter))
+	is.True(!isChosen(b, now.Add(59*time.Minute)))
+	is.Equal(probes(b, now.Add(61*time.Minute)), 1)
 }
 
-// TestAnotherLifeDoesNotRest: what was asked for was for the one before.
-func TestAnotherLifeDoesNotRest(t *testing.T) {
+// TestNewIncarnationEndsBackoff checks that a back-off applies only to the incarnation that
+// requested it.
+func TestNewIncarnationEndsBackoff(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := saying(now)
-	b.ObserveNotice("t@1000", restOf(time.Hour), now)
-	b.Put(lifeOf(2000), now)
-	is.True(chosen(b, now))
+	b := newWithTwoTargets(now)
+	b.ObserveNotice("t@1000", backoffOf(time.Hour), now)
+	b.Put(incarnationOf(2000), now)
+	is.True(isChosen(b, now))
 }
 
-// tries counts how often t is chosen for one of many requests of which none ends.
-func tries(b *Balancer, now time.Time) int {
+// probes counts how often t is chosen for one of many requests of which none ends.
+func probes(b *Balancer, now time.Time) int {
 	count := 0
 	for range 40 {
 		if pick, ok := b.Choose(Query{Service: "s"}, now); ok && pick.Target.ID == "t" {
@@ -88,55 +90,57 @@
 	return count
 }
 
-// TestOneRequestTriesFirst: after a rest, and others follow by its answer.
-func TestOneRequestTriesFirst(t *testing.T) {
+// TestProbeAfterBackoff checks that one request probes the target after a back-off, and that
+// its outcome decides whether others follow.
+func TestProbeAfterBackoff(t *testing.T) {
 	begin := time.Now()
 	back := begin.Add(4 * time.Second)
 	cases := map[string]struct {
 		ends func(b *Balancer)
-		// first and later are how many are chosen at once after that and a second later; at
-		// most, if they may be many.
+		// first and later are how many requests are chosen at once after the probe and a
+		// second later. Values above 1 are lower limits.
 		first, later int
 	}{
 		"it is under way": {func(*Balancer) {}, 0, 1},
 		"it is answered":  {func(b *Balancer) { b.EndProbe("t@1000", true, back) }, 20, 20},
 		"it is lost":      {func(b *Balancer) { b.EndProbe("t@1000", false, back) }, 1, 1},
 		"the target rests again": {func(b *Balancer) {
-			b.ObserveNotice("t@1000", restOf(3*time.Second), back)
+			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", false, back)
 		}, 0, 0},
 		"an older one is told rest": {func(b *Balancer) {
-			b.ObserveNotice("t@1000", restOf(3*time.Second), back)
+			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", true, back)
 		}, 0, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := saying(begin)
-			b.ObserveNotice("t@1000", restOf(3*time.Second), begin)
-			is.Equal(tries(b, back), 1)
+			b := newWithTwoTargets(begin)
+			b.ObserveNotice("t@1000", backoffOf(3*time.Second), begin)
+			is.Equal(probes(b, back), 1)
 			test.ends(b)
-			is.Equal(min(tries(b, back.Add(time.Millisecond)), test.first), test.first)
+			is.Equal(min(probes(b, back.Add(time.Millisecond)), test.first), test.first)
 			if test.first <= 1 {
-				is.Equal(tries(b, back.Add(2*time.Millisecond)), 0)
+				is.Equal(probes(b, back.Add(2*time.Millisecond)), 0)
 			}
-			is.Equal(min(tries(b, back.Add(probeTimeout+10*time.Millisecond)), test.later), test.later)
+			is.Equal(min(probes(b, back.Add(probeTimeout+10*time.Millisecond)), test.later), test.later)
 		})
 	}
 }
 
-// TestTriesOfManyGatewaysAreSpread: they were all asked at the same moment.
-func TestTriesOfManyGatewaysAreSpread(t *testing.T) {
+// TestProbesAreSpreadOverGateways checks that gateways that were asked to back off at the same
+// time do not probe at the same time.
+func TestProbesAreSpreadOverGateways(t *testing.T) {
 	for name, count := range map[string]int{"few": 4, "a hundred": 103, "hundreds": 370} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
 			var offsets []time.Duration
 			for place := range count {
-				b := saying(now)
+				b := newWithTwoTargets(now)
 				b.SetGateways(Gateways{Count: count, Place: place})
-				b.ObserveNotice("t@1000", restOf(time.Second), now)
+				b.ObserveNotice("t@1000", backoffOf(time.Second), now)
 				offsets = append(offsets, b.current["t"].announced.backoff.probeAt.Sub(now)-time.Second)
 			}
 			slices.Sort(offsets)
@@ -149,8 +153,9 @@
 	}
 }
 
-// TestTheOthersBearTheShareOfTargetsThatRest: within the bound on the mean of all.
-func TestTheOthersBearTheShareOfTargetsThatRest(t *testing.T) {
+// TestBoundDuringBackoff checks that the other targets take over the load, within the bound on
+// the mean of all targets.
+func TestBoundDuringBackoff(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
@@ -159,7 +164,7 @@
 		b.Put(Target{ID: id, Service: "s", Slots: 64}, now)
 	}
 	for _, id := range ids[:2] {
-		b.ObserveNotice(id, restOf(time.Minute), now)
+		b.ObserveNotice(id, backoffOf(time.Minute), now)
 	}
 	const requests = 120
 	loads := make(map[string]int)
@@ -175,9 +180,9 @@
 	is.Equal(len(loads), 4)
 }
 
-// TestRoomWhileTargetsRest: it is that of the others. Where none is left, and where the first
-// try is due, nobody is to wait.
-func TestRoomWhileTargetsRest(t *testing.T) {
+// TestRoomDuringBackoff checks that the room is that of the other targets. If there are none,
+// or the first probe is due, no request has to wait.
+func TestRoomDuringBackoff(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
@@ -185,9 +190,9 @@
 		b.Put(Target{ID: id, Service: "s", Slots: 8}, now)
 	}
 	whole := b.Room("s", Versions{}, 100, now)
-	b.ObserveNotice("a", restOf(time.Second), now)
+	b.ObserveNotice("a", backoffOf(time.Second), now)
 	is.Equal(b.Room("s", Versions{}, 100, now), whole/2)
-	b.ObserveNotice("b", restOf(time.Second), now)
+	b.ObserveNotice("b", backoffOf(time.Second), now)
 	is.Equal(b.Room("s", Versions{}, 100, now), 100)
 	back := now.Add(1100 * time.Millisecond)
 	is.Equal(b.Room("s", Versions{}, 100, back), 100)
@@ -197,58 +202,58 @@
 	is.True(b.Room("s", Versions{}, 100, back) < whole+1)
 }
 
-// TestBackIn: callers for whom nobody is open are told when the first one is back, and not all
-// the same.
-func TestBackIn(t *testing.T) {
+// TestRetryIn checks that callers for whom no target is open get the time when the first one
+// is available again, spread over a range.
+func TestRetryIn(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	b := saying(now)
+	b := newWithTwoTargets(now)
 	query := Query{Service: "s"}
 	_, ok := b.RetryIn(query, now)
 	is.True(!ok)
-	b.ObserveNotice("t@1000", restOf(4*time.Second), now)
+	b.ObserveNotice("t@1000", backoffOf(4*time.Second), now)
 	_, ok = b.RetryIn(query, now)
 	is.True(!ok) // the other one is open
-	b.ObserveNotice("other@1000", restOf(8*time.Second), now)
-	told := make(map[time.Duration]bool)
+	b.ObserveNotice("other@1000", backoffOf(8*time.Second), now)
+	delays := make(map[time.Duration]bool)
 	for range 50 {
 		back, ok := b.RetryIn(query, now.Add(time.Second))
 		is.True(ok)
 		is.True(back >= 3*time.Second && back < 4*time.Second)
-		told[back] = true
+		delays[back] = true
 	}
-	is.True(len(told) > 10)
+	is.True(len(delays) > 10)
 	b.ObserveNotice("t@1000", Notice{Leaving: true}, now)
 	back, ok := b.RetryIn(query, now)
 	is.True(ok)
 	is.True(back >= 8*time.Second)
-	b.ObserveNotice("other@1000", restOf(time.Hour), now)
+	b.ObserveNotice("other@1000", backoffOf(time.Hour), now)
 	back, ok = b.RetryIn(query, now)
 	is.True(ok)
-	is.True(back >= maxRetryIn && back <= maxRetryIn+maxRetrySpread) // somebody else may join
+	is.True(back >= maxRetryIn && back <= maxRetryIn+maxRetrySpread) // another target may join
 	b.ObserveNotice("other@1000", Notice{Leaving: true}, now)
 	_, ok = b.RetryIn(query, now)
-	is.True(!ok) // nobody is known to come back
+	is.True(!ok) // no target is expected back
 }
 
-// TestATargetThatRestsIsNeverChosen: whatever comes in whichever order; and no more than one
-// request at a time tries.
-func TestATargetThatRestsIsNeverChosen(t *testing.T) {
+// TestBackoffInAnyOrder checks that for any sequence of events a target that is backing off is
+// not chosen, and that at most one request at a time probes it.
+func TestBackoffInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		b := New(DefaultOptions())
 		until := make(map[string]time.Time)
-		trying := make(map[string]time.Time)
+		probing := make(map[string]time.Time)
 		id := rapid.SampledFrom([]string{"a", "b"})
 		born := rapid.SampledFrom([]int64{1, 2})
-		drawn := func(t *rapid.T) Target {
+		drawTarget := func(t *rapid.T) Target {
 			return Target{ID: id.Draw(t, "id"), Born: born.Draw(t, "born"), Service: "s", DataCenter: "d"}
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"put":     func(t *rapid.T) { b.Put(drawn(t), now) },
+			"put":     func(t *rapid.T) { b.Put(drawTarget(t), now) },
 			"drop":    func(t *rapid.T) { b.Drop(id.Draw(t, "id"), now) },
 			"odd":     func(t *rapid.T) { b.SetUnusable(id.Draw(t, "id")) },
-			"restore": func(t *rapid.T) { b.Restore([]Target{drawn(t)}, now) },
+			"restore": func(t *rapid.T) { b.Restore([]Target{drawTarget(t)}, now) },
 			"forgive": func(*rapid.T) { b.Forgive() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
@@ -259,92 +264,93 @@
 				if !ok {
 					return
 				}
-				life := pick.Target.Incarnation()
-				if now.Before(until[life]) {
-					t.Fatalf("%s was chosen and rests", life)
+				incarnation := pick.Target.Incarnation()
+				if now.Before(until[incarnation]) {
+					t.Fatalf("%s was chosen and rests", incarnation)
 				}
-				if pick.Probe && now.Sub(trying[life]) < probeTimeout {
-					t.Fatalf("%s is tried by two at once", life)
+				if pick.Probe && now.Sub(probing[incarnation]) < probeTimeout {
+					t.Fatalf("%s is tried by two at once", incarnation)
 				}
-				asks := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond
+				requested := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond
 				switch {
 				case rapid.Bool().Draw(t, "unanswered"):
-					trying[life] = now
-				case asks > 0:
-					b.ObserveNotice(life, restOf(asks), now)
-					if end := now.Add(asks); end.After(until[life]) {
-						until[life] = end
+					probing[incarnation] = now
+				case requested > 0:
+					b.ObserveNotice(incarnation, backoffOf(requested), now)
+					if end := now.Add(requested); end.After(until[incarnation]) {
+						until[incarnation] = end
 					}
-					delete(trying, life)
+					delete(probing, incarnation)
 				case pick.Probe:
-					b.EndProbe(life, true, now)
-					delete(trying, life)
+					b.EndProbe(incarnation, true, now)
+					delete(probing, incarnation)
 				}
-				b.Release(life, rapid.SampledFrom([]Result{Good, Bad, Neutral}).Draw(t, "result"), now)
+				b.Release(incarnation, rapid.SampledFrom([]Result{Good, Bad, Neutral}).Draw(t, "result"), now)
 			},
 		})
 	})
 }
 
-// TestStandings: each reason for which a target gets nothing, in the order in which they hold.
-func TestStandings(t *testing.T) {
+// TestTargetStatuses checks each reason for which a target gets no requests, in the order in
+// which the reasons are checked.
+func TestTargetStatuses(t *testing.T) {
 	now := time.Now()
-	t1 := lifeOf(1000)
+	t1 := incarnationOf(1000)
 	cases := map[string]struct {
-		happens func(b *Balancer)
-		want    Reason
-		left    time.Duration
+		happens   func(b *Balancer)
+		want      Reason
+		remaining time.Duration
 	}{
 		"nothing":                     {func(*Balancer) {}, ReasonNone, 0},
 		"its entry says that it ends": {func(b *Balancer) { b.Put(leaving(t1), now) }, ReasonEntry, 0},
 		"its answers say so": {func(b *Balancer) {
-			b.ObserveNotice(t1.Incarnation(), restOf(time.Minute), now)
+			b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now)
 			b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, now)
 		}, ReasonAnswer, 0},
 		"its entry is gone":           {func(b *Balancer) { b.Drop("t", now) }, ReasonUnlisted, 0},
 		"its data centre is emptied":  {func(b *Balancer) { b.SetEvacuated("", true, now) }, ReasonEvacuated, 0},
-		"it rests":                    {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), restOf(time.Minute), now) }, ReasonBackoff, time.Minute},
-		"its rest is over":            {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), restOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
-		"it has refused a connection": {func(b *Balancer) { b.NoteRefused(shortLife(t1), now) }, ReasonEjected, unreachableFor},
+		"it rests":                    {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now) }, ReasonBackoff, time.Minute},
+		"its rest is over":            {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
+		"it has refused a connection": {func(b *Balancer) { b.NoteRefused(shortIncarnation(t1), now) }, ReasonEjected, unreachableFor},
 		"others get no answer":        {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonSuspected, 0},
 		"it has just started":         {func(b *Balancer) { b.Put(coldFor(t1, time.Minute), now) }, ReasonCold, time.Minute},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := saying(now)
+			b := newWithTwoTargets(now)
 			test.happens(b)
-			found := b.TargetStatuses(now)
-			is.Equal(len(found), 2)
-			is.Equal(found[1].Incarnation, t1.Incarnation())
-			is.Equal(found[1].Reason, test.want)
-			is.Equal(found[1].Remaining, test.left)
+			statuses := b.TargetStatuses(now)
+			is.Equal(len(statuses), 2)
+			is.Equal(statuses[1].Incarnation, t1.Incarnation())
+			is.Equal(statuses[1].Reason, test.want)
+			is.Equal(statuses[1].Remaining, test.remaining)
 		})
 	}
 }
 
-// BenchmarkHeed is what an answer costs that says something, among many targets.
-func BenchmarkHeed(b *testing.B) {
+// BenchmarkObserveNotice measures an answer with a notice, among many targets.
+func BenchmarkObserveNotice(b *testing.B) {
 	now := time.Now()
-	made := New(DefaultOptions())
-	lives := make([]string, 1900)
-	for i := range lives {
+	balancer := New(DefaultOptions())
+	incarnations := make([]string, 1900)
+	for i := range incarnations {
 		target := Target{ID: fmt.Sprint("t-", i), Born: 1, Service: "s", Slots: 64}
-		lives[i] = target.Incarnation()
-		made.Put(target, now)
+		incarnations[i] = target.Incarnation()
+		balancer.Put(target, now)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		made.ObserveNotice(lives[i%len(lives)], restOf(time.Second), now)
+		balancer.ObserveNotice(incarnations[i%len(incarnations)], backoffOf(time.Second), now)
 	}
 }
 
-// BenchmarkClosed is what the look right before a first byte costs.
+// BenchmarkClosed measures the check right before the first byte is sent.
 func BenchmarkClosed(b *testing.B) {
 	now := time.Now()
-	made := saying(now)
+	balancer := newWithTwoTargets(now)
 	b.ReportAllocs()
 	for b.Loop() {
-		made.Closed("t@1000", now)
+		balancer.Closed("t@1000", now)
 	}
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -30,7 +30,7 @@
 	return balance.Query{Service: "s", Parts: []uint64{policy.HashName(fmt.Sprint("session", i))}}
 }
 
-func TestASessionKeepsItsTarget(t *testing.T) {
+func TestSessionKeepsTarget(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
 	first, ok := b.Choose(session(1), start)
@@ -38,15 +38,15 @@
 	b.Confirm(first.Target.ID, session(1))
 	b.Release(first.Target.ID, balance.Good, start)
 	for i := 9; i < 14; i++ {
-		b.Put(target(i), start) // added targets take nothing away
+		b.Put(target(i), start) // added targets do not take sessions over
 		again, _ := b.Choose(session(1), start)
 		is.Equal(again.Target.ID, first.Target.ID)
-		is.Equal(again.FetchFrom, "") // it holds the prefix already
+		is.Equal(again.FetchFrom, "") // it already holds the prefix
 		b.Release(again.Target.ID, balance.Good, start)
 	}
 }
 
-func TestOtherGatewaysChooseTheSameHome(t *testing.T) {
+func TestGatewaysAgreeOnHome(t *testing.T) {
 	is := is.New(t)
 	for i := range 50 {
 		one, _ := newBalancer(9).Choose(session(i), start)
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestBound: whatever is asked for, no choice goes to a target above the
-// bound while another one is below it.
+// TestBound checks that no choice goes to a target above the bound while another one is below
+// it, for any sequence of requests.
 func TestBound(t *testing.T) {
 	options := balance.DefaultOptions()
 	rapid.Check(t, func(t *rapid.T) {
@@ -90,7 +90,7 @@
 	})
 }
 
-func TestLoadsOfOtherGatewaysCount(t *testing.T) {
+func TestReportedLoads(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(3)
 	home, _ := b.Choose(session(1), start)
@@ -105,11 +105,11 @@
 	is.Equal(back.Target.ID, home.Target.ID)
 	b.Release(back.Target.ID, balance.Good, start)
 	b.Observe("other", []balance.Count{{Target: hash, Count: 30}}, start)
-	later, _ := b.Choose(session(1), start.Add(5*time.Second)) // a gateway that is silent counts no more
+	later, _ := b.Choose(session(1), start.Add(5*time.Second)) // reports of a silent gateway expire
 	is.Equal(later.Target.ID, home.Target.ID)
 }
 
-func TestASpillFetchesFromAHolder(t *testing.T) {
+func TestMovedSessionFetchesFromHolder(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(4)
 	home, _ := b.Choose(session(1), start)
@@ -120,9 +120,9 @@
 	is.Equal(spilled.FetchFrom, home.Target.Address)
 }
 
-// TestAFailedReadIsNoPlacement: found on trouble-1, where requests that a
-// target had failed counted as read there, and later ones fetched nothing.
-func TestAFailedReadIsNoPlacement(t *testing.T) {
+// TestFailedReadIsNotRecorded guards against treating a failed request as a completed read:
+// later requests then fetched nothing from the real holder. Found on trouble-1.
+func TestFailedReadIsNotRecorded(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(4)
 	parts := session(1).Parts
@@ -137,10 +137,9 @@
 	is.Equal(again.FetchFrom, holder.Target.Address)
 }
 
-// TestADroppedTargetGetsNothing: found as DRAIN on scale-1 seed
-// 294954841775, where the one target left had been tried already and the one
-// that the list had dropped was chosen.
-func TestADroppedTargetGetsNothing(t *testing.T) {
+// TestUnlistedTargetIsNotChosen guards against choosing an unlisted target when the only
+// listed one was already tried. This broke DRAIN on scale-1, seed 294954841775.
+func TestUnlistedTargetIsNotChosen(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(2)
 	b.Drop("t1", start)
@@ -150,14 +149,14 @@
 	is.True(!b.Has(query, start.Add(3*time.Second)))
 }
 
-func TestLapsedEntriesServeOn(t *testing.T) {
+func TestExpiredEntriesKeepServing(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(3)
 	for i := range 3 {
 		b.Drop(fmt.Sprintf("t%d", i), start)
 	}
 	_, ok := b.Choose(balance.Query{Service: "s"}, start)
-	is.True(ok) // all at once: their entries lapsed while the store was away
+	is.True(ok) // all at once: their entries expired during a store outage
 	_, ok = b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxLapse+time.Millisecond))
 	is.True(!ok) // still missing: they are gone
 	b.Put(target(1), start)
@@ -169,14 +168,14 @@
 	is.True(!ok)
 }
 
-// TestEntriesComeBackOneByOne: while some entries are back and half or more are
-// still missing, the missing ones serve on, so that the first to be back do not
-// get everything. A single missing one has left.
-func TestEntriesComeBackOneByOne(t *testing.T) {
+// TestExpiredEntriesReturnGradually checks that while some entries are back and at least half
+// are still missing, the targets of the missing ones keep serving, so that the first to return
+// do not get all requests. A target whose entry alone is missing has left.
+func TestExpiredEntriesReturnGradually(t *testing.T) {
 	cases := map[string]struct {
 		missing, back int
 		after         time.Duration
-		want          int // how many targets get work
+		want          int // number of targets that get requests
 	}{
 		"one of four is back":            {missing: 4, back: 1, want: 4},
 		"half are back":                  {missing: 4, back: 2, want: 4},
@@ -207,15 +206,14 @@
 	}
 }
 
-// TestRestoredTargetsServeUntilTheListIsBack: found on trouble-3 of
-// mmd-cuenca-grown, where all gateways began anew while the entries of the
-// targets had lapsed.
-func TestRestoredTargetsServeUntilTheListIsBack(t *testing.T) {
+// TestRestoredTargetsServe guards against a fault found on trouble-3 of mmd-cuenca-grown,
+// where all gateways restarted while the entries of the targets had expired.
+func TestRestoredTargetsServe(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
 	b.Put(target(0), start)
 	b.Restore([]balance.Target{target(0), target(1), target(2)}, start)
-	is.Equal(len(b.Working()), 1) // a restored one is not listed
+	is.Equal(len(b.Working()), 1) // a restored target is not listed
 	got := make(map[string]bool)
 	for range 6 {
 		pick, _ := b.Choose(balance.Query{Service: "s"}, start)
@@ -236,13 +234,13 @@
 	}
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
+func TestLeavingTargets(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(2)
 	leaving := target(0)
 	leaving.Leaving = true
 	is.True(b.Put(leaving, start).Any)
-	is.True(!b.Put(leaving, start).Any) // nothing new
+	is.True(!b.Put(leaving, start).Any) // nothing changed
 	for range 20 {
 		pick, ok := b.Choose(balance.Query{Service: "s"}, start)
 		is.True(ok)
@@ -267,10 +265,10 @@
 		seen = seen || pick.Target.ID == "t0"
 		b.Release(pick.Target.ID, balance.Good, start)
 	}
-	is.True(seen) // its time out is over: real requests find out
+	is.True(seen) // the ejection is over: real requests test the target
 }
 
-func TestAServiceThatFailsAlikeIsNotEjected(t *testing.T) {
+func TestNoEjectionWhenAllTargetsFail(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(6)
 	ejected := 0
@@ -288,7 +286,7 @@
 	is.Equal(ejected, 0)
 }
 
-func TestNeverAllAreEjected(t *testing.T) {
+func TestEjectionLimit(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(3)
 	for i := range 3 {
@@ -300,25 +298,25 @@
 	is.True(ok)
 }
 
-func TestPlacementsAreToldOnce(t *testing.T) {
+func TestPlacementsReportedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(2)
 	b.Confirm("t0", balance.Query{Parts: []uint64{1 << 32, 2 << 32}})
-	b.Confirm("t0", balance.Query{Parts: []uint64{1 << 32, 2 << 32}}) // known already
-	news, next := b.Placements(0, 1)
-	is.Equal(len(news), 1)
+	b.Confirm("t0", balance.Query{Parts: []uint64{1 << 32, 2 << 32}}) // already known
+	first, next := b.Placements(0, 1)
+	is.Equal(len(first), 1)
 	more, last := b.Placements(next, 10)
 	is.Equal(len(more), 1)
 	none, _ := b.Placements(last, 10)
 	is.Equal(len(none), 0)
 	other := newBalancer(2)
-	other.Learn(append(news, more...))
+	other.Learn(append(first, more...))
 	own, _ := other.Placements(0, 10)
-	is.Equal(len(own), 0) // what was learned is not told on
+	is.Equal(len(own), 0) // learned placements are not reported
 	is.Equal(len(other.AllPlacements(10)), 2)
 }
 
-// BenchmarkChoose chooses among many targets, and takes others' loads.
+// BenchmarkChoose measures a choice among many targets with reported loads.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{22, 165, 1900, 7500} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -340,8 +338,8 @@
 	}
 }
 
-// BenchmarkChooseVersions chooses among the targets of two versions, half of each, and a
-// third that has gone.
+// BenchmarkChooseVersions measures a choice among the targets of two versions, half of each,
+// or with one version left.
 func BenchmarkChooseVersions(b *testing.B) {
 	cases := map[string]balance.Versions{
 		"all":    {},
@@ -378,7 +376,7 @@
 	}
 }
 
-// reportLoads has gateways report some requests at targets each.
+// reportLoads lets gateways report requests at some targets each.
 func reportLoads(balancer *balance.Balancer, gateways, targets int) {
 	const each = 10
 	for gateway := range gateways {
@@ -391,7 +389,7 @@
 	}
 }
 
-// BenchmarkObserve is what a beat's loads cost among a hundred gateways.
+// BenchmarkObserve measures the loads in one heartbeat, among a hundred gateways.
 func BenchmarkObserve(b *testing.B) {
 	balancer := newBalancer(165)
 	reportLoads(balancer, 103, 165)
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -17,11 +17,11 @@
 
 const coldRate = 8.9
 
-// coldFleet are gateways that know a cold target and a full one, so that all that
-// they have would go to the cold one.
+// coldFleet is a set of gateways that know only a cold target and a full one, so that all
+// requests go to the cold one.
 type coldFleet struct {
 	gateways []*balance.Balancer
-	// sent are the moments at which the cold target got a request.
+	// sent holds the times at which the cold target got a request.
 	sent []time.Time
 }
 
@@ -39,17 +39,17 @@
 		b.Put(warm, start)
 		cold := target(0)
 		cold.Slots, cold.ColdFor = 64, time.Hour
-		learnt := start
+		learned := start
 		if spread > 0 {
-			learnt = start.Add(time.Duration(random.Int64N(int64(spread))))
+			learned = start.Add(time.Duration(random.Int64N(int64(spread))))
 		}
-		b.Put(cold, learnt)
+		b.Put(cold, learned)
 		f.gateways = append(f.gateways, b)
 	}
 	return f
 }
 
-// step has each gateway offer a request.
+// step lets each gateway offer a request.
 func (f *coldFleet) step(now time.Time) {
 	for _, b := range f.gateways {
 		pick, ok := b.Choose(balance.Query{Service: "s", Exclude: []string{"t1"}}, now)
@@ -63,21 +63,22 @@
 	}
 }
 
-// most is the largest number of requests in any second.
-func (f *coldFleet) most() int {
-	most, from := 0, 0
+// maxPerSecond returns the largest number of requests in any second.
+func (f *coldFleet) maxPerSecond() int {
+	highest, from := 0, 0
 	for i, at := range f.sent {
 		for at.Sub(f.sent[from]) >= time.Second {
 			from++
 		}
-		most = max(most, i-from+1)
+		highest = max(highest, i-from+1)
 	}
-	return most
+	return highest
 }
 
-// TestAColdTargetIsNotOverrun: found as FAILBACK on days with cold returns and a
-// burst: each gateway sent as it liked, 25 requests in a second where 18 were allowed.
-func TestAColdTargetIsNotOverrun(t *testing.T) {
+// TestColdTargetRate guards against gateways sending to a cold target without coordination: it
+// got 25 requests in a second where 18 were allowed. This broke FAILBACK on days with cold
+// returns and a burst.
+func TestColdTargetRate(t *testing.T) {
 	for _, count := range []int{1, 2, 4, 8, 9, 18, 26, 103, 370} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			is := is.New(t)
@@ -86,16 +87,16 @@
 			for at := time.Duration(0); at < span; at += 20 * time.Millisecond {
 				f.step(start.Add(400*time.Millisecond + at))
 			}
-			is.True(float64(f.most()) <= coldBound.Multiple*coldRate+coldBound.Extra)
-			// What it bears is used: while all ask for it, at least two thirds.
+			is.True(float64(f.maxPerSecond()) <= coldBound.Multiple*coldRate+coldBound.Extra)
+			// The allowed rate is used: at least two thirds while all gateways have requests.
 			is.True(float64(len(f.sent)) >= 2.0/3*coldRate*span.Seconds())
 		})
 	}
 }
 
-// TestAColdTargetIsNotOverrunByASurge: gateways that had nothing to send for a
-// while don't catch up together.
-func TestAColdTargetIsNotOverrunByASurge(t *testing.T) {
+// TestColdTargetRateInSurge checks that gateways that had nothing to send for a while do not
+// catch up at the same time.
+func TestColdTargetRateInSurge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 120).Draw(t, "gateways")
 		f := newColdFleet(count, 300*time.Millisecond, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2)))
@@ -103,17 +104,18 @@
 		for at := time.Duration(0); at < 3*time.Second; at += 20 * time.Millisecond {
 			f.step(surge.Add(at))
 		}
-		if limit := coldBound.Multiple*coldRate + coldBound.Extra; float64(f.most()) > limit {
-			t.Fatalf("%d gateways sent %d within a second; %.1f are allowed", count, f.most(), limit)
+		if limit := coldBound.Multiple*coldRate + coldBound.Extra; float64(f.maxPerSecond()) > limit {
+			t.Fatalf("%d gateways sent %d within a second; %.1f are allowed", count, f.maxPerSecond(), limit)
 		}
 	})
 }
 
-// TestWhenATargetIsCold: by its entry, after an evacuation, and until when.
-func TestWhenATargetIsCold(t *testing.T) {
-	cold := func(left time.Duration) balance.Target {
+// TestColdPeriod checks when a target becomes cold, by its entry or after an evacuation, and
+// until when.
+func TestColdPeriod(t *testing.T) {
+	cold := func(remaining time.Duration) balance.Target {
 		made := target(0)
-		made.ColdFor = left
+		made.ColdFor = remaining
 		return made
 	}
 	cases := map[string]struct {
@@ -137,27 +139,28 @@
 			b.SetCold("s", balance.ColdBound{Rate: 2, Start: 3 * time.Second})
 			b.Put(target(0), start)
 			tc.happens(b)
-			taken := 0
+			chosen := 0
 			for i := range 20 {
 				now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 				if pick, ok := b.Choose(balance.Query{Service: "s"}, now); ok {
-					taken++
+					chosen++
 					b.Release(pick.Target.ID, balance.Good, now)
 				}
 			}
-			is.Equal(taken <= 1, tc.cold)
+			is.Equal(chosen <= 1, tc.cold)
 		})
 	}
 }
 
-// evacuate has a data centre evacuated, and taken back at a moment.
+// evacuate evacuates a data centre and ends the evacuation at a given time.
 func evacuate(b *balance.Balancer, end time.Time) {
 	b.SetEvacuated("a", true, end.Add(-time.Second))
 	b.SetEvacuated("a", false, end)
 }
 
-// TestAServiceWithoutABound: its cold targets get what others do.
-func TestAServiceWithoutABound(t *testing.T) {
+// TestColdTargetWithoutBound checks that cold targets of a service without a bound get as many
+// requests as others.
+func TestColdTargetWithoutBound(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
 	cold := target(0)
@@ -169,8 +172,9 @@
 	}
 }
 
-// TestOnlyTheFirstColdEntryIsUrgent: the others only say that time goes by.
-func TestOnlyTheFirstColdEntryIsUrgent(t *testing.T) {
+// TestTurnedCold checks that only the first cold entry is reported as a change to cold; later
+// ones merely update the remaining time.
+func TestTurnedCold(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
 	cold := target(0)
--- a/internal/balance/directory_test.go
+++ b/internal/balance/directory_test.go
@@ -10,17 +10,17 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// longSession is a query whose last part is worth asking for.
+// longSession is a query whose last part is long enough to ask for.
 func longSession(i int) balance.Query {
 	query := session(i)
 	query.Tokens = []int{5000}
 	return query
 }
 
-func TestWhatIsWorthAskingFor(t *testing.T) {
+func TestPartsToLocate(t *testing.T) {
 	cases := map[string]struct {
-		prepare  func(b *balance.Balancer) balance.Query
-		unplaced bool
+		prepare func(b *balance.Balancer) balance.Query
+		ask     bool
 	}{
 		"an unknown long part": {func(*balance.Balancer) balance.Query { return longSession(1) }, true},
 		"a short part": {func(*balance.Balancer) balance.Query {
@@ -67,7 +67,7 @@
 			b := newBalancer(9)
 			query := tc.prepare(b)
 			var want []uint32
-			if tc.unplaced {
+			if tc.ask {
 				want = []uint32{uint32(query.Parts[0] >> 32)}
 			}
 			is.Equal(b.PartsToLocate(query, start), want)
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestTheUpperPartsAreAskedForToo: on scale-2 of the large site a million tokens of
-// parts that many sessions share were read again, since each gateway named no
-// target that held them until it had used them itself.
-func TestTheUpperPartsAreAskedForToo(t *testing.T) {
+// TestPartsToLocateUpperParts guards against asking for the deepest part only: on scale-2 of
+// the large site a million tokens of parts that many sessions share were read again, because a
+// gateway knew no holders of them until it had used them itself.
+func TestPartsToLocateUpperParts(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
 	query := balance.Query{Service: "s", Parts: []uint64{1 << 32, 2 << 32, 3 << 32, 4 << 32}, Tokens: []int{500, 100, 600, 5000}}
@@ -91,10 +91,9 @@
 	is.Equal(len(b.PartsToLocate(query, start)), 0)
 }
 
-// TestHoldersThatServeAreKept: where a part has many holders, those that have
-// crashed make room first; on scale-2 of the large site live ones were forgotten
-// for them.
-func TestHoldersThatServeAreKept(t *testing.T) {
+// TestHolderEviction checks that if a part has many holders, crashed ones are forgotten first.
+// On scale-2 of the large site live holders were forgotten instead.
+func TestHolderEviction(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(12)
 	query := longSession(1)
@@ -104,7 +103,7 @@
 	b.NoteRefused(short("t5"), start)
 	b.Choose(balance.Query{Service: "s"}, start)
 	b.Confirm("t8", query)
-	b.Confirm("t9", query) // no dead one is left: the oldest makes room
+	b.Confirm("t9", query) // no crashed one is left: the oldest is forgotten
 	holders, _ := b.Cached(uint32(query.Parts[0]>>32), start)
 	var names []uint32
 	for _, holder := range holders {
@@ -117,9 +116,9 @@
 	is.Equal(names, want)
 }
 
-// TestCachedReturnsWhatServes: targets that were deregistered long ago hold nothing
-// any more, and a reading is named until it is over.
-func TestCachedReturnsWhatServes(t *testing.T) {
+// TestCached checks that targets deregistered long ago are no holders any more, and that a
+// read is reported until it is over.
+func TestCached(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(3)
 	query := longSession(1)
@@ -129,7 +128,7 @@
 	holders, filling := b.Cached(part, start)
 	is.Equal(len(holders), 0)
 	is.Equal(filling, pick.Fills)
-	is.Equal(b.Confirm(pick.Target.ID, query), pick.Fills) // new, so worth telling
+	is.Equal(b.Confirm(pick.Target.ID, query), pick.Fills) // new, so worth reporting
 	is.Equal(len(b.Confirm(pick.Target.ID, query)), 0)     // known
 	holders, filling = b.Cached(part, start)
 	is.Equal(holders, pick.Fills)
@@ -142,9 +141,9 @@
 	is.Equal(len(holders), 0)
 }
 
-// TestReportsGetTooOld: the loads of a gateway that is silent are not counted
-// for long, and those of the others stay.
-func TestReportsGetTooOld(t *testing.T) {
+// TestReportsExpire checks that the loads of a silent gateway soon stop counting, and that
+// those of the others stay.
+func TestReportsExpire(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(2)
 	count := []balance.Count{{Target: policy.HashName("t0"), Count: 5}, {Target: policy.HashName("t1"), Count: 5}}
@@ -157,7 +156,7 @@
 	is.Equal(pick.Load, 5)
 	b.Observe("lively", nil, start.Add(3*time.Second))
 	pick, _ = b.Choose(balance.Query{Service: "s"}, start.Add(3*time.Second))
-	is.True(pick.Load <= 1) // own requests alone
+	is.True(pick.Load <= 1) // only this gateway's own requests
 }
 
 func TestSources(t *testing.T) {
@@ -182,9 +181,9 @@
 	}
 }
 
-// TestManyGatewaysSpreadOverHolders: two hunted days of the large site broke LIMIT:
-// a hundred gateways that all know a prompt's holders went to the first of them
-// until they learnt, a second later, that it was full.
+// TestManyGatewaysSpreadOverHolders guards against a fault that broke LIMIT on two simulated
+// days of the large site: a hundred gateways that all knew a prompt's holders sent to the
+// first of them until they learned, a second later, that it was full.
 func TestManyGatewaysSpreadOverHolders(t *testing.T) {
 	cases := map[string]struct {
 		peers int
@@ -210,41 +209,41 @@
 	}
 }
 
-// TestBoundsOfMany: the more gateways there are, the older are their reports, and
-// the less a target may hold before a prompt goes elsewhere.
-func TestBoundsOfMany(t *testing.T) {
+// TestBoundsForManyGateways checks that with more gateways, and thus older reports, a target
+// may hold fewer requests before a prompt goes elsewhere.
+func TestBoundsForManyGateways(t *testing.T) {
 	cases := map[string]struct {
 		peers int
-		most  int
+		max   int
 	}{
-		// With nine targets that hold some 5.5 requests each: 1.65 times the mean plus
-		// 2, less up to 12 in 100.
+		// With nine targets that hold some 5.5 requests each: 1.65 times the mean plus 2, less
+		// up to 12 in 100.
 		"thirty":       {29, 11},
 		"a hundred":    {102, 9},
 		"hundreds":     {370, 9},
-		"a few at all": {3, 14}, // 1.9 times plus 2.6
+		"a few at all": {3, 14}, // 1.9 times the mean plus 2.6
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer(9)
 			b.SetPeers(tc.peers)
-			heard(b, tc.peers-1)
+			addIdlePeers(b, tc.peers-1)
 			query := longSession(1)
 			b.Confirm("t1", query)
 			for load := 20; load > 0; load-- {
 				counts := []balance.Count{{Target: policy.HashName("t1"), Count: load}}
-				rest := 54 - load
+				others := 54 - load
 				for i := range 9 {
 					if i != 1 {
-						counts = append(counts, balance.Count{Target: policy.HashName(target(i).ID), Count: rest / 8})
+						counts = append(counts, balance.Count{Target: policy.HashName(target(i).ID), Count: others / 8})
 					}
 				}
 				b.Observe("other", counts, start)
 				pick, _ := b.Choose(query, start)
 				b.Release(pick.Target.ID, balance.Neutral, start)
 				if pick.Target.ID == "t1" {
-					is.Equal(load, tc.most)
+					is.Equal(load, tc.max)
 					return
 				}
 			}
--- a/internal/balance/evacuation_test.go
+++ b/internal/balance/evacuation_test.go
@@ -11,36 +11,36 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// placed is a balancer with targets in two data centres, two in "far" and two
-// in "near".
-func placed() *balance.Balancer {
+// newTwoDataCenters returns a balancer with two targets in the data centre "far" and two in
+// "near".
+func newTwoDataCenters() *balance.Balancer {
 	b := balance.New(balance.DefaultOptions())
-	for i, place := range []string{"far", "far", "near", "near"} {
+	for i, dataCenter := range []string{"far", "far", "near", "near"} {
 		made := target(i)
-		made.DataCenter = place
+		made.DataCenter = dataCenter
 		b.Put(made, start)
 	}
 	return b
 }
 
-// chosenIn counts by data centre where choices that are released at once go.
+// chosenIn counts choices by data centre. Each choice is released immediately.
 func chosenIn(b *balance.Balancer, query func(i int) balance.Query, now time.Time) map[string]int {
-	places := make(map[string]int)
+	counts := make(map[string]int)
 	for i := range 60 {
 		pick, ok := b.Choose(query(i), now)
 		if !ok {
-			places[""]++
+			counts[""]++
 			continue
 		}
-		places[pick.Target.DataCenter]++
+		counts[pick.Target.DataCenter]++
 		b.Release(pick.Target.ID, balance.Good, now)
 	}
-	return places
+	return counts
 }
 
-// TestAnEvacuatedDataCentreGetsNothing: nothing read the operators' request, and
-// EVAC was broken on each day that had one.
-func TestAnEvacuatedDataCentreGetsNothing(t *testing.T) {
+// TestEvacuatedDataCenter guards against ignoring the operators' evacuation, which broke EVAC
+// on each day with an evacuation.
+func TestEvacuatedDataCenter(t *testing.T) {
 	plain := func(int) balance.Query { return balance.Query{Service: "s"} }
 	cases := map[string]struct {
 		query func(i int) balance.Query
@@ -69,7 +69,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := placed()
+			b := newTwoDataCenters()
 			chosenIn(b, tc.query, start)
 			is.True(b.SetEvacuated("far", true, start))
 			if tc.also != nil {
@@ -88,7 +88,7 @@
 
 func shortPart(i int) uint32 { return uint32(session(i).Parts[0] >> 32) }
 
-// fail has a target left out for its failures.
+// fail ejects a target for its failures.
 func fail(b *balance.Balancer, id string) {
 	for range 10 {
 		var others []string
@@ -104,9 +104,9 @@
 	}
 }
 
-func TestWhenAllIsEvacuatedNothingIsChosen(t *testing.T) {
+func TestAllDataCentersEvacuated(t *testing.T) {
 	is := is.New(t)
-	b := placed()
+	b := newTwoDataCenters()
 	b.SetEvacuated("far", true, start)
 	b.SetEvacuated("near", true, start)
 	_, ok := b.Choose(balance.Query{Service: "s"}, start)
@@ -117,11 +117,11 @@
 	is.Equal(b.Evacuated(), []string{"far"})
 }
 
-// TestAnEvacuatedHolderIsASource: no request goes there, but what it holds need
-// not be read again.
-func TestAnEvacuatedHolderIsASource(t *testing.T) {
+// TestEvacuatedHolderIsSource checks that an evacuated holder gets no request, but that the
+// prompts it holds are fetched and not read again.
+func TestEvacuatedHolderIsSource(t *testing.T) {
 	is := is.New(t)
-	b := placed()
+	b := newTwoDataCenters()
 	b.Learn([]balance.Placement{{Part: shortPart(1), Target: uint32(policy.HashName("t0") >> 32)}})
 	b.SetEvacuated("far", true, start)
 	pick, ok := b.Choose(session(1), start)
@@ -131,9 +131,10 @@
 	is.Equal(pick.Source, balance.SourceKnown)
 }
 
-// TestTheBoundIsOnTheMeanOfAll: found as LIMIT on a day with a data centre evacuated and
-// a surge: the targets that were left filled up to the bound on their own mean.
-func TestTheBoundIsOnTheMeanOfAll(t *testing.T) {
+// TestBoundWithIdleTargets guards against applying the bound to the mean of the remaining
+// targets only: on a day with an evacuated data centre and a surge they filled up to that
+// bound, which broke LIMIT.
+func TestBoundWithIdleTargets(t *testing.T) {
 	cases := map[string]struct {
 		evacuated bool
 		held      int
@@ -174,5 +175,5 @@
 	}
 }
 
-// longPrompt is a prompt's length in tokens that makes it dear to move.
+// longPrompt is a prompt length in tokens at which moving the prompt is expensive.
 const longPrompt = 5000
--- a/internal/balance/fills_test.go
+++ b/internal/balance/fills_test.go
@@ -10,7 +10,7 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// prompt is a query whose deepest shared part is so long.
+// prompt is a query whose deepest shared part has a given length.
 func prompt(i, tokens int) balance.Query {
 	query := session(i)
 	query.Tokens = []int{tokens}
@@ -33,8 +33,8 @@
 
 const manyTokens = 8000
 
-// TestFills: a long part that is being read for one request can be waited for
-// by others, until the reading is over one way or the other.
+// TestFills checks that other requests can wait for a long part that is being read for one
+// request, until the read succeeds or fails.
 func TestFills(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestAPeersFill: what another gateway has read is waited for and followed,
-// and is not told further as one's own.
-func TestAPeersFill(t *testing.T) {
+// TestPeerFill checks that a read reported by another gateway is waited for and followed, and
+// is not reported as this gateway's own.
+func TestPeerFill(t *testing.T) {
 	is := is.New(t)
 	query := prompt(1, manyTokens)
 	other := newBalancer(9)
@@ -106,13 +106,13 @@
 	is.Equal(followed.Target.ID, pick.Target.ID)
 	silent := newBalancer(9)
 	silent.LearnFills(other.Fills(), start)
-	_, filling = silent.Filling(query, start.Add(2*time.Second)) // nothing heard since
+	_, filling = silent.Filling(query, start.Add(2*time.Second)) // no report since
 	is.True(!filling)
 }
 
-// TestShortPromptsMakeRoom: at a load at which a short prompt leaves its home
-// a long one stays, and both do below.
-func TestShortPromptsMakeRoom(t *testing.T) {
+// TestShortPromptsMoveFirst checks that at a load at which a short prompt leaves its home a
+// long one stays, and that both stay below it.
+func TestShortPromptsMoveFirst(t *testing.T) {
 	cases := map[string]struct {
 		load        int
 		long, short bool
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestASpillStaysInItsDataCenter: a prompt that has to be moved is moved
-// inside the data centre of a target that holds it, while one there has room.
-func TestASpillStaysInItsDataCenter(t *testing.T) {
+// TestMovedPromptStaysInDataCenter checks that a prompt that has to be moved stays in the data
+// centre of a target that holds it, while a target there has room.
+func TestMovedPromptStaysInDataCenter(t *testing.T) {
 	is := is.New(t)
 	for number := range 40 {
 		b := balance.New(balance.DefaultOptions())
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestWhoHasJustGoneIsStillFetchedFrom: a target whose entry was removed
-// serves for a while what it holds.
-func TestWhoHasJustGoneIsStillFetchedFrom(t *testing.T) {
+// TestFetchFromUnlistedTarget checks that a target whose entry was removed serves what it
+// holds for a while.
+func TestFetchFromUnlistedTarget(t *testing.T) {
 	cases := map[string]struct {
 		after time.Duration
 		from  bool
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -10,30 +10,31 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// lifeOf is one life of the target t of these tests.
-func lifeOf(born int64) Target {
+// incarnationOf returns an incarnation of the target t, which these tests use.
+func incarnationOf(born int64) Target {
 	return Target{ID: "t", Born: born, Service: "s", Address: "a", Slots: 8}
 }
 
-func shortLife(target Target) uint32 {
+func shortIncarnation(target Target) uint32 {
 	return shortHash(policy.HashName(target.Incarnation()))
 }
 
-// TestAnotherLifeBeginsAnew: whatever was known of a target's life, by whomever, says
-// nothing of the next one under the same id, and what comes late of the first does not either.
-func TestAnotherLifeBeginsAnew(t *testing.T) {
-	first, second := lifeOf(1000), lifeOf(2000)
+// TestNewIncarnationStartsFresh checks that nothing known about an incarnation of a target,
+// here or at other gateways, applies to the next one with the same ID, and that late reports
+// about the first one do not either.
+func TestNewIncarnationStartsFresh(t *testing.T) {
+	first, second := incarnationOf(1000), incarnationOf(2000)
 	part := Query{Service: "s", Parts: []uint64{7 << 32}, Tokens: []int{1000}}
 	cases := map[string]func(b *Balancer, now time.Time){
 		"prompts that it held":       func(b *Balancer, _ time.Time) { b.Confirm(first.Incarnation(), part) },
-		"prompts that others placed": func(b *Balancer, _ time.Time) { b.Learn([]Placement{{Part: 7, Target: shortLife(first)}}) },
+		"prompts that others placed": func(b *Balancer, _ time.Time) { b.Learn([]Placement{{Part: 7, Target: shortIncarnation(first)}}) },
 		"requests of others": func(b *Balancer, now time.Time) {
 			b.Observe("g", []Count{{Target: policy.HashName(first.Incarnation()), Count: 9}}, now)
 		},
 		"suspicions of others":       func(b *Balancer, now time.Time) { suspectBoth(b, first, now) },
 		"a refused connection":       func(b *Balancer, now time.Time) { b.Choose(part, now); b.Release(first.Incarnation(), Refused, now) },
-		"refused at another gateway": func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) },
-		"failures":                   func(b *Balancer, now time.Time) { failRow(b, first, now) },
+		"refused at another gateway": func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) },
+		"failures":                   func(b *Balancer, now time.Time) { failInRow(b, first, now) },
 		"that it is cold":            func(b *Balancer, now time.Time) { b.Put(coldFor(first, time.Hour), now) },
 		"that it leaves":             func(b *Balancer, now time.Time) { b.Put(leaving(first), now) },
 		"that it said that it leaves": func(b *Balancer, _ time.Time) {
@@ -51,7 +52,7 @@
 				b.Put(first, now)
 				happens(b, now)
 				is.True(b.Put(second, now).Any)
-				if late && saysWhichLife(name) {
+				if late && namesIncarnation(name) {
 					happens(b, now)
 				}
 				pick, ok := b.Choose(part, now)
@@ -65,9 +66,10 @@
 	}
 }
 
-// saysWhichLife says whether the news names a life, and not only a target.
-func saysWhichLife(news string) bool {
-	switch news {
+// namesIncarnation reports whether the report of a case names an incarnation, and not only a
+// target.
+func namesIncarnation(report string) bool {
+	switch report {
 	case "that it is cold", "that it leaves", "that its entry was gone", "that its entry named nothing", "a refused connection", "failures":
 		return false
 	}
@@ -75,19 +77,19 @@
 }
 
 func suspectBoth(b *Balancer, target Target, now time.Time) {
-	b.ObserveSuspects("g", []uint32{shortLife(target)}, now)
-	b.ObserveSuspects("h", []uint32{shortLife(target)}, now)
+	b.ObserveSuspects("g", []uint32{shortIncarnation(target)}, now)
+	b.ObserveSuspects("h", []uint32{shortIncarnation(target)}, now)
 }
 
-func failRow(b *Balancer, target Target, now time.Time) {
+func failInRow(b *Balancer, target Target, now time.Time) {
 	for range alwaysEjectRow {
 		b.Choose(Query{Service: "s"}, now)
 		b.Release(target.Incarnation(), Bad, now)
 	}
 }
 
-func coldFor(target Target, left time.Duration) Target {
-	target.ColdFor = left
+func coldFor(target Target, remaining time.Duration) Target {
+	target.ColdFor = remaining
 	return target
 }
 
@@ -96,13 +98,14 @@
 	return target
 }
 
-// TestRequestsOfALifeBefore: they end where they began, and the count of the service's
-// requests stays right, also when the first life's entry comes back.
-func TestRequestsOfALifeBefore(t *testing.T) {
+// TestRequestsOfPreviousIncarnation checks that requests end at the incarnation where they
+// began, and that the service's count of requests stays correct, also when the first
+// incarnation's entry comes back.
+func TestRequestsOfPreviousIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
-	first, second := lifeOf(1000), lifeOf(2000)
+	first, second := incarnationOf(1000), incarnationOf(2000)
 	own := func() int { return b.serviceOf("s").load.own }
 	b.Put(first, now)
 	b.Choose(Query{Service: "s"}, now)
@@ -113,7 +116,7 @@
 	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(second.Incarnation()), Count: 1}})
 	b.Release(first.Incarnation(), Good, now)
 	is.Equal(own(), 2)
-	b.Put(first, now) // a clock at the target's host was set back, or another writer
+	b.Put(first, now) // the clock of the target's host was set back, or another writer wrote the entry
 	is.Equal(b.InFlight(), []Count{{Target: policy.HashName(first.Incarnation()), Count: 1}})
 	b.Release(first.Incarnation(), Good, now)
 	b.Release(second.Incarnation(), Good, now)
@@ -124,51 +127,54 @@
 	is.Equal(len(b.targets)+len(b.current)+len(b.byHash)+len(b.byShort), 0)
 }
 
-// TestAnEntryThatLacksTheStart: of a target that has stated it, such an entry is not its own. It
-// was taken for another life, and what was under way at the target was broken off.
-func TestAnEntryThatLacksTheStart(t *testing.T) {
+// TestEntryWithoutStartTime guards against taking an entry without a start time for a new
+// incarnation of a target that has stated its start: the requests in flight at the target were
+// cancelled. Such an entry comes from another writer.
+func TestEntryWithoutStartTime(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
-	b.Put(lifeOf(1000), now)
+	b.Put(incarnationOf(1000), now)
 	b.Choose(Query{Service: "s"}, now)
-	change := b.Put(lifeOf(0), now)
+	change := b.Put(incarnationOf(0), now)
 	is.Equal(change.Superseded, "")
 	is.True(change.Unusable)
-	is.True(!b.Put(lifeOf(0), now).Any) // nor is it news again
+	is.True(!b.Put(incarnationOf(0), now).Any) // the same entry again changes nothing
 	_, ok := b.Choose(Query{Service: "s"}, now)
-	is.True(!ok) // it gets nothing until its entry is whole
-	is.True(!b.EndOf(lifeOf(1000).Incarnation()).Known())
-	is.True(b.Put(lifeOf(1000), now).Any)
+	is.True(!ok) // it gets nothing until its entry is complete
+	is.True(!b.EndOf(incarnationOf(1000).Incarnation()).Known())
+	is.True(b.Put(incarnationOf(1000), now).Any)
 	pick, ok := b.Choose(Query{Service: "s"}, now)
 	is.True(ok)
-	is.Equal(pick.Load, 1) // the request before is still under way
+	is.Equal(pick.Load, 1) // the earlier request is still in flight
 }
 
-// TestAnotherService: an entry that names another service takes the target there.
-func TestAnotherService(t *testing.T) {
+// TestServiceChange checks that an entry with another service moves the target to that
+// service.
+func TestServiceChange(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
-	b.Put(lifeOf(0), now)
+	b.Put(incarnationOf(0), now)
 	b.Choose(Query{Service: "s"}, now)
-	moved := lifeOf(0)
+	moved := incarnationOf(0)
 	moved.Service = "other"
 	b.Put(moved, now)
 	_, ok := b.Choose(Query{Service: "s"}, now)
 	is.True(!ok)
 	pick, ok := b.Choose(Query{Service: "other"}, now)
 	is.True(ok)
-	is.Equal(pick.Load, 1) // the one under way went along
+	is.Equal(pick.Load, 1) // the request in flight moved along
 	b.Release("t", Good, now)
 	b.Release("t", Good, now)
 	is.Equal(b.serviceOf("s").load.own+b.serviceOf("other").load.own, 0)
 }
 
-// TestEnds: a life ends without a plan when nothing listens any more, its entry goes or
-// another life begins, and by plan when it said so or its entry went before.
-func TestEnds(t *testing.T) {
-	first := lifeOf(1000)
+// TestUnplannedEnds checks that an incarnation ends unplanned when nothing listens any more,
+// its entry disappears or another incarnation begins, and as planned when it announced that
+// before.
+func TestUnplannedEnds(t *testing.T) {
+	first := incarnationOf(1000)
 	cases := map[string]struct {
 		before, happens func(b *Balancer, now time.Time)
 		ended           bool
@@ -177,10 +183,10 @@
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Refused, now)
 		}, true},
-		"refused elsewhere":         {nil, func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) }, true},
+		"refused elsewhere":         {nil, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, true},
 		"refused without a request": {nil, func(b *Balancer, now time.Time) { b.NoteSilentPort(first.Incarnation(), now) }, true},
 		"its entry goes":            {nil, func(b *Balancer, now time.Time) { b.Drop("t", now) }, true},
-		"another life":              {nil, func(b *Balancer, now time.Time) { b.Put(lifeOf(2000), now) }, true},
+		"another life":              {nil, func(b *Balancer, now time.Time) { b.Put(incarnationOf(2000), now) }, true},
 		"a lost answer": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Lost, now)
@@ -189,7 +195,7 @@
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Unreachable, now)
 		}, false},
-		"refused, leaving": {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.NoteRefused(shortLife(first), now) }, false},
+		"refused, leaving": {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, false},
 		"gone, leaving":    {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.Drop("t", now) }, false},
 	}
 	for name, tc := range cases {
@@ -209,37 +215,37 @@
 	}
 }
 
-// TestLivesInAnyOrder: whatever comes of a few lives, the requests under way add up, and no
-// life but the last is chosen.
-func TestLivesInAnyOrder(t *testing.T) {
+// TestIncarnationsInAnyOrder checks that for any sequence of events of a few incarnations the
+// requests in flight add up, and that only the current incarnation is chosen.
+func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Now()
 		b := New(DefaultOptions())
-		underWay := map[string]int{}
-		present := Target{}
+		inFlight := map[string]int{}
+		current := Target{}
 		total := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			life := lifeOf(int64(rapid.IntRange(0, 3).Draw(t, "born")))
-			life.Service = rapid.SampledFrom([]string{"s", "s", "other"}).Draw(t, "service")
+			incarnation := incarnationOf(int64(rapid.IntRange(0, 3).Draw(t, "born")))
+			incarnation.Service = rapid.SampledFrom([]string{"s", "s", "other"}).Draw(t, "service")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				b.Put(life, now)
-				present = life
+				b.Put(incarnation, now)
+				current = incarnation
 			case 1:
 				b.Drop("t", now)
 			case 2:
 				if pick, ok := b.Choose(Query{Service: "s"}, now); ok {
-					if pick.Target != present {
-						t.Fatalf("%+v was chosen, and %+v is the present life", pick.Target, present)
+					if pick.Target != current {
+						t.Fatalf("%+v was chosen, and %+v is the present life", pick.Target, current)
 					}
-					underWay[pick.Target.Incarnation()]++
+					inFlight[pick.Target.Incarnation()]++
 					total++
 				}
 			case 3:
-				if underWay[life.Incarnation()] > 0 {
-					underWay[life.Incarnation()]--
+				if inFlight[incarnation.Incarnation()] > 0 {
+					inFlight[incarnation.Incarnation()]--
 					total--
-					b.Release(life.Incarnation(), Good, now)
+					b.Release(incarnation.Incarnation(), Good, now)
 				}
 			}
 			if own := b.serviceOf("s").load.own + b.serviceOf("other").load.own; own != total {
@@ -249,10 +255,11 @@
 	})
 }
 
-// TestALifeThatGoesOn: an entry that lapsed with the store and came back, and a refusal after
-// which the target answers, were no ends; the real one after them counts.
-func TestALifeThatGoesOn(t *testing.T) {
-	first := lifeOf(1000)
+// TestIncarnationSurvivesAssumedEnd checks that an entry that expired with the store and came
+// back, and a refusal after which the target answers, do not count as ends, and that the real
+// end after them does.
+func TestIncarnationSurvivesAssumedEnd(t *testing.T) {
+	first := incarnationOf(1000)
 	cases := map[string]func(b *Balancer, now time.Time) time.Time{
 		"its entry came back": func(b *Balancer, now time.Time) time.Time {
 			b.Drop("t", now)
@@ -260,7 +267,7 @@
 			return now.Add(time.Second)
 		},
 		"it answers after a refusal": func(b *Balancer, now time.Time) time.Time {
-			b.NoteRefused(shortLife(first), now)
+			b.NoteRefused(shortIncarnation(first), now)
 			later := now.Add(5 * time.Second)
 			b.Choose(Query{Service: "s"}, later)
 			b.Release(first.Incarnation(), Good, later)
@@ -275,20 +282,21 @@
 			b.Put(first, now)
 			now = goesOn(b, now)
 			is.True(!b.EndOf(first.Incarnation()).Known())
-			b.NoteRefused(shortLife(first), now)
+			b.NoteRefused(shortIncarnation(first), now)
 			is.Equal(b.EndOf(first.Incarnation()), End{At: now})
 		})
 	}
 }
 
-// TestALateAnswerIsNoSignOfLife: one that the target gave before its end may be taken after it.
-func TestALateAnswerIsNoSignOfLife(t *testing.T) {
+// TestLateAnswerIsNoSignOfLife checks that an answer sent before the target's end may arrive
+// after it.
+func TestLateAnswerIsNoSignOfLife(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
-	b.Put(lifeOf(1000), now)
+	b.Put(incarnationOf(1000), now)
 	b.Choose(Query{Service: "s"}, now)
-	b.NoteRefused(shortLife(lifeOf(1000)), now)
-	b.Release(lifeOf(1000).Incarnation(), Good, now.Add(10*time.Millisecond))
-	is.True(b.EndOf(lifeOf(1000).Incarnation()).Known())
+	b.NoteRefused(shortIncarnation(incarnationOf(1000)), now)
+	b.Release(incarnationOf(1000).Incarnation(), Good, now.Add(10*time.Millisecond))
+	is.True(b.EndOf(incarnationOf(1000).Incarnation()).Known())
 }
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -13,29 +13,31 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// The load of the tests of the bound on a target's load during a roll-out is that of the
-// largest deployment with both versions' targets side by side: 28 gateways before 50 engines of 64 slots and 4 stock servers of 6. An engine makes a step in 2.89 ms and
-// more and reads 55 prompt tokens in a millisecond: beside a few others 42 events of 9 tokens
-// take 1.1 s to 2 s, 32 take 0.8 s to 1.4 s and 3 take 0.1 s to 0.3 s. A stock server
-// works for 15 ms, over ways of 1 ms; the stock is asked twice as often as usual, as
-// in a burst. Prompts are those of 24 tenants, a few of them large. Gateways report to each
-// other as package peer has them, within their budget of bytes: 0.4 s ago on average.
+// The load for the tests of LIMIT during a rollout is that of the largest deployment with both
+// versions' targets running: 28 gateways, 50 engines of 64 slots and 4 stock servers of 6. An
+// engine makes a step in at least 2.89 ms and reads 55 prompt tokens per millisecond: beside a
+// few other requests 42 events of 9 tokens take 1.1 s to 2 s, 32 take 0.8 s to 1.4 s and 3
+// take 0.1 s to 0.3 s. A stock server works for 15 ms, over network paths of 1 ms; the stock
+// is asked twice as often as usual, as in a burst. Prompts are those of 24 tenants, a few of
+// them large. Gateways report to each other as in package peer, within their budget of bytes:
+// 0.4 s ago on average.
 
-// limitKind is one kind of requests.
+// limitKind is one kind of request.
 type limitKind struct {
-	// rate is how many come a second, each staying for stayMin to stayMax.
+	// rate is the number of requests per second; each stays at its target for stayMin to
+	// stayMax.
 	rate             float64
 	stayMin, stayMax time.Duration
-	// tokens of its prompt are shared; zero for plain requests.
+	// tokens is the length of the shared prompt; zero for plain requests.
 	tokens int
 }
 
-// limitLoad is a load that LIMIT is tested under.
+// limitLoad is a load under which LIMIT is tested.
 type limitLoad struct {
 	gateways int
-	// targets of each version, of so many slots.
+	// targets is the number of targets per version, each with the given number of slots.
 	targets, slots int
-	// sessions is how many prompts there are.
+	// sessions is the number of different prompts.
 	sessions int
 	kinds    []limitKind
 }
@@ -55,34 +57,34 @@
 type limitWorld struct {
 	*crowd
 	load limitLoad
-	// arrived are the requests that came to a target, and above those that came to one
-	// that held more than LIMIT.
+	// arrived is the number of requests that reached a target, and above is the number of
+	// those that reached a target with more requests than LIMIT allows.
 	arrived, above int
 	share          float64
 	versions       func(toNew bool) balance.Versions
 	ids            []string
-	learnt         []learning
-	// bytes may be sent by each gateway now, and next is the peer whose turn it is.
+	pending        []pendingPlacement
+	// bytes is how much each gateway may send now; next is the peer that gets its next report.
 	bytes []float64
 	next  []int
 }
 
-// learning is a placement that all gateways learn of when the prompt has been read.
-type learning struct {
+// pendingPlacement is a placement that all gateways learn of when the prompt has been read.
+type pendingPlacement struct {
 	gateway int
 	target  string
 	query   balance.Query
 	at      time.Time
 }
 
-// readTime is how long the longest prompt of the sheet takes to be read, at 55 tokens in
-// a millisecond.
+// readTime is how long reading the longest prompt of the data sheet takes, at 55 tokens per
+// millisecond.
 const readTime = 200 * time.Millisecond
 
 func newLimitWorld(load limitLoad, seed uint64) *limitWorld {
-	w := &limitWorld{load: load, crowd: &crowd{now: start, draws: rand.New(rand.NewPCG(seed, 4)), holds: make([][]hold, load.gateways)}}
-	w.arrivals = load.rate() * crowdStep.Seconds() / float64(load.gateways)
-	w.request, w.sent, w.beat = w.draw, w.note, w.report
+	w := &limitWorld{load: load, crowd: &crowd{now: start, random: rand.New(rand.NewPCG(seed, 4)), inFlight: make([][]heldRequest, load.gateways)}}
+	w.arrivals = load.totalRate() * crowdStep.Seconds() / float64(load.gateways)
+	w.request, w.sent, w.beat = w.draw, w.recordArrival, w.report
 	w.bytes, w.next = make([]float64, load.gateways), make([]int, load.gateways)
 	for range load.gateways {
 		options := balance.DefaultOptions()
@@ -111,24 +113,26 @@
 	}
 }
 
-// What gateways report to each other in turn, and how often: package peer's figures.
+// The size and interval of the reports that gateways send to each other in turn, with the
+// values of package peer.
 const (
-	beatTick = 80 * time.Millisecond
-	// beatBytes a second are for beats, of beatHead and countBytes for each target.
-	beatBytes  = 0.65 * 7000
-	beatHead   = 50
-	countBytes = 5
+	heartbeatTick = 80 * time.Millisecond
+	// heartbeatBudget is the budget for heartbeats in bytes per second. A heartbeat takes heartbeatHead
+	// bytes plus countBytes for each target.
+	heartbeatBudget = 0.65 * 7000
+	heartbeatHead   = 50
+	countBytes      = 5
 )
 
-// report sends a gateway's loads to as many of the others as its bytes suffice for.
+// report sends a gateway's loads to as many peers as its byte budget allows.
 func (w *limitWorld) report(from int) {
-	offset := time.Duration(from) * beatTick / time.Duration(len(w.gateways))
-	if (w.now.Sub(start)+offset)%beatTick >= crowdStep {
+	offset := time.Duration(from) * heartbeatTick / time.Duration(len(w.gateways))
+	if (w.now.Sub(start)+offset)%heartbeatTick >= crowdStep {
 		return
 	}
 	counts := w.gateways[from].InFlight()
-	size := float64(beatHead + countBytes*len(counts))
-	w.bytes[from] = min(w.bytes[from]+beatBytes*beatTick.Seconds(), beatBytes/2)
+	size := float64(heartbeatHead + countBytes*len(counts))
+	w.bytes[from] = min(w.bytes[from]+heartbeatBudget*heartbeatTick.Seconds(), heartbeatBudget/2)
 	totals := w.gateways[from].Totals()
 	for w.bytes[from] >= size {
 		w.bytes[from] -= size
@@ -142,28 +146,28 @@
 	}
 }
 
-// draw is a request: its prompt, which versions may take it, and how long it stays.
+// draw returns a request: its prompt, the versions that may take it, and how long it stays.
 func (w *limitWorld) draw(gateway int) (balance.Query, time.Duration) {
 	query := balance.Query{Service: "s"}
 	if w.versions != nil {
-		query.Versions = w.versions(w.draws.Float64() < w.share)
+		query.Versions = w.versions(w.random.Float64() < w.share)
 		if !w.gateways[gateway].Has(query, w.now) {
 			query.Versions = w.versions(false)
 		}
 	}
 	kind := w.kind()
 	if kind.tokens > 0 {
-		// A few tenants are large: of so many prompts, most requests have one of the first.
-		at := int(float64(w.load.sessions) * math.Pow(w.draws.Float64(), 2))
+		// A few tenants are large: most requests use one of the first prompts.
+		at := int(float64(w.load.sessions) * math.Pow(w.random.Float64(), 2))
 		query.Parts, query.Tokens = []uint64{policy.HashName(fmt.Sprint("session", kind.tokens, at))}, []int{kind.tokens}
 	}
-	stay := kind.stayMin + time.Duration(w.draws.Float64()*float64(kind.stayMax-kind.stayMin))
+	stay := kind.stayMin + time.Duration(w.random.Float64()*float64(kind.stayMax-kind.stayMin))
 	return query, stay
 }
 
-// kind draws one, as often as they come.
+// kind returns a random kind of request, weighted by the rates.
 func (w *limitWorld) kind() limitKind {
-	at := w.draws.Float64() * w.load.rate()
+	at := w.random.Float64() * w.load.totalRate()
 	for _, kind := range w.load.kinds {
 		if at -= kind.rate; at < 0 {
 			return kind
@@ -172,8 +176,8 @@
 	return w.load.kinds[0]
 }
 
-// rate is how many requests come a second.
-func (l limitLoad) rate() float64 {
+// totalRate returns the number of requests per second.
+func (l limitLoad) totalRate() float64 {
 	total := 0.0
 	for _, kind := range l.kinds {
 		total += kind.rate
@@ -181,10 +185,11 @@
 	return total
 }
 
-// note counts an arrival, by what all gateways have under way before it.
-func (w *limitWorld) note(gateway int, query balance.Query, pick balance.Pick) {
+// recordArrival counts an arrival, given the requests that all gateways had in flight before
+// it.
+func (w *limitWorld) recordArrival(gateway int, query balance.Query, pick balance.Pick) {
 	held, total := 0, 0
-	for _, holds := range w.holds {
+	for _, holds := range w.inFlight {
 		total += len(holds)
 		for _, other := range holds {
 			if other.target == pick.Target.ID {
@@ -197,16 +202,16 @@
 		w.above++
 	}
 	if len(query.Parts) > 0 {
-		w.learnt = append(w.learnt, learning{gateway, pick.Target.ID, query, w.now.Add(readTime)})
+		w.pending = append(w.pending, pendingPlacement{gateway, pick.Target.ID, query, w.now.Add(readTime)})
 	}
 }
 
-// run plays a while.
+// run simulates a period of time.
 func (w *limitWorld) run(lasts time.Duration) {
 	for end := w.now.Add(lasts); w.now.Before(end); {
-		for len(w.learnt) > 0 && !w.learnt[0].at.After(w.now) {
-			first := w.learnt[0]
-			w.learnt = w.learnt[1:]
+		for len(w.pending) > 0 && !w.pending[0].at.After(w.now) {
+			first := w.pending[0]
+			w.pending = w.pending[1:]
 			w.gateways[first.gateway].Confirm(first.target, first.query)
 			part := uint32(first.query.Parts[0] >> 32)
 			for _, b := range w.gateways {
@@ -217,8 +222,8 @@
 	}
 }
 
-// forget begins to count anew.
-func (w *limitWorld) forget() { w.arrived, w.above = 0, 0 }
+// resetCounts resets the counts of arrivals.
+func (w *limitWorld) resetCounts() { w.arrived, w.above = 0, 0 }
 
 const (
 	limitShare = 0.1
@@ -234,14 +239,16 @@
 
 func moving(bool) balance.Versions { return balance.Versions{Only: "new"} }
 
-// TestTheLimitDuringARollout: LIMIT is on the mean over all targets of a service, and more
-// than 3 in 100 requests to targets above it break the rule. While as many new targets stand idle
-// as old ones work, the old ones hold nearly twice that mean. With new targets that did not
-// count as idle 9 in 100 came to engines above it, in the move and before it.
+// TestLimitDuringRollout checks LIMIT, which applies to the mean over all targets of a
+// service: at most 3 in 100 requests may reach targets above it. While as many new targets are
+// idle as old ones serve, the old ones hold nearly twice that mean. When new targets did not
+// count as idle, 9 in 100 requests reached engines above the limit, before and during the
+// move.
 //
-// With a data centre evacuated besides, the old ones hold 2.5 times the mean at the whole
-// load: there no choice keeps the bound by reports of 0.4 s ago, so that case has a third.
-func TestTheLimitDuringARollout(t *testing.T) {
+// With a data centre evacuated in addition, the old targets hold 2.5 times the mean at the
+// full load. No choice based on reports of 0.4 s ago can keep the bound there, so that case
+// uses a third of the load.
+func TestLimitDuringRollout(t *testing.T) {
 	loads := map[string]limitLoad{"engines": fiftyEngines, "stock": fourServers}
 	cases := map[string]struct {
 		part float64
@@ -262,7 +269,7 @@
 			w.put("new", 0)
 			w.versions, w.share = canary, limitShare
 			w.run(3 * time.Second)
-			w.forget()
+			w.resetCounts()
 			w.versions, w.admitting = moving, moving(true)
 			w.run(6 * time.Second)
 		}},
@@ -290,7 +297,7 @@
 					w := newLimitWorld(load, seed)
 					w.arrivals *= tc.part
 					w.run(4 * time.Second)
-					w.forget()
+					w.resetCounts()
 					tc.play(w)
 					arrived, above = arrived+w.arrived, above+w.above
 				}
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -12,17 +12,17 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// isHeldUp has a target say that its work takes so many times as long as usual.
-func heldUp(b *balance.Balancer, life string, factor float64, now time.Time) {
-	b.NoteLoad(life, balance.Load{Pace: factor}, now)
+// setPace reports a pace of a target: how many times as long as usual its work takes.
+func setPace(b *balance.Balancer, incarnation string, factor float64, now time.Time) {
+	b.NoteLoad(incarnation, balance.Load{Pace: factor}, now)
 }
 
-// TestPlainWorkGoesWhereItIsQuick: of two targets that are as busy the one whose host is held
-// up by other work gets less, for as long as what it said is believed.
-func TestPlainWorkGoesWhereItIsQuick(t *testing.T) {
+// TestHeldUpTargetGetsFewerRequests checks that of two equally loaded targets, one whose host
+// is slowed down by other work gets fewer requests for as long as its reported pace is valid.
+func TestHeldUpTargetGetsFewerRequests(t *testing.T) {
 	cases := map[string]struct {
-		age  time.Duration
-		most int
+		age time.Duration
+		max int
 	}{
 		"told now":           {0, 9},
 		"told a minute ago":  {time.Minute, 20},
@@ -33,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newBalancer(2)
-			heldUp(b, "t0", 3, start)
+			setPace(b, "t0", 3, start)
 			got := 0
 			for range 32 {
 				pick, ok := b.Choose(balance.Query{Service: "s"}, start.Add(tc.age))
@@ -43,15 +43,15 @@
 				}
 			}
 			is.True(got >= 1)
-			is.True(got <= tc.most)
+			is.True(got <= tc.max)
 		})
 	}
 }
 
-// TestAShortPromptLeavesAHeldUpHolder: its holder's host is held up, and another target reads
-// it in less time than the holder takes to begin. A long one stays, since it is read for
-// longer than that elsewhere.
-func TestAShortPromptLeavesAHeldUpHolder(t *testing.T) {
+// TestShortPromptLeavesHeldUpHolder checks that a short prompt leaves a holder whose host is
+// slowed down, because another target reads it in less time than the holder takes to begin. A
+// long prompt stays, because reading it elsewhere takes longer.
+func TestShortPromptLeavesHeldUpHolder(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
 		stays  bool
@@ -67,42 +67,43 @@
 			holder, _ := b.Choose(query, start)
 			b.Confirm(holder.Target.ID, query)
 			b.Release(holder.Target.ID, balance.Good, start)
-			heldUp(b, holder.Target.ID, 3, start)
+			setPace(b, holder.Target.ID, 3, start)
 			pick, _ := b.Choose(query, start)
 			is.Equal(pick.Target.ID == holder.Target.ID, tc.stays)
 			b.Release(pick.Target.ID, balance.Good, start)
-			later, _ := b.Choose(query, start.Add(10*time.Second)) // what it said is old
+			later, _ := b.Choose(query, start.Add(10*time.Second)) // the reported pace is old
 			is.Equal(later.Target.ID, holder.Target.ID)
 		})
 	}
 }
 
-// TestNewPromptsAvoidHeldUpTargets: a prompt that nobody holds is not read where that takes
-// several times as long; if all are held up alike, it is read all the same.
+// TestNewPromptsAvoidHeldUpTargets checks that a prompt without a holder is not read by a
+// target that takes several times as long; if all targets are equally slow, it is read anyway.
 func TestNewPromptsAvoidHeldUpTargets(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
 	first, _ := b.Choose(prompt(1, 10_512), start)
-	heldUp(b, first.Target.ID, 2.5, start)
+	setPace(b, first.Target.ID, 2.5, start)
 	b = newBalancer(9)
-	heldUp(b, first.Target.ID, 2.5, start)
+	setPace(b, first.Target.ID, 2.5, start)
 	pick, _ := b.Choose(prompt(1, 10_512), start)
 	is.True(pick.Target.ID != first.Target.ID)
 	b = newBalancer(9)
 	for i := range 9 {
-		heldUp(b, fmt.Sprint("t", i), 2.5, start)
+		setPace(b, fmt.Sprint("t", i), 2.5, start)
 	}
 	pick, ok := b.Choose(prompt(1, 10_512), start)
 	is.True(ok)
 	is.Equal(pick.Target.ID, first.Target.ID)
 }
 
-// TestNobodyRushesToTheFastest: targets that say that they are quicker than usual get no more
-// than those that say nothing, so that gateways that all know of one don't pile up on it.
-func TestNobodyRushesToTheFastest(t *testing.T) {
+// TestFastTargetGetsOnlyItsShare checks that targets reporting a better pace than usual get no
+// more requests than those that report none, so that gateways that all know of one do not
+// overload it.
+func TestFastTargetGetsOnlyItsShare(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(8)
-	heldUp(b, "t0", 0.2, start)
+	setPace(b, "t0", 0.2, start)
 	got := 0
 	for range 80 {
 		pick, _ := b.Choose(balance.Query{Service: "s"}, start)
@@ -113,18 +114,19 @@
 	is.Equal(got, 10) // its share
 }
 
-// TestPacesAreReported: a pace reported to one gateway reaches the others, the most different first; one
-// that changes nothing, or is old, is no news; and an older report changes nothing.
-func TestPacesAreReported(t *testing.T) {
+// TestPaceReports checks that a pace received by one gateway reaches the others, the largest
+// differences first. A pace that changes little or is old is not reported, and an older report
+// does not replace a newer one.
+func TestPaceReports(t *testing.T) {
 	is := is.New(t)
 	one, other := newBalancer(4), newBalancer(4)
-	heldUp(one, "t0", 1.1, start) // as good as usual
-	heldUp(one, "t1", 2, start)
-	heldUp(one, "t2", 4, start)
-	news := one.ChangedPaces(1, start.Add(100*time.Millisecond))
-	is.Equal(len(news), 1)
-	is.Equal(news[0].Factor, 4.0)
-	is.Equal(news[0].Age, 100*time.Millisecond)
+	setPace(one, "t0", 1.1, start) // almost the usual pace
+	setPace(one, "t1", 2, start)
+	setPace(one, "t2", 4, start)
+	reports := one.ChangedPaces(1, start.Add(100*time.Millisecond))
+	is.Equal(len(reports), 1)
+	is.Equal(reports[0].Factor, 4.0)
+	is.Equal(reports[0].Age, 100*time.Millisecond)
 	is.Equal(len(one.ChangedPaces(9, start.Add(100*time.Millisecond))), 2)
 	other.ObservePaces(one.ChangedPaces(9, start.Add(100*time.Millisecond)), start.Add(200*time.Millisecond))
 	for range 2 {
@@ -133,7 +135,7 @@
 	}
 	is.Equal(len(one.ChangedPaces(9, start.Add(time.Second))), 0)
 
-	heldUp(other, "t3", 5, start.Add(time.Second))
+	setPace(other, "t3", 5, start.Add(time.Second))
 	late := []balance.Pace{{Target: uint32(policy.HashName("t3") >> 32), Factor: 1, Age: 5 * time.Second}}
 	other.ObservePaces(late, start.Add(1100*time.Millisecond))
 	for range 9 {
@@ -142,9 +144,9 @@
 	}
 }
 
-// TestPacesKeepTheBound: whatever targets and gateways say of paces, a choice is made, and no
-// target with a load above the bound gets a session while another is below it.
-func TestPacesKeepTheBound(t *testing.T) {
+// TestBoundWithPaces checks that for any paces reported by targets and gateways a choice is
+// made, and that no target above the bound gets a session while another is below it.
+func TestBoundWithPaces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const targets = 6
 		b := newBalancer(targets)
@@ -152,20 +154,20 @@
 		now := start
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			life := fmt.Sprint("t", rapid.IntRange(0, targets-1).Draw(t, "target"))
-			heldUp(b, life, rapid.Float64Range(0, 1000).Draw(t, "pace"), now)
+			incarnation := fmt.Sprint("t", rapid.IntRange(0, targets-1).Draw(t, "target"))
+			setPace(b, incarnation, rapid.Float64Range(0, 1000).Draw(t, "pace"), now)
 			pick, ok := b.Choose(prompt(rapid.IntRange(0, 3).Draw(t, "session"), 1000), now)
 			if !ok {
 				t.Fatal("no target")
 			}
 			loads[pick.Target.ID]++
-			total, most := 0, 0
+			total, highest := 0, 0
 			for _, load := range loads {
 				total += load
-				most = max(most, load)
+				highest = max(highest, load)
 			}
-			if bound := 2*float64(total)/targets + 3 + 1; float64(most) > bound {
-				t.Fatalf("%d at one target, %d in all", most, total)
+			if bound := 2*float64(total)/targets + 3 + 1; float64(highest) > bound {
+				t.Fatalf("%d at one target, %d in all", highest, total)
 			}
 		}
 	})
--- a/internal/balance/paths_test.go
+++ b/internal/balance/paths_test.go
@@ -11,8 +11,8 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// twoPlaces has two targets in each of the data centres a and b.
-func twoPlaces() *balance.Balancer {
+// newTwoPaths returns a balancer with two targets in each of the data centres a and b.
+func newTwoPaths() *balance.Balancer {
 	b := balance.New(balance.DefaultOptions())
 	for i := range 4 {
 		made := target(i)
@@ -22,30 +22,30 @@
 	return b
 }
 
-// TestPathsThatHaltAreAvoided: found on strong days with lost packets, where
-// most streams between data centres halted for longer than callers want.
-func TestPathsThatHaltAreAvoided(t *testing.T) {
+// TestStalledPathsAreAvoided guards against a fault found on days with heavy packet loss,
+// where most streams between data centres stalled for longer than callers accept.
+func TestStalledPathsAreAvoided(t *testing.T) {
 	cases := map[string]struct {
-		// haltA and haltB are how many in ten streams from each place halt.
-		haltA, haltB int
-		after        time.Duration
-		busy         int // requests in flight at each target of a
-		want         string
+		// stalledA and stalledB are how many in ten streams from each data centre stall.
+		stalledA, stalledB int
+		after              time.Duration
+		busy               int // requests in flight at each target of a
+		want               string
 	}{
 		"none halt":                  {want: "ab"},
-		"those from b halt":          {haltB: 9, want: "a"},
-		"all halt alike":             {haltA: 9, haltB: 9, want: "ab"},
-		"few halt":                   {haltB: 2, want: "ab"},
-		"tried again after a while":  {haltB: 9, after: 8 * time.Second, want: "ab"},
-		"the good ones are at bound": {haltB: 9, busy: 9, want: "b"},
+		"those from b halt":          {stalledB: 9, want: "a"},
+		"all halt alike":             {stalledA: 9, stalledB: 9, want: "ab"},
+		"few halt":                   {stalledB: 2, want: "ab"},
+		"tried again after a while":  {stalledB: 9, after: 8 * time.Second, want: "ab"},
+		"the good ones are at bound": {stalledB: 9, busy: 9, want: "b"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := twoPlaces()
+			b := newTwoPaths()
 			for i := range 30 {
-				b.NoteStream("t0", i%10 < tc.haltA, start)
-				b.NoteStream("t2", i%10 < tc.haltB, start)
+				b.NoteStream("t0", i%10 < tc.stalledA, start)
+				b.NoteStream("t2", i%10 < tc.stalledB, start)
 			}
 			b.NoteStream("unknown", true, start)
 			var counts []balance.Count
@@ -61,13 +61,13 @@
 				got[pick.Target.DataCenter] = true
 				b.Release(pick.Target.ID, balance.Good, now)
 			}
-			places := ""
-			for _, place := range []string{"a", "b"} {
-				if got[place] {
-					places += place
+			dataCenters := ""
+			for _, dataCenter := range []string{"a", "b"} {
+				if got[dataCenter] {
+					dataCenters += dataCenter
 				}
 			}
-			is.Equal(places, tc.want)
+			is.Equal(dataCenters, tc.want)
 		})
 	}
 }
--- a/internal/balance/planned_leave_test.go
+++ b/internal/balance/planned_leave_test.go
@@ -9,8 +9,9 @@
 	"github.com/capersaddle/capersaddle/internal/balance"
 )
 
-// TestWhatHasLeftByPlan: a version's targets have if each of them said so; a loss is no plan.
-func TestWhatHasLeftByPlan(t *testing.T) {
+// TestLeftAsPlanned checks that a version's targets have left as planned only if each of them
+// announced it; a loss does not count.
+func TestLeftAsPlanned(t *testing.T) {
 	now := time.Now()
 	target := func(id, version string, leaving bool) balance.Target {
 		return balance.Target{ID: id, Service: "s", Version: version, Address: id, Leaving: leaving}
@@ -34,7 +35,7 @@
 		"its entry went after that": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", true), now)
 			b.Drop("a", now)
-		}, false}, // it is forgotten, and the record of what it left for was there before
+		}, false}, // the target is forgotten; the record of its planned leave existed before
 		"its entry went": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
 			b.Drop("a", now)
--- a/internal/balance/refused_test.go
+++ b/internal/balance/refused_test.go
@@ -10,7 +10,7 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// short names a target as gateways do among themselves.
+// short returns the short hash by which gateways identify a target.
 func short(id string) uint32 {
 	return uint32(policy.HashName(id) >> 32)
 }
@@ -22,34 +22,35 @@
 	return pick.Candidates
 }
 
-// TestARefusedConnectionOfAnother: a target that refused a connection of another
-// gateway is left out, longer each time, until it answers.
-func TestARefusedConnectionOfAnother(t *testing.T) {
+// TestRefusedAtAnotherGateway checks that a target that refused a connection from another
+// gateway is ejected, longer each time, until it answers.
+func TestRefusedAtAnotherGateway(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(4)
 	now := start
-	for _, out := range []time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond, 3200 * time.Millisecond} {
-		id, news := b.NoteRefused(short("t2"), now)
-		is.True(news)
+	for _, ejection := range []time.Duration{800 * time.Millisecond, 1600 * time.Millisecond, 3200 * time.Millisecond, 3200 * time.Millisecond} {
+		id, isNew := b.NoteRefused(short("t2"), now)
+		is.True(isNew)
 		is.Equal(id, "t2")
-		_, news = b.NoteRefused(short("t2"), now)
-		is.True(!news) // it is left out already, so no other gateway needs the news
-		is.Equal(openAt(b, now.Add(out-time.Millisecond)), 3)
-		is.Equal(openAt(b, now.Add(out)), 4)
-		now = now.Add(out)
+		_, isNew = b.NoteRefused(short("t2"), now)
+		is.True(!isNew) // it is already ejected, so no other gateway needs the report
+		is.Equal(openAt(b, now.Add(ejection-time.Millisecond)), 3)
+		is.Equal(openAt(b, now.Add(ejection)), 4)
+		now = now.Add(ejection)
 	}
 	b.Choose(balance.Query{Service: "s", Exclude: []string{"t0", "t1", "t3"}}, now)
 	b.Release("t2", balance.Good, now)
-	_, news := b.NoteRefused(short("t2"), now)
-	is.True(news)
-	is.Equal(openAt(b, now.Add(800*time.Millisecond)), 4) // from the first time out on
-	_, news = b.NoteRefused(12345, now)
-	is.True(!news) // unknown
+	_, isNew := b.NoteRefused(short("t2"), now)
+	is.True(isNew)
+	is.Equal(openAt(b, now.Add(800*time.Millisecond)), 4) // the ejection has its first duration again
+	_, isNew = b.NoteRefused(12345, now)
+	is.True(!isNew) // unknown
 }
 
-// TestNoFetchFromARefusedTarget: on scale-2 of the large site 1.7 of 3.5 million
-// tokens were read again since the target named as their source had crashed.
-func TestNoFetchFromARefusedTarget(t *testing.T) {
+// TestNoFetchFromRefusedTarget guards against fetching from a crashed target: on scale-2 of
+// the large site 1.7 of 3.5 million tokens were read again because the target named as their
+// source had crashed.
+func TestNoFetchFromRefusedTarget(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
 	query := longSession(1)
@@ -62,6 +63,6 @@
 	is.Equal(pick.FetchFrom, target(2).Address)
 	holders, _ := b.Cached(uint32(query.Parts[0]>>32), start)
 	for _, holder := range holders {
-		is.True(holder.Target != short("t1")) // nor is another gateway sent there
+		is.True(holder.Target != short("t1")) // other gateways are not sent there either
 	}
 }
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -53,10 +53,10 @@
 
 func TestRoomWithoutTargets(t *testing.T) {
 	is := is.New(t)
-	is.Equal(balance.New(balance.DefaultOptions()).Room("s", balance.Versions{}, 7, start), 7) // the choice says that none is open
+	is.Equal(balance.New(balance.DefaultOptions()).Room("s", balance.Versions{}, 7, start), 7) // Choose reports that none is open
 }
 
-func TestSlotsThatTargetsTell(t *testing.T) {
+func TestReportedSlots(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(1)
 	b.NoteLoad("t0", balance.Load{Slots: 4}, start)
@@ -64,9 +64,9 @@
 	b.NoteLoad("unknown", balance.Load{Slots: 4}, start)
 }
 
-// TestAFullTargetIsPassedOver: a session's holder that is full gets no more
+// TestFullTargetIsSkipped checks that a session's holder that is full gets no more requests
 // while others have room.
-func TestAFullTargetIsPassedOver(t *testing.T) {
+func TestFullTargetIsSkipped(t *testing.T) {
 	is := is.New(t)
 	b := withSlots(3, 4)
 	home, _ := b.Choose(session(1), start)
@@ -76,7 +76,7 @@
 	is.True(spilled.Target.ID != home.Target.ID)
 }
 
-// BenchmarkRoom asks for room among targets of which most are full.
+// BenchmarkRoom measures Room among targets of which most are full.
 func BenchmarkRoom(b *testing.B) {
 	for _, count := range []int{50, 1900} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -9,14 +9,14 @@
 	"github.com/capersaddle/capersaddle/internal/balance"
 )
 
-// lose has a target lose requests of this process.
+// lose records lost requests of this process at a target.
 func lose(b *balance.Balancer, id string, times int, now time.Time) {
 	for range times {
 		b.Release(id, balance.Lost, now)
 	}
 }
 
-// getsRequests says whether a target is chosen at a moment.
+// getsRequests reports whether a target is chosen at a given time.
 func getsRequests(b *balance.Balancer, id string, now time.Time) bool {
 	for range 40 {
 		pick, ok := b.Choose(balance.Query{Service: "s"}, now)
@@ -31,9 +31,10 @@
 	return false
 }
 
-// TestWhatSeveralGatewaysSuspectIsLeftOut: 22 of 26 gateways found the first dark
-// engine of a surge one by one, by their own callers' time-outs, over 3 s.
-func TestWhatSeveralGatewaysSuspectIsLeftOut(t *testing.T) {
+// TestSuspectedTargetIsExcluded guards against slow detection: 22 of 26 gateways found the
+// first unreachable engine of a surge one by one, by the time-outs of their own callers, over
+// 3 s.
+func TestSuspectedTargetIsExcluded(t *testing.T) {
 	suspect := []uint32{short("t1")}
 	cases := map[string]struct {
 		happens func(b *balance.Balancer)
@@ -76,24 +77,24 @@
 	}
 }
 
-// TestHalfOfTheTargetsServeWhateverIsSaid: else gateways that are cut off together
-// would leave nothing.
-func TestHalfOfTheTargetsServeWhateverIsSaid(t *testing.T) {
+// TestSuspicionsExcludeAtMostHalf checks that half of the targets keep serving. Otherwise
+// gateways that are cut off together would leave none.
+func TestSuspicionsExcludeAtMostHalf(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(6)
-	most := []uint32{short("t0"), short("t1"), short("t2"), short("t3"), short("t4")}
-	b.ObserveSuspects("g1", most, start)
-	b.ObserveSuspects("g2", most, start)
+	suspects := []uint32{short("t0"), short("t1"), short("t2"), short("t3"), short("t4")}
+	b.ObserveSuspects("g1", suspects, start)
+	b.ObserveSuspects("g2", suspects, start)
 	is.Equal(openAt(b, start), 3)
 }
 
-func TestWhomThisGatewaySuspects(t *testing.T) {
+func TestSuspects(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(12)
 	is.Equal(len(b.Suspects(start)), 0)
 	lose(b, "t1", 2, start)
 	b.Release("t2", balance.Unreachable, start)
-	b.Release("t3", balance.Bad, start) // it has answered, if badly
+	b.Release("t3", balance.Bad, start) // it has answered, although incorrectly
 	is.Equal(len(b.Suspects(start)), 2)
 	is.Equal(len(b.Suspects(start.Add(2*time.Second))), 0) // long ago
 	b.Release("t1", balance.Good, start.Add(time.Millisecond))
@@ -104,8 +105,9 @@
 	is.Equal(len(b.Suspects(start.Add(time.Second))), 0) // the fault is more likely this gateway's
 }
 
-// TestADoubtedTargetIsNewsOnce: each gateway's beats repeat what it suspects.
-func TestADoubtedTargetIsNewsOnce(t *testing.T) {
+// TestSuspectedTargetReportedOnce checks that a suspected target is reported once, although
+// each gateway's heartbeats repeat its suspicions.
+func TestSuspectedTargetReportedOnce(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(4)
 	suspect := []uint32{short("t1"), 12345}
--- a/internal/balance/totals_test.go
+++ b/internal/balance/totals_test.go
@@ -12,22 +12,22 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// crowd is many gateways before the same targets, in steps of virtual time. Each
-// reports its loads to one other in turn, as often as its budget of bytes allows.
+// crowd simulates many gateways that share the same targets, in steps of virtual time. Each
+// reports its loads to one other in turn, as often as its byte budget allows.
 type crowd struct {
 	gateways []*balance.Balancer
-	// holds are the requests under way at each gateway, by their target, with
-	// the time of their end.
-	holds [][]hold
-	now   time.Time
-	draws *rand.Rand
-	// arrivals is how many requests a step and gateway come, on average.
+	// inFlight contains the requests in flight at each gateway, with their target and the time of
+	// their end.
+	inFlight [][]heldRequest
+	now      time.Time
+	random   *rand.Rand
+	// arrivals is the mean number of requests per step and gateway.
 	arrivals float64
-	// request draws what is asked for and how long it stays; nil for plain ones.
+	// request returns a random query and how long the request stays; nil for plain requests.
 	request func(gateway int) (balance.Query, time.Duration)
-	// admitting are the versions that count for the room.
+	// admitting restricts the versions that count for the room.
 	admitting balance.Versions
-	// beat reports a gateway's loads otherwise than report does; nil for report.
+	// beat replaces report for sending a gateway's loads; nil to use report.
 	beat func(gateway int)
 	// sent is called for each choice; nil for none.
 	sent     func(gateway int, query balance.Query, pick balance.Pick)
@@ -35,7 +35,7 @@
 	refused  int
 }
 
-type hold struct {
+type heldRequest struct {
 	target string
 	until  time.Time
 }
@@ -44,14 +44,14 @@
 	crowdStep = 10 * time.Millisecond
 	// crowdStay is how long a request stays at its target.
 	crowdStay = 1200 * time.Millisecond
-	// crowdBeat is the time between two reports of a gateway, each to one peer.
-	crowdBeat = 16 * time.Millisecond
-	// crowdCounts is how many counts one report holds.
+	// crowdReportEvery is the interval between two reports of a gateway, each to one peer.
+	crowdReportEvery = 16 * time.Millisecond
+	// crowdCounts is the number of counts in one report.
 	crowdCounts = 16
 )
 
 func newCrowd(gateways, targets, slots int) *crowd {
-	c := &crowd{now: start, draws: rand.New(rand.NewPCG(1, 2)), holds: make([][]hold, gateways)}
+	c := &crowd{now: start, random: rand.New(rand.NewPCG(1, 2)), inFlight: make([][]heldRequest, gateways)}
 	for range gateways {
 		b := withSlots(targets, slots)
 		b.SetPeers(gateways - 1)
@@ -65,16 +65,16 @@
 func (c *crowd) step() {
 	c.now = c.now.Add(crowdStep)
 	for i, b := range c.gateways {
-		kept := c.holds[i][:0]
-		for _, held := range c.holds[i] {
+		kept := c.inFlight[i][:0]
+		for _, held := range c.inFlight[i] {
 			if c.now.After(held.until) {
 				b.Release(held.target, balance.Good, c.now)
 				continue
 			}
 			kept = append(kept, held)
 		}
-		c.holds[i] = kept
-		for range c.drawn() {
+		c.inFlight[i] = kept
+		for range c.drawArrivals() {
 			c.arrive(i)
 		}
 		switch {
@@ -86,10 +86,10 @@
 	}
 }
 
-// drawn is how many requests arrive at a gateway in this step.
-func (c *crowd) drawn() int {
+// drawArrivals returns the random number of requests that arrive at a gateway in this step.
+func (c *crowd) drawArrivals() int {
 	count := int(c.arrivals)
-	if c.draws.Float64() < c.arrivals-float64(count) {
+	if c.random.Float64() < c.arrivals-float64(count) {
 		count++
 	}
 	return count
@@ -114,16 +114,16 @@
 	if c.sent != nil {
 		c.sent(i, query, pick)
 	}
-	c.holds[i] = append(c.holds[i], hold{pick.Target.ID, c.now.Add(stay)})
+	c.inFlight[i] = append(c.inFlight[i], heldRequest{pick.Target.ID, c.now.Add(stay)})
 }
 
-// report sends a gateway's loads to the peer whose turn it is.
+// report sends a gateway's loads to the next peer in turn.
 func (c *crowd) report(i int) {
-	turn := int(c.now.Sub(start) / crowdBeat)
-	if int(c.now.Add(-crowdStep).Sub(start)/crowdBeat) == turn {
+	round := int(c.now.Sub(start) / crowdReportEvery)
+	if int(c.now.Add(-crowdStep).Sub(start)/crowdReportEvery) == round {
 		return
 	}
-	to := c.gateways[(i+1+turn%(len(c.gateways)-1))%len(c.gateways)]
+	to := c.gateways[(i+1+round%(len(c.gateways)-1))%len(c.gateways)]
 	from := c.gateways[i]
 	counts := from.InFlight()
 	if len(counts) > crowdCounts {
@@ -134,29 +134,31 @@
 	to.ObserveTotals(name, from.Totals(), c.now)
 }
 
-// load is all requests under way, for each target.
+// load returns the mean number of requests in flight per target.
 func (c *crowd) load(targets int) float64 {
 	total := 0
-	for _, held := range c.holds {
+	for _, held := range c.inFlight {
 		total += len(held)
 	}
 	return float64(total) / float64(targets)
 }
 
-// TestASurgeBeforeManyGateways: pattern: a surge to many times the load, before gateways that
-// hear each other late. On a day of ours on the large site, six times the
-// load for 5 s with a third of the engines lost, targets of 64 slots held 152
-// requests on average, since gateways reported the less often the more
-// there was to report. Overshoot is bounded, and nothing is refused before the
-// surge nor soon after it. At 385 gateways, whose reports are 3 s old on average, targets held
-// 1.9 times their slots: what the others had reported before the surge was scaled by too little.
-func TestASurgeBeforeManyGateways(t *testing.T) {
+// TestSurgeWithManyGateways checks that with a surge to many times the load, and gateways that
+// learn of each other's load late, overshoot is limited and nothing is refused before or soon
+// after the surge.
+//
+// On a simulated day on the large site, with six times the load for 5 s and a third of the
+// engines lost, targets of 64 slots held 152 requests on average, because gateways reported
+// less often the more there was to report. With 385 gateways, whose reports are 3 s old on
+// average, targets held 1.9 times their slots: the reports of other gateways from before the
+// surge were scaled by too little.
+func TestSurgeWithManyGateways(t *testing.T) {
 	cases := map[string]struct {
 		gateways int
-		// each is before how many gateways one target stands.
+		// each is the number of gateways per target.
 		each int
-		// most is the largest load allowed, in slots.
-		most float64
+		// maxLoad is the largest load allowed, as a multiple of the slots.
+		maxLoad float64
 	}{
 		"sixteen":             {16, 1, 1.25},
 		"a hundred and three": {103, 1, 1.35},
@@ -175,14 +177,14 @@
 				}
 				return worst
 			}
-			// Arrivals a step and gateway for a load of 5 of 32.
+			// Arrivals per step and gateway for a load of 5 of 32 slots.
 			usual := 5 * crowdStep.Seconds() / crowdStay.Seconds()
 			run(usual, 4*time.Second)
 			is.Equal(c.refused, 0)
 			worst := run(12*usual, 5*time.Second)
 			t.Logf("load %.1f of %d slots at the worst, %d admitted, %d refused", worst, slots, c.admitted, c.refused)
-			is.True(worst < tc.most*float64(slots))       // overshoot is bounded
-			is.True(c.load(targets) > 0.7*float64(slots)) // and the room is used
+			is.True(worst < tc.maxLoad*float64(slots))    // overshoot is limited
+			is.True(c.load(targets) > 0.7*float64(slots)) // and the capacity is used
 			run(usual, time.Second)
 			c.refused = 0
 			run(usual, 3*time.Second)
@@ -191,18 +193,19 @@
 	}
 }
 
-// heard has so many other gateways report that they have nothing in flight.
-func heard(b *balance.Balancer, count int) {
+// addIdlePeers lets a number of other gateways report that they have nothing in flight.
+func addIdlePeers(b *balance.Balancer, count int) {
 	for i := range count {
 		b.Observe(fmt.Sprintf("idle-%d", i), nil, start)
 	}
 }
 
-// TestFewReportsAreScaled: where most gateways were not heard lately, a target is taken to have as
-// many more requests of theirs, within a bound.
+// TestFewReportsAreScaled checks that if most gateways have not reported recently, the
+// reported requests at a target are extrapolated to all gateways, up to a limit.
 //
-// Seen: after losses 5 to 30 of 100 gateways' reports were believed, targets with 22 requests
-// were taken for such with 4, the mean, and got more for seconds.
+// This guards against a fault seen after losses, when the reports of only 5 to 30 of 100
+// gateways were valid: targets with 22 requests were assumed to have 4, the mean, and got more
+// for seconds.
 func TestFewReportsAreScaled(t *testing.T) {
 	cases := map[string]struct {
 		peers, heard int
@@ -219,7 +222,7 @@
 			is := is.New(t)
 			b := newBalancer(4)
 			b.SetPeers(tc.peers)
-			heard(b, tc.heard-1)
+			addIdlePeers(b, tc.heard-1)
 			b.Observe("other", []balance.Count{{Target: policy.HashName("t0"), Count: 3}}, start)
 			pick, _ := b.Choose(balance.Query{Service: "s", Exclude: []string{"t1", "t2", "t3"}}, start)
 			is.Equal(pick.Load, tc.load)
@@ -227,8 +230,9 @@
 	}
 }
 
-// TestTotalsBesideCounts: what is in no count is taken to be spread evenly.
-func TestTotalsBesideCounts(t *testing.T) {
+// TestUncountedTotals checks that requests that are in a total but in no count are assumed to
+// be spread evenly.
+func TestUncountedTotals(t *testing.T) {
 	service := short("s")
 	cases := map[string]struct {
 		counts []balance.Count
@@ -251,7 +255,7 @@
 			b := newBalancer(4)
 			if tc.many {
 				b.SetPeers(20)
-				heard(b, 19)
+				addIdlePeers(b, 19)
 			}
 			b.Observe("other", tc.counts, start)
 			b.ObserveTotals("other", tc.totals, start)
@@ -261,8 +265,8 @@
 	}
 }
 
-// TestOwnTotals: requests count until they are released, at targets that are no
-// longer registered too.
+// TestOwnTotals checks that requests count until they are released, also at targets that are
+// no longer registered.
 func TestOwnTotals(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(2)
@@ -275,9 +279,9 @@
 	is.Equal(b.Totals(), []balance.Total{{Service: short("s"), Count: 1}})
 }
 
-// TestTotalsOfHundreds: where a gateway reports to each of its peers every six
-// seconds, totals are believed for longer.
-func TestTotalsOfHundreds(t *testing.T) {
+// TestTotalTTL checks that totals stay valid for longer if there are so many gateways that
+// each reports to a given peer only every six seconds.
+func TestTotalTTL(t *testing.T) {
 	cases := map[string]struct {
 		peers int
 		age   time.Duration
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -14,12 +14,13 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// versioned is a target of a version.
+// versioned returns a target with a version.
 func versioned(id, version string) balance.Target {
 	return balance.Target{ID: id, Service: "s", Address: id, DataCenter: "a", Version: version}
 }
 
-// twoVersions is a balancer with as many targets of an old and of a new version.
+// twoVersions returns a balancer with the same number of targets of an old and of a new
+// version.
 func twoVersions(each int) *balance.Balancer {
 	b := balance.New(balance.DefaultOptions())
 	for i := range each {
@@ -29,7 +30,8 @@
 	return b
 }
 
-// chosenOf are the targets that get requests of the given versions, which last, in order.
+// chosenOf returns the sorted targets that get requests restricted to the given versions, all
+// of them in flight together.
 func chosenOf(b *balance.Balancer, versions balance.Versions, now time.Time, exclude ...string) []string {
 	ids := make(map[string]bool)
 	var picks []string
@@ -49,14 +51,14 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// markUnusable has a target ejected.
-func leaveOut(b *balance.Balancer, id string) {
+// eject ejects a target.
+func eject(b *balance.Balancer, id string) {
 	b.NoteRefused(short(id), start)
 }
 
-func TestWhichVersionsGetRequests(t *testing.T) {
+func TestVersions(t *testing.T) {
 	onlyNew, onlyOld := balance.Versions{Only: "new"}, balance.Versions{Only: "old"}
-	notNew, ratherNew := balance.Versions{Excluded: []string{"new"}}, balance.Versions{Preferred: "new"}
+	notNew, preferNew := balance.Versions{Excluded: []string{"new"}}, balance.Versions{Preferred: "new"}
 	olds, news := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
 	cases := map[string]struct {
 		versions balance.Versions
@@ -67,28 +69,28 @@
 		"all":                 {want: slices.Concat(news, olds)},
 		"one":                 {versions: onlyNew, want: news},
 		"not one":             {versions: notNew, want: olds},
-		"rather one":          {versions: ratherNew, want: news},
+		"rather one":          {versions: preferNew, want: news},
 		"one that nobody has": {versions: balance.Versions{Only: "newer"}},
 		"a further attempt":   {versions: notNew, exclude: []string{"old0", "new1"}, want: olds[1:]},
-		"an ejected one":      {versions: onlyNew, before: func(b *balance.Balancer) { leaveOut(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"an ejected one":      {versions: onlyNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
 		"at least half of the version serve": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range news[1:] {
-				leaveOut(b, id)
+				eject(b, id)
 			}
 		}, want: news[:2]},
 		"others that are ejected change nothing": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range olds {
-				leaveOut(b, id)
+				eject(b, id)
 			}
 		}, want: news},
-		"rather one that has none left": {versions: ratherNew, before: func(b *balance.Balancer) {
+		"rather one that has none left": {versions: preferNew, before: func(b *balance.Balancer) {
 			for i := range 4 {
 				leaving := versioned(fmt.Sprint("new", i), "new")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
 		}, want: olds},
-		"rather one of which some are left": {versions: ratherNew, before: func(b *balance.Balancer) { leaveOut(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"rather one of which some are left": {versions: preferNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
 		"their entries lapse": {versions: onlyOld, before: func(b *balance.Balancer) {
 			for _, id := range slices.Concat(olds, news) {
 				b.Drop(id, start)
@@ -121,8 +123,8 @@
 	}
 }
 
-// first are the first of the new targets in the order of a seed, but for some.
-func first(seed uint64, each, count int, without ...string) []string {
+// firstNew returns the first new targets in the order of a seed, without the given ones.
+func firstNew(seed uint64, each, count int, without ...string) []string {
 	var ids []string
 	for i := range each {
 		if id := fmt.Sprint("new", i); !slices.Contains(without, id) {
@@ -137,9 +139,9 @@
 	return ids
 }
 
-// TestAFewTargetsTakeTheShare: as many as make each as loaded as the others, the first in
-// an order that all gateways share.
-func TestAFewTargetsTakeTheShare(t *testing.T) {
+// TestVersionShare checks that as many targets take the share as make each of them as loaded
+// as the others, and that they are the first in an order that all gateways share.
+func TestVersionShare(t *testing.T) {
 	const seed = 5
 	cases := map[string]struct {
 		each   int
@@ -147,35 +149,35 @@
 		before func(b *balance.Balancer)
 		want   []string
 	}{
-		"a tenth of fifty":        {each: 50, share: 0.1, want: first(seed, 50, 5)},
-		"more than a tenth":       {each: 50, share: 0.11, want: first(seed, 50, 6)},
-		"of four":                 {each: 4, share: 0.1, want: first(seed, 4, 2)},
+		"a tenth of fifty":        {each: 50, share: 0.1, want: firstNew(seed, 50, 5)},
+		"more than a tenth":       {each: 50, share: 0.11, want: firstNew(seed, 50, 6)},
+		"of four":                 {each: 4, share: 0.1, want: firstNew(seed, 4, 2)},
 		"of one":                  {each: 1, share: 0.1, want: []string{"new0"}},
-		"all, where none is said": {each: 6, share: 0, want: first(seed, 6, 6)},
-		"more than there are":     {each: 6, share: 1, want: first(seed, 6, 6)},
+		"all, where none is said": {each: 6, share: 0, want: firstNew(seed, 6, 6)},
+		"more than there are":     {each: 6, share: 1, want: firstNew(seed, 6, 6)},
 		"an ejected one is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
-			leaveOut(b, first(seed, 50, 1)[0])
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
+			eject(b, firstNew(seed, 50, 1)[0])
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
 		"one that is evacuated is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
-			moved := versioned(first(seed, 50, 1)[0], "new")
+			moved := versioned(firstNew(seed, 50, 1)[0], "new")
 			moved.DataCenter = "b"
 			b.Put(moved, start)
 			b.SetEvacuated("b", true, start)
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
 		"one that is cold is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			b.SetCold("s", balance.ColdBound{Rate: 0.0001, Start: time.Minute})
 			b.SetGateways(balance.Gateways{Count: 1000, Place: 500})
-			cold := versioned(first(seed, 50, 1)[0], "new")
+			cold := versioned(firstNew(seed, 50, 1)[0], "new")
 			cold.ColdFor = time.Minute
 			b.Put(cold, start)
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
 		"others that leave don't count": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			for i := range 20 {
 				leaving := versioned(fmt.Sprint("old", i), "old")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
-		}, want: first(seed, 50, 3)},
+		}, want: firstNew(seed, 50, 3)},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -188,7 +190,8 @@
 	}
 }
 
-// TestRoomOfVersions: the room of a request is that of the targets that may take it.
+// TestRoomOfVersions checks that the room for a request is that of the targets that may take
+// it.
 func TestRoomOfVersions(t *testing.T) {
 	cases := map[string]struct {
 		versions balance.Versions
@@ -221,9 +224,9 @@
 	}
 }
 
-// TestPromptsOfOtherWeights: what a target has read is of use to one with the same
-// weights only, and then whether or not it takes requests itself.
-func TestPromptsOfOtherWeights(t *testing.T) {
+// TestSourcesWithOtherWeights checks that a cached prompt is used only by targets with the
+// same weights, whether or not its holder takes requests itself.
+func TestSourcesWithOtherWeights(t *testing.T) {
 	cases := map[string]struct {
 		holder, chosen, bystander string
 		source                    balance.Source
@@ -256,9 +259,9 @@
 	}
 }
 
-// TestAReadByOtherWeightsIsBegunAnew: a long part that only targets with other weights
-// hold is read, and others of its requests wait for that.
-func TestAReadByOtherWeightsIsBegunAnew(t *testing.T) {
+// TestFillWithOtherWeights checks that a long part held only by targets with other weights is
+// read again, and that other requests wait for that read.
+func TestFillWithOtherWeights(t *testing.T) {
 	for name, tc := range map[string]struct {
 		weights string
 		fills   int
@@ -280,9 +283,9 @@
 	}
 }
 
-// TestHoldersOfRefusedVersions: a holder that may not take the request is no reason not
-// to ask for one that may.
-func TestHoldersOfRefusedVersions(t *testing.T) {
+// TestPartsToLocateWithVersions checks that holders are asked for even if a known holder
+// exists that may not take the request.
+func TestPartsToLocateWithVersions(t *testing.T) {
 	cases := map[string]struct {
 		versions balance.Versions
 		asked    int
@@ -317,14 +320,15 @@
 	for i := range 3 {
 		b.Drop(fmt.Sprint("new", i), start)
 	}
-	b.Drop("plain", start.Add(2*time.Minute)) // those gone for long are forgotten
+	b.Drop("plain", start.Add(2*time.Minute)) // targets unlisted for long are forgotten
 	b.Put(versioned("newest0", "newest"), start)
 	is.Equal(b.VersionsOf("s"), map[string]int{"old": 2, "newest": 1})
 	is.Equal(chosenOf(b, balance.Versions{Only: "newest"}, start), []string{"newest0"})
 }
 
-// TestAChoiceAmongVersionsAllocatesNothing: it is made for each request.
-func TestAChoiceAmongVersionsAllocatesNothing(t *testing.T) {
+// TestChooseVersionsAllocs checks that a choice, which is made for each request, does not
+// allocate.
+func TestChooseVersionsAllocs(t *testing.T) {
 	for name, versions := range map[string]balance.Versions{
 		"all": {}, "not": {Excluded: []string{"new"}}, "rather": {Preferred: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
 	} {
@@ -342,11 +346,11 @@
 	}
 }
 
-// TestWhatIsUnread: the parts of a prompt behind the deepest that the target holds or
+// TestUnread checks the number of tokens after the deepest part that the target holds or
 // fetches.
-func TestWhatIsUnread(t *testing.T) {
+func TestUnread(t *testing.T) {
 	query := balance.Query{Service: "s", Parts: []uint64{11 << 32, 12 << 32, 13 << 32}, Tokens: []int{100, 200, 400}, Exclude: []string{"t1"}}
-	placed := func(part uint32, target string) balance.Placement {
+	placement := func(part uint32, target string) balance.Placement {
 		return balance.Placement{Part: part, Target: short(target)}
 	}
 	cases := map[string]struct {
@@ -355,10 +359,10 @@
 		unread int
 	}{
 		"nobody holds anything":      {nil, balance.SourceGuessed, 700},
-		"the target holds it":        {[]balance.Placement{placed(13, "t0")}, balance.SourceHeld, 0},
-		"another one does":           {[]balance.Placement{placed(13, "t1")}, balance.SourceKnown, 0},
-		"the target holds the first": {[]balance.Placement{placed(11, "t0")}, balance.SourceHeld, 600},
-		"another one holds more":     {[]balance.Placement{placed(11, "t0"), placed(12, "t1")}, balance.SourceKnown, 400},
+		"the target holds it":        {[]balance.Placement{placement(13, "t0")}, balance.SourceHeld, 0},
+		"another one does":           {[]balance.Placement{placement(13, "t1")}, balance.SourceKnown, 0},
+		"the target holds the first": {[]balance.Placement{placement(11, "t0")}, balance.SourceHeld, 600},
+		"another one holds more":     {[]balance.Placement{placement(11, "t0"), placement(12, "t1")}, balance.SourceKnown, 400},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -374,8 +378,9 @@
 	}
 }
 
-// TestAPickOfAColdTargetSaysSo: what it answers says less of its version.
-func TestAPickOfAColdTargetSaysSo(t *testing.T) {
+// TestColdPick checks that a pick of a cold target is marked, because its answers say less
+// about its version.
+func TestColdPick(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
 	cold := target(0)
@@ -389,9 +394,9 @@
 	is.True(!pick.Cold)
 }
 
-// TestUncountedRequestsAreSpreadOverWhatTakesThem: what others report in their totals
-// only is at the targets of the versions that take the service's requests.
-func TestUncountedRequestsAreSpreadOverWhatTakesThem(t *testing.T) {
+// TestUncountedTotalsWithVersions checks that requests that others report only in their totals
+// are attributed to the targets of the versions that take the service's requests.
+func TestUncountedTotalsWithVersions(t *testing.T) {
 	cases := map[string]struct {
 		admitting balance.Versions
 		old, load int
@@ -425,9 +430,9 @@
 	}
 }
 
-// TestAReadingByOtherWeightsIsNotWaitedFor: what it leaves behind is of no use to the
-// targets that may take the request.
-func TestAReadingByOtherWeightsIsNotWaitedFor(t *testing.T) {
+// TestFillingWithOtherWeights checks that requests do not wait for a read whose result the
+// targets that may take them cannot use.
+func TestFillingWithOtherWeights(t *testing.T) {
 	cases := map[string]struct {
 		weights  string
 		versions balance.Versions
