--- a/internal/balance/announcement_test.go
+++ b/internal/balance/announcement_test.go
@@ -40,66 +40,66 @@
 	moved.Service = "elsewhere"
 	later := time.Now()
 	cases := map[string]func(b *Balancer, now time.Time){
-		"its entry says that it takes work": func(b *Balancer, now time.Time) { b.Put(t1, now) },
-		"its entry says that it leaves, and then not": func(b *Balancer, now time.Time) {
+		"the entry is put again": func(b *Balancer, now time.Time) { b.Put(t1, now) },
+		"the entry states leaving, then not": func(b *Balancer, now time.Time) {
 			b.Put(leaving(t1), now)
 			b.Put(t1, now)
 		},
-		"its entry names nothing, and then it does": func(b *Balancer, now time.Time) {
+		"the entry is invalid, then valid": func(b *Balancer, now time.Time) {
 			b.SetUnusable("t")
 			b.Put(t1, now)
 		},
-		"its entry goes and comes back": func(b *Balancer, now time.Time) {
+		"the entry disappears and returns": func(b *Balancer, now time.Time) {
 			b.Drop("t", now)
 			b.Put(t1, now)
 		},
-		"it is forgotten and comes back": func(b *Balancer, now time.Time) {
+		"the target is forgotten and returns": func(b *Balancer, now time.Time) {
 			b.Drop("t", now)
 			b.Drop("t", now.Add(2*forgetAfter))
 			b.Put(t1, now)
 		},
-		"it comes back hours later": func(b *Balancer, now time.Time) {
+		"the target returns hours later": func(b *Balancer, now time.Time) {
 			b.Drop("t", now)
 			b.Drop("t", now.Add(2*forgetAfter))
 			b.Drop("nobody", now.Add(20*time.Hour))
 			b.Put(t1, now)
 		},
-		"a checkpoint restores it": func(b *Balancer, now time.Time) {
+		"restored from a checkpoint": func(b *Balancer, now time.Time) {
 			b.Drop("t", now)
 			b.Drop("t", now.Add(2*forgetAfter))
 			b.Restore([]Target{t1}, now)
 		},
-		"all entries lapse": func(b *Balancer, now time.Time) {
+		"all entries expire": func(b *Balancer, now time.Time) {
 			b.Drop("t", now)
 			b.Drop("other", now)
 		},
-		"all others are ejected": func(b *Balancer, now time.Time) {
+		"the other target is ejected": func(b *Balancer, now time.Time) {
 			for range 12 {
 				b.Choose(Query{Service: "s"}, now)
 				b.Release("other@1000", Lost, now)
 			}
 		},
-		"it changes its service and back": func(b *Balancer, now time.Time) {
+		"the service changes and returns": func(b *Balancer, now time.Time) {
 			b.Put(moved, now)
 			b.Put(t1, now)
 		},
-		"it is of another version": func(b *Balancer, now time.Time) {
+		"the version changes": func(b *Balancer, now time.Time) {
 			next := t1
 			next.Version = "v2"
 			b.Put(next, now)
 		},
-		"records are cleared":                func(b *Balancer, _ time.Time) { b.Forgive() },
-		"it answers as it should":            func(b *Balancer, now time.Time) { b.Release(t1.Incarnation(), Good, now) },
-		"it answers without saying it again": func(b *Balancer, _ time.Time) { b.ObserveNotice(t1.Incarnation(), Notice{}, time.Time{}) },
-		"its data centre is evacuated and returns": func(b *Balancer, now time.Time) {
+		"failure records are cleared":        func(b *Balancer, _ time.Time) { b.Forgive() },
+		"a correct answer":                   func(b *Balancer, now time.Time) { b.Release(t1.Incarnation(), Good, now) },
+		"an answer without the announcement": func(b *Balancer, _ time.Time) { b.ObserveNotice(t1.Incarnation(), Notice{}, time.Time{}) },
+		"an evacuation begins and ends": func(b *Balancer, now time.Time) {
 			b.SetEvacuated("", true, now)
 			b.SetEvacuated("", false, now)
 		},
-		"it turns cold and warm": func(b *Balancer, now time.Time) {
+		"the target turns cold and warm": func(b *Balancer, now time.Time) {
 			b.Put(coldFor(t1, time.Millisecond), now)
 			b.Put(t1, now)
 		},
-		"another gateway saw it refuse": func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(t1), now) },
+		"refused at another gateway": func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(t1), now) },
 	}
 	for name, happens := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -199,7 +199,7 @@
 				}
 				incarnation := pick.Target.Incarnation()
 				if announced[incarnation] {
-					t.Fatalf("%s was chosen and has said that it leaves", incarnation)
+					t.Fatalf("%s was chosen after it announced that it leaves", incarnation)
 				}
 				if rapid.Bool().Draw(t, "says") {
 					b.ObserveNotice(incarnation, Notice{Leaving: true}, time.Time{})
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -19,23 +19,23 @@
 	t1 := incarnationOf(1000)
 	later := time.Now()
 	cases := map[string]func(b *Balancer, now time.Time){
-		"nothing happens":  func(*Balancer, time.Time) {},
-		"it asks for less": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now) },
-		"it answers others": func(b *Balancer, now time.Time) {
+		"nothing happens":    func(*Balancer, time.Time) {},
+		"a shorter back-off": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now) },
+		"an answer to another request": func(b *Balancer, now time.Time) {
 			b.ObserveNotice(t1.Incarnation(), Notice{}, now)
 			b.Release(t1.Incarnation(), Good, now)
 		},
-		"an earlier try is answered":          func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), true, now) },
-		"an earlier try is lost":              func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), false, now) },
-		"its entry says that it takes work":   func(b *Balancer, now time.Time) { b.Put(t1, now) },
-		"its entry goes and comes back":       func(b *Balancer, now time.Time) { b.Drop("t", now); b.Put(t1, now) },
-		"its entry goes, and it is not back":  func(b *Balancer, now time.Time) { b.Drop("t", now) },
-		"all entries lapse":                   func(b *Balancer, now time.Time) { b.Drop("t", now); b.Drop("other", now) },
-		"all others leave":                    func(b *Balancer, now time.Time) { b.ObserveNotice("other@1000", Notice{Leaving: true}, now) },
-		"records are cleared":                 func(b *Balancer, _ time.Time) { b.Forgive() },
-		"its data centre returns":             func(b *Balancer, now time.Time) { b.SetEvacuated("", true, now); b.SetEvacuated("", false, now) },
-		"it changes its service and back":     func(b *Balancer, now time.Time) { moved := t1; moved.Service = "x"; b.Put(moved, now); b.Put(t1, now) },
-		"the start of its life is stated now": func(b *Balancer, now time.Time) { b.Put(t1, now) },
+		"an earlier probe is answered":     func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), true, now) },
+		"an earlier probe is lost":         func(b *Balancer, now time.Time) { b.EndProbe(t1.Incarnation(), false, now) },
+		"the entry is put again":           func(b *Balancer, now time.Time) { b.Put(t1, now) },
+		"the entry disappears and returns": func(b *Balancer, now time.Time) { b.Drop("t", now); b.Put(t1, now) },
+		"the entry disappears":             func(b *Balancer, now time.Time) { b.Drop("t", now) },
+		"all entries expire":               func(b *Balancer, now time.Time) { b.Drop("t", now); b.Drop("other", now) },
+		"the other target leaves":          func(b *Balancer, now time.Time) { b.ObserveNotice("other@1000", Notice{Leaving: true}, now) },
+		"failure records are cleared":      func(b *Balancer, _ time.Time) { b.Forgive() },
+		"an evacuation ends":               func(b *Balancer, now time.Time) { b.SetEvacuated("", true, now); b.SetEvacuated("", false, now) },
+		"the service changes and returns":  func(b *Balancer, now time.Time) { moved := t1; moved.Service = "x"; b.Put(moved, now); b.Put(t1, now) },
+		"the entry states the start time":  func(b *Balancer, now time.Time) { b.Put(t1, now) },
 	}
 	for name, happens := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -101,14 +101,14 @@
 		// second later. Values above 1 are lower limits.
 		first, later int
 	}{
-		"it is under way": {func(*Balancer) {}, 0, 1},
-		"it is answered":  {func(b *Balancer) { b.EndProbe("t@1000", true, back) }, 20, 20},
-		"it is lost":      {func(b *Balancer) { b.EndProbe("t@1000", false, back) }, 1, 1},
-		"the target rests again": {func(b *Balancer) {
+		"in flight": {func(*Balancer) {}, 0, 1},
+		"answered":  {func(b *Balancer) { b.EndProbe("t@1000", true, back) }, 20, 20},
+		"lost":      {func(b *Balancer) { b.EndProbe("t@1000", false, back) }, 1, 1},
+		"lost with a new back-off": {func(b *Balancer) {
 			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", false, back)
 		}, 0, 0},
-		"an older one is told rest": {func(b *Balancer) {
+		"answered after a back-off to an older request": {func(b *Balancer) {
 			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", true, back)
 		}, 0, 0},
@@ -266,10 +266,10 @@
 				}
 				incarnation := pick.Target.Incarnation()
 				if now.Before(until[incarnation]) {
-					t.Fatalf("%s was chosen and rests", incarnation)
+					t.Fatalf("%s was chosen during its back-off", incarnation)
 				}
 				if pick.Probe && now.Sub(probing[incarnation]) < probeTimeout {
-					t.Fatalf("%s is tried by two at once", incarnation)
+					t.Fatalf("%s is probed by two requests at once", incarnation)
 				}
 				requested := time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest")) * time.Millisecond
 				switch {
@@ -301,19 +301,19 @@
 		want      Reason
 		remaining time.Duration
 	}{
-		"nothing":                     {func(*Balancer) {}, ReasonNone, 0},
-		"its entry says that it ends": {func(b *Balancer) { b.Put(leaving(t1), now) }, ReasonEntry, 0},
-		"its answers say so": {func(b *Balancer) {
+		"open":             {func(*Balancer) {}, ReasonNone, 0},
+		"leaving by entry": {func(b *Balancer) { b.Put(leaving(t1), now) }, ReasonEntry, 0},
+		"leaving by answer": {func(b *Balancer) {
 			b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now)
 			b.ObserveNotice(t1.Incarnation(), Notice{Leaving: true}, now)
 		}, ReasonAnswer, 0},
-		"its entry is gone":           {func(b *Balancer) { b.Drop("t", now) }, ReasonUnlisted, 0},
-		"its data centre is emptied":  {func(b *Balancer) { b.SetEvacuated("", true, now) }, ReasonEvacuated, 0},
-		"it rests":                    {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now) }, ReasonBackoff, time.Minute},
-		"its rest is over":            {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
-		"it has refused a connection": {func(b *Balancer) { b.NoteRefused(shortIncarnation(t1), now) }, ReasonEjected, unreachableFor},
-		"others get no answer":        {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonSuspected, 0},
-		"it has just started":         {func(b *Balancer) { b.Put(coldFor(t1, time.Minute), now) }, ReasonCold, time.Minute},
+		"unlisted":              {func(b *Balancer) { b.Drop("t", now) }, ReasonUnlisted, 0},
+		"data centre evacuated": {func(b *Balancer) { b.SetEvacuated("", true, now) }, ReasonEvacuated, 0},
+		"backing off":           {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now) }, ReasonBackoff, time.Minute},
+		"back-off over":         {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
+		"refused connection":    {func(b *Balancer) { b.NoteRefused(shortIncarnation(t1), now) }, ReasonEjected, unreachableFor},
+		"suspected by peers":    {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonSuspected, 0},
+		"cold":                  {func(b *Balancer) { b.Put(coldFor(t1, time.Minute), now) }, ReasonCold, time.Minute},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -79,10 +79,10 @@
 			pick, _ := b.Choose(session(rapid.IntRange(0, 3).Draw(t, "session")), start)
 			mean := float64(total) / float64(count)
 			if float64(held[pick.Target.ID]) > options.Short.Multiple*mean+options.Short.Extra {
-				t.Fatalf("%s holds %d at a mean of %.2f", pick.Target.ID, held[pick.Target.ID], mean)
+				t.Fatalf("%s has %d in flight at a mean of %.2f", pick.Target.ID, held[pick.Target.ID], mean)
 			}
 			if float64(held[pick.Target.ID]+1) > 2*(mean+1/float64(count))+3 {
-				t.Fatalf("%s is sent to with %d at a mean of %.2f", pick.Target.ID, held[pick.Target.ID], mean)
+				t.Fatalf("%s got a request with %d in flight at a mean of %.2f", pick.Target.ID, held[pick.Target.ID], mean)
 			}
 			held[pick.Target.ID]++
 			total++
@@ -177,13 +177,13 @@
 		after         time.Duration
 		want          int // number of targets that get requests
 	}{
-		"one of four is back":            {missing: 4, back: 1, want: 4},
-		"half are back":                  {missing: 4, back: 2, want: 4},
-		"most are back":                  {missing: 4, back: 3, want: 3},
-		"the time is over":               {missing: 4, back: 1, after: balance.MaxLapse + time.Millisecond, want: 1},
-		"one of four is removed":         {missing: 1, want: 3},
-		"one of two hosts' is removed":   {missing: 2, want: 4},
-		"three of four at the same time": {missing: 3, want: 4},
+		"one of four is back":       {missing: 4, back: 1, want: 4},
+		"half are back":             {missing: 4, back: 2, want: 4},
+		"most are back":             {missing: 4, back: 3, want: 3},
+		"after the limit":           {missing: 4, back: 1, after: balance.MaxLapse + time.Millisecond, want: 1},
+		"one of four is missing":    {missing: 1, want: 3},
+		"two of four are missing":   {missing: 2, want: 4},
+		"three of four are missing": {missing: 3, want: 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -342,11 +342,11 @@
 // or with one version left.
 func BenchmarkChooseVersions(b *testing.B) {
 	cases := map[string]balance.Versions{
-		"all":    {},
-		"old":    {Excluded: []string{"new"}},
-		"canary": {Only: "new", Share: 0.1, Seed: 7},
-		"rather": {Preferred: "new", Excluded: []string{"older"}},
-		"moved":  {Preferred: "new", Excluded: []string{"old"}},
+		"all":                  {},
+		"old":                  {Excluded: []string{"new"}},
+		"canary":               {Only: "new", Share: 0.1, Seed: 7},
+		"preferred":            {Preferred: "new", Excluded: []string{"older"}},
+		"moved to one version": {Preferred: "new", Excluded: []string{"old"}},
 	}
 	for name, versions := range cases {
 		b.Run(name, func(b *testing.B) {
@@ -356,7 +356,7 @@
 				made.Version = []string{"old", "new"}[i%2]
 				balancer.Put(made, start)
 			}
-			if name == "moved" {
+			if name == "moved to one version" {
 				for i := range 1900 {
 					made := target(i)
 					made.Version = "new"
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -122,14 +122,14 @@
 		happens func(b *balance.Balancer)
 		cold    bool
 	}{
-		"a warm entry":              {func(b *balance.Balancer) { b.Put(cold(0), start) }, false},
-		"a cold entry":              {func(b *balance.Balancer) { b.Put(cold(2*time.Second), start) }, true},
-		"its time is over":          {func(b *balance.Balancer) { b.Put(cold(2*time.Second), start.Add(-2*time.Second)) }, false},
-		"cold, then warm":           {func(b *balance.Balancer) { b.Put(cold(time.Minute), start); b.Put(cold(0), start) }, false},
-		"still evacuated":           {func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }, true},
-		"the end of an evacuation":  {func(b *balance.Balancer) { evacuate(b, start) }, true},
-		"a while after it":          {func(b *balance.Balancer) { evacuate(b, start.Add(-4*time.Second)) }, false},
-		"colder than an evacuation": {func(b *balance.Balancer) { b.Put(cold(time.Minute), start); evacuate(b, start.Add(-4*time.Second)) }, true},
+		"warm entry":                               {func(b *balance.Balancer) { b.Put(cold(0), start) }, false},
+		"cold entry":                               {func(b *balance.Balancer) { b.Put(cold(2*time.Second), start) }, true},
+		"cold period over":                         {func(b *balance.Balancer) { b.Put(cold(2*time.Second), start.Add(-2*time.Second)) }, false},
+		"cold, then warm":                          {func(b *balance.Balancer) { b.Put(cold(time.Minute), start); b.Put(cold(0), start) }, false},
+		"during an evacuation":                     {func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }, true},
+		"after an evacuation":                      {func(b *balance.Balancer) { evacuate(b, start) }, true},
+		"long after an evacuation":                 {func(b *balance.Balancer) { evacuate(b, start.Add(-4*time.Second)) }, false},
+		"cold for longer than after an evacuation": {func(b *balance.Balancer) { b.Put(cold(time.Minute), start); evacuate(b, start.Add(-4*time.Second)) }, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/directory_test.go
+++ b/internal/balance/directory_test.go
@@ -22,8 +22,8 @@
 		prepare func(b *balance.Balancer) balance.Query
 		ask     bool
 	}{
-		"an unknown long part": {func(*balance.Balancer) balance.Query { return longSession(1) }, true},
-		"a short part": {func(*balance.Balancer) balance.Query {
+		"unknown long part": {func(*balance.Balancer) balance.Query { return longSession(1) }, true},
+		"short part": {func(*balance.Balancer) balance.Query {
 			query := session(1)
 			query.Tokens = []int{100}
 			return query
@@ -34,28 +34,28 @@
 			query.Service = "other"
 			return query
 		}, false},
-		"a known holder": {func(b *balance.Balancer) balance.Query {
+		"known holder": {func(b *balance.Balancer) balance.Query {
 			b.Confirm("t1", longSession(1))
 			return longSession(1)
 		}, false},
-		"a holder that is only expected to hold it": {func(b *balance.Balancer) balance.Query {
+		"expected holder": {func(b *balance.Balancer) balance.Query {
 			pick, _ := b.Choose(longSession(1), start)
 			b.Release(pick.Target.ID, balance.Neutral, start)
 			return longSession(1)
 		}, true},
-		"a holder that leaves": {func(b *balance.Balancer) balance.Query {
+		"leaving holder": {func(b *balance.Balancer) balance.Query {
 			b.Confirm("t1", longSession(1))
 			leaving := target(1)
 			leaving.Leaving = true
 			b.Put(leaving, start)
 			return longSession(1)
 		}, true},
-		"a holder that is no longer registered": {func(b *balance.Balancer) balance.Query {
+		"unlisted holder": {func(b *balance.Balancer) balance.Query {
 			b.Confirm("t1", longSession(1))
 			b.Drop("t1", start)
 			return longSession(1)
 		}, true},
-		"a holder above the bound": {func(b *balance.Balancer) balance.Query {
+		"holder above the bound": {func(b *balance.Balancer) balance.Query {
 			b.Confirm("t1", longSession(1))
 			b.Observe("other", []balance.Count{{Target: policy.HashName("t1"), Count: 30}}, start)
 			return longSession(1)
@@ -165,10 +165,10 @@
 		prepare func(b *balance.Balancer, query balance.Query)
 		want    balance.Source
 	}{
-		"nothing known":         {9, func(*balance.Balancer, balance.Query) {}, balance.SourceGuessed},
-		"the only target":       {1, func(*balance.Balancer, balance.Query) {}, balance.SourceNone},
-		"held":                  {9, func(b *balance.Balancer, query balance.Query) { b.Confirm("t1", query) }, balance.SourceHeld},
-		"held by one that left": {9, func(b *balance.Balancer, query balance.Query) { b.Confirm("t1", query); b.Drop("t1", start) }, balance.SourceKnown},
+		"nothing known":              {9, func(*balance.Balancer, balance.Query) {}, balance.SourceGuessed},
+		"the only target":            {1, func(*balance.Balancer, balance.Query) {}, balance.SourceNone},
+		"held":                       {9, func(b *balance.Balancer, query balance.Query) { b.Confirm("t1", query) }, balance.SourceHeld},
+		"held by an unlisted target": {9, func(b *balance.Balancer, query balance.Query) { b.Confirm("t1", query); b.Drop("t1", start) }, balance.SourceKnown},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +221,7 @@
 		"thirty":       {29, 11},
 		"a hundred":    {102, 9},
 		"hundreds":     {370, 9},
-		"a few at all": {3, 14}, // 1.9 times the mean plus 2.6
+		"few gateways": {3, 14}, // 1.9 times the mean plus 2.6
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -247,7 +247,7 @@
 					return
 				}
 			}
-			t.Fatal("the holder gets nothing")
+			t.Fatal("the holder gets no request")
 		})
 	}
 }
--- a/internal/balance/evacuation_test.go
+++ b/internal/balance/evacuation_test.go
@@ -51,20 +51,20 @@
 		"a second attempt": {query: func(int) balance.Query {
 			return balance.Query{Service: "s", Exclude: []string{"t2"}}
 		}},
-		"sessions held there": {query: session, also: func(b *balance.Balancer) {
+		"sessions held in the data centre": {query: session, also: func(b *balance.Balancer) {
 			for i := range 60 {
 				b.Learn([]balance.Placement{{Part: shortPart(i), Target: uint32(policy.HashName("t0") >> 32)}})
 			}
 		}},
-		"targets that failed elsewhere": {query: plain, also: func(b *balance.Balancer) {
+		"targets elsewhere have failed": {query: plain, also: func(b *balance.Balancer) {
 			fail(b, "t2")
 			fail(b, "t3")
 		}},
-		"its entries change":  {query: plain, also: func(b *balance.Balancer) { b.Put(far(0), start) }},
-		"a target is added":   {query: plain, also: func(b *balance.Balancer) { b.Put(far(7), start) }},
-		"said a second time":  {query: plain, also: func(b *balance.Balancer) { b.SetEvacuated("far", true, start) }},
-		"its entries lapse":   {query: plain, also: func(b *balance.Balancer) { b.Drop("t0", start); b.Drop("t1", start) }},
-		"another one is back": {query: plain, also: func(b *balance.Balancer) { b.SetEvacuated("near", true, start); b.SetEvacuated("near", false, start) }},
+		"an entry changes":        {query: plain, also: func(b *balance.Balancer) { b.Put(far(0), start) }},
+		"a target is added":       {query: plain, also: func(b *balance.Balancer) { b.Put(far(7), start) }},
+		"evacuated again":         {query: plain, also: func(b *balance.Balancer) { b.SetEvacuated("far", true, start) }},
+		"its entries expire":      {query: plain, also: func(b *balance.Balancer) { b.Drop("t0", start); b.Drop("t1", start) }},
+		"another evacuation ends": {query: plain, also: func(b *balance.Balancer) { b.SetEvacuated("near", true, start); b.SetEvacuated("near", false, start) }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -140,9 +140,9 @@
 		held      int
 		stays     bool
 	}{
-		"all serve, below the bound":          {false, 30, true},
-		"a third is idle, above what is left": {true, 30, false},
-		"a third is idle, below it":           {true, 24, true},
+		"all targets serve, below the bound": {false, 30, true},
+		"a third is idle, above the bound":   {true, 30, false},
+		"a third is idle, below the bound":   {true, 24, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/fills_test.go
+++ b/internal/balance/fills_test.go
@@ -43,18 +43,18 @@
 		fills  bool
 		over   bool
 	}{
-		"under way":         {tokens: manyTokens, fills: true},
-		"short":             {tokens: 100},
-		"no lengths told":   {tokens: -1},
-		"held elsewhere":    {tokens: manyTokens, held: true},
-		"read":              {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) { b.Confirm(p.Target.ID, q) }},
-		"failed":            {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) { b.Withdraw(p.Target.ID, q.Parts) }},
-		"failed at another": {tokens: manyTokens, fills: true, end: func(b *balance.Balancer, q balance.Query, _ balance.Pick) { b.Withdraw("t8", q.Parts) }},
-		"read, says a peer": {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) {
+		"in progress":              {tokens: manyTokens, fills: true},
+		"short":                    {tokens: 100},
+		"unknown lengths":          {tokens: -1},
+		"held elsewhere":           {tokens: manyTokens, held: true},
+		"read":                     {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) { b.Confirm(p.Target.ID, q) }},
+		"failed":                   {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) { b.Withdraw(p.Target.ID, q.Parts) }},
+		"failed at another target": {tokens: manyTokens, fills: true, end: func(b *balance.Balancer, q balance.Query, _ balance.Pick) { b.Withdraw("t8", q.Parts) }},
+		"read, reported by a peer": {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) {
 			b.Learn([]balance.Placement{placementOf(q, p)})
 		}},
-		"nobody ends it": {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, _ balance.Pick) { b.Filling(q, start.Add(time.Minute)) }},
-		"also told by a peer": {tokens: manyTokens, fills: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) {
+		"expired": {tokens: manyTokens, fills: true, over: true, end: func(b *balance.Balancer, q balance.Query, _ balance.Pick) { b.Filling(q, start.Add(time.Minute)) }},
+		"also reported by a peer": {tokens: manyTokens, fills: true, end: func(b *balance.Balancer, q balance.Query, p balance.Pick) {
 			b.LearnFills([]balance.Placement{placementOf(q, p)}, start)
 		}},
 	}
@@ -174,8 +174,8 @@
 		after time.Duration
 		from  bool
 	}{
-		"at once": {time.Second, true},
-		"later":   {4 * time.Second, false},
+		"soon after": {time.Second, true},
+		"long after": {4 * time.Second, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -26,26 +26,26 @@
 	first, second := incarnationOf(1000), incarnationOf(2000)
 	part := Query{Service: "s", Parts: []uint64{7 << 32}, Tokens: []int{1000}}
 	cases := map[string]func(b *Balancer, now time.Time){
-		"prompts that it held":       func(b *Balancer, _ time.Time) { b.Confirm(first.Incarnation(), part) },
-		"prompts that others placed": func(b *Balancer, _ time.Time) { b.Learn([]Placement{{Part: 7, Target: shortIncarnation(first)}}) },
-		"requests of others": func(b *Balancer, now time.Time) {
+		"confirmed prompts":       func(b *Balancer, _ time.Time) { b.Confirm(first.Incarnation(), part) },
+		"prompts placed by peers": func(b *Balancer, _ time.Time) { b.Learn([]Placement{{Part: 7, Target: shortIncarnation(first)}}) },
+		"requests of peers": func(b *Balancer, now time.Time) {
 			b.Observe("g", []Count{{Target: policy.HashName(first.Incarnation()), Count: 9}}, now)
 		},
-		"suspicions of others":       func(b *Balancer, now time.Time) { suspectBoth(b, first, now) },
-		"a refused connection":       func(b *Balancer, now time.Time) { b.Choose(part, now); b.Release(first.Incarnation(), Refused, now) },
-		"refused at another gateway": func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) },
-		"failures":                   func(b *Balancer, now time.Time) { failInRow(b, first, now) },
-		"that it is cold":            func(b *Balancer, now time.Time) { b.Put(coldFor(first, time.Hour), now) },
-		"that it leaves":             func(b *Balancer, now time.Time) { b.Put(leaving(first), now) },
-		"that it said that it leaves": func(b *Balancer, _ time.Time) {
+		"suspicions of peers": func(b *Balancer, now time.Time) { suspectBoth(b, first, now) },
+		"refused connection":  func(b *Balancer, now time.Time) { b.Choose(part, now); b.Release(first.Incarnation(), Refused, now) },
+		"refused at a peer":   func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) },
+		"failures":            func(b *Balancer, now time.Time) { failInRow(b, first, now) },
+		"cold":                func(b *Balancer, now time.Time) { b.Put(coldFor(first, time.Hour), now) },
+		"leaving by entry":    func(b *Balancer, now time.Time) { b.Put(leaving(first), now) },
+		"leaving by answer": func(b *Balancer, _ time.Time) {
 			b.ObserveNotice(first.Incarnation(), Notice{Leaving: true}, time.Time{})
 		},
-		"that its entry was gone":      func(b *Balancer, now time.Time) { b.Drop("t", now) },
-		"that its entry named nothing": func(b *Balancer, _ time.Time) { b.SetUnusable("t") },
+		"unlisted":      func(b *Balancer, now time.Time) { b.Drop("t", now) },
+		"invalid entry": func(b *Balancer, _ time.Time) { b.SetUnusable("t") },
 	}
 	for name, happens := range cases {
 		for _, late := range []bool{false, true} {
-			t.Run(name+map[bool]string{false: "", true: ", learnt late"}[late], func(t *testing.T) {
+			t.Run(name+map[bool]string{false: "", true: ", learned late"}[late], func(t *testing.T) {
 				is := is.New(t)
 				now := time.Now()
 				b := New(DefaultOptions())
@@ -70,7 +70,7 @@
 // target.
 func namesIncarnation(report string) bool {
 	switch report {
-	case "that it is cold", "that it leaves", "that its entry was gone", "that its entry named nothing", "a refused connection", "failures":
+	case "cold", "leaving by entry", "unlisted", "invalid entry", "refused connection", "failures":
 		return false
 	}
 	return true
@@ -183,20 +183,20 @@
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Refused, now)
 		}, true},
-		"refused elsewhere":         {nil, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, true},
+		"refused at a peer":         {nil, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, true},
 		"refused without a request": {nil, func(b *Balancer, now time.Time) { b.NoteSilentPort(first.Incarnation(), now) }, true},
-		"its entry goes":            {nil, func(b *Balancer, now time.Time) { b.Drop("t", now) }, true},
-		"another life":              {nil, func(b *Balancer, now time.Time) { b.Put(incarnationOf(2000), now) }, true},
-		"a lost answer": {nil, func(b *Balancer, now time.Time) {
+		"entry disappears":          {nil, func(b *Balancer, now time.Time) { b.Drop("t", now) }, true},
+		"new incarnation":           {nil, func(b *Balancer, now time.Time) { b.Put(incarnationOf(2000), now) }, true},
+		"lost answer": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Lost, now)
 		}, false},
-		"no way there": {nil, func(b *Balancer, now time.Time) {
+		"unreachable": {nil, func(b *Balancer, now time.Time) {
 			b.Choose(Query{Service: "s"}, now)
 			b.Release(first.Incarnation(), Unreachable, now)
 		}, false},
-		"refused, leaving": {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, false},
-		"gone, leaving":    {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.Drop("t", now) }, false},
+		"refused while leaving":          {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.NoteRefused(shortIncarnation(first), now) }, false},
+		"entry disappears while leaving": {func(b *Balancer, now time.Time) { b.Put(leaving(first), now) }, func(b *Balancer, now time.Time) { b.Drop("t", now) }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -236,7 +236,7 @@
 			case 2:
 				if pick, ok := b.Choose(Query{Service: "s"}, now); ok {
 					if pick.Target != current {
-						t.Fatalf("%+v was chosen, and %+v is the present life", pick.Target, current)
+						t.Fatalf("%+v was chosen, but %+v is the current incarnation", pick.Target, current)
 					}
 					inFlight[pick.Target.Incarnation()]++
 					total++
@@ -249,7 +249,7 @@
 				}
 			}
 			if own := b.serviceOf("s").load.own + b.serviceOf("other").load.own; own != total {
-				t.Fatalf("%d requests are under way, %d are counted", total, own)
+				t.Fatalf("%d requests are in flight, %d are counted", total, own)
 			}
 		}
 	})
@@ -261,12 +261,12 @@
 func TestIncarnationSurvivesAssumedEnd(t *testing.T) {
 	first := incarnationOf(1000)
 	cases := map[string]func(b *Balancer, now time.Time) time.Time{
-		"its entry came back": func(b *Balancer, now time.Time) time.Time {
+		"entry returns": func(b *Balancer, now time.Time) time.Time {
 			b.Drop("t", now)
 			b.Put(first, now.Add(time.Second))
 			return now.Add(time.Second)
 		},
-		"it answers after a refusal": func(b *Balancer, now time.Time) time.Time {
+		"answer after a refusal": func(b *Balancer, now time.Time) time.Time {
 			b.NoteRefused(shortIncarnation(first), now)
 			later := now.Add(5 * time.Second)
 			b.Choose(Query{Service: "s"}, later)
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -117,8 +117,8 @@
 // values of package peer.
 const (
 	heartbeatTick = 80 * time.Millisecond
-	// heartbeatBudget is the budget for heartbeats in bytes per second. A heartbeat takes heartbeatHead
-	// bytes plus countBytes for each target.
+	// heartbeatBudget is the budget for heartbeats, in bytes per second. A heartbeat takes
+	// heartbeatHead bytes plus countBytes for each target.
 	heartbeatBudget = 0.65 * 7000
 	heartbeatHead   = 50
 	countBytes      = 5
@@ -254,18 +254,18 @@
 		part float64
 		play func(w *limitWorld)
 	}{
-		"no roll-out": {1, func(w *limitWorld) { w.run(8 * time.Second) }},
-		"nothing to the new ones": {1, func(w *limitWorld) {
+		"no rollout": {1, func(w *limitWorld) { w.run(8 * time.Second) }},
+		"no requests to the new version": {1, func(w *limitWorld) {
 			w.put("new", 0)
 			w.versions = canary
 			w.run(8 * time.Second)
 		}},
-		"the share to the new ones": {1, func(w *limitWorld) {
+		"share to the new version": {1, func(w *limitWorld) {
 			w.put("new", 0)
 			w.versions, w.share = canary, limitShare
 			w.run(8 * time.Second)
 		}},
-		"the move": {1, func(w *limitWorld) {
+		"move to the new version": {1, func(w *limitWorld) {
 			w.put("new", 0)
 			w.versions, w.share = canary, limitShare
 			w.run(3 * time.Second)
@@ -273,12 +273,12 @@
 			w.versions, w.admitting = moving, moving(true)
 			w.run(6 * time.Second)
 		}},
-		"the new ones are cold": {1, func(w *limitWorld) {
+		"new version cold": {1, func(w *limitWorld) {
 			w.put("new", 8*time.Second)
 			w.versions, w.share = canary, limitShare
 			w.run(8 * time.Second)
 		}},
-		"a data centre is evacuated": {1.0 / 3, func(w *limitWorld) {
+		"data centre evacuated": {1.0 / 3, func(w *limitWorld) {
 			w.put("new", 0)
 			w.versions, w.share = canary, limitShare
 			w.run(2 * time.Second)
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -24,10 +24,10 @@
 		age time.Duration
 		max int
 	}{
-		"told now":           {0, 9},
-		"told a minute ago":  {time.Minute, 20},
-		"told a second ago":  {time.Second, 14},
-		"told in the future": {-time.Second, 9},
+		"received now":           {0, 9},
+		"received a minute ago":  {time.Minute, 20},
+		"received a second ago":  {time.Second, 14},
+		"received in the future": {-time.Second, 9},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -167,7 +167,7 @@
 				highest = max(highest, load)
 			}
 			if bound := 2*float64(total)/targets + 3 + 1; float64(highest) > bound {
-				t.Fatalf("%d at one target, %d in all", highest, total)
+				t.Fatalf("%d at one target, %d in total", highest, total)
 			}
 		}
 	})
--- a/internal/balance/paths_test.go
+++ b/internal/balance/paths_test.go
@@ -32,12 +32,12 @@
 		busy               int // requests in flight at each target of a
 		want               string
 	}{
-		"none halt":                  {want: "ab"},
-		"those from b halt":          {stalledB: 9, want: "a"},
-		"all halt alike":             {stalledA: 9, stalledB: 9, want: "ab"},
-		"few halt":                   {stalledB: 2, want: "ab"},
-		"tried again after a while":  {stalledB: 9, after: 8 * time.Second, want: "ab"},
-		"the good ones are at bound": {stalledB: 9, busy: 9, want: "b"},
+		"none stall":           {want: "ab"},
+		"streams from b stall": {stalledB: 9, want: "a"},
+		"all stall equally":    {stalledA: 9, stalledB: 9, want: "ab"},
+		"few stall":            {stalledB: 2, want: "ab"},
+		"old stalls":           {stalledB: 9, after: 8 * time.Second, want: "ab"},
+		"a at the bound":       {stalledB: 9, busy: 9, want: "b"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/planned_leave_test.go
+++ b/internal/balance/planned_leave_test.go
@@ -20,31 +20,31 @@
 		prepare func(b *balance.Balancer)
 		left    bool
 	}{
-		"none is known":      {func(*balance.Balancer) {}, false},
-		"it serves":          {func(b *balance.Balancer) { b.Put(target("a", "v1", false), now) }, false},
-		"its entry says so":  {func(b *balance.Balancer) { b.Put(target("a", "v1", true), now) }, true},
-		"another one serves": {func(b *balance.Balancer) { b.Put(target("a", "v1", true), now); b.Put(target("b", "v1", false), now) }, false},
+		"no known target":       {func(*balance.Balancer) {}, false},
+		"serving":               {func(b *balance.Balancer) { b.Put(target("a", "v1", false), now) }, false},
+		"leaving by entry":      {func(b *balance.Balancer) { b.Put(target("a", "v1", true), now) }, true},
+		"another target serves": {func(b *balance.Balancer) { b.Put(target("a", "v1", true), now); b.Put(target("b", "v1", false), now) }, false},
 		"another version serves": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", true), now)
 			b.Put(target("b", "v2", false), now)
 		}, true},
-		"it said so itself": {func(b *balance.Balancer) {
+		"leaving by answer": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
 			b.ObserveNotice("a", balance.Notice{Leaving: true}, now)
 		}, true},
-		"its entry went after that": {func(b *balance.Balancer) {
+		"unlisted after leaving by entry": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", true), now)
 			b.Drop("a", now)
 		}, false}, // the target is forgotten; the record of its planned leave existed before
-		"its entry went": {func(b *balance.Balancer) {
+		"unlisted": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
 			b.Drop("a", now)
 		}, false},
-		"its entry turned odd": {func(b *balance.Balancer) {
+		"invalid entry": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
 			b.SetUnusable("a")
 		}, false},
-		"nothing listens there": {func(b *balance.Balancer) {
+		"refused connection": {func(b *balance.Balancer) {
 			b.Put(target("a", "v1", false), now)
 			b.NoteSilentPort("a", now)
 		}, false},
--- a/internal/balance/room_test.go
+++ b/internal/balance/room_test.go
@@ -28,12 +28,12 @@
 		taken        int
 		want         int
 	}{
-		"nothing known of the times": {slots: 8, want: 20},
-		"long requests wait little":  {slots: 8, hold: 2 * time.Second, wanted: 400 * time.Millisecond, want: 16},
-		"short ones may wait":        {slots: 8, hold: 20 * time.Millisecond, wanted: 100 * time.Millisecond, want: 36},
-		"never more than three each": {slots: 8, hold: time.Millisecond, wanted: time.Second, want: 48},
-		"what runs counts":           {slots: 8, hold: 2 * time.Second, wanted: 400 * time.Millisecond, taken: 5, want: 11},
-		"slots unknown":              {want: 100},
+		"times unknown":          {slots: 8, want: 20},
+		"long requests":          {slots: 8, hold: 2 * time.Second, wanted: 400 * time.Millisecond, want: 16},
+		"short requests":         {slots: 8, hold: 20 * time.Millisecond, wanted: 100 * time.Millisecond, want: 36},
+		"at most three per slot": {slots: 8, hold: time.Millisecond, wanted: time.Second, want: 48},
+		"requests in flight":     {slots: 8, hold: 2 * time.Second, wanted: 400 * time.Millisecond, taken: 5, want: 11},
+		"slots unknown":          {want: 100},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -40,9 +40,9 @@
 		happens func(b *balance.Balancer)
 		leftOut bool
 	}{
-		"nobody suspects it": {func(*balance.Balancer) {}, false},
-		"one gateway":        {func(b *balance.Balancer) { b.ObserveSuspects("g1", suspect, start) }, false},
-		"the same one, twice": {func(b *balance.Balancer) {
+		"no gateway":  {func(*balance.Balancer) {}, false},
+		"one gateway": {func(b *balance.Balancer) { b.ObserveSuspects("g1", suspect, start) }, false},
+		"one gateway, twice": {func(b *balance.Balancer) {
 			b.ObserveSuspects("g1", suspect, start)
 			b.ObserveSuspects("g1", suspect, start)
 		}, false},
@@ -50,19 +50,19 @@
 			b.ObserveSuspects("g1", suspect, start)
 			b.ObserveSuspects("g2", suspect, start)
 		}, true},
-		"one and this one": {func(b *balance.Balancer) { b.ObserveSuspects("g1", suspect, start); lose(b, "t1", 1, start) }, true},
-		"this one alone":   {func(b *balance.Balancer) { lose(b, "t1", 1, start) }, false},
-		"one of two takes it back": {func(b *balance.Balancer) {
+		"one gateway and this one": {func(b *balance.Balancer) { b.ObserveSuspects("g1", suspect, start); lose(b, "t1", 1, start) }, true},
+		"only this gateway":        {func(b *balance.Balancer) { lose(b, "t1", 1, start) }, false},
+		"one of two no longer suspects it": {func(b *balance.Balancer) {
 			b.ObserveSuspects("g1", suspect, start)
 			b.ObserveSuspects("g2", suspect, start)
 			b.ObserveSuspects("g2", nil, start)
 		}, false},
-		"it has answered here since": {func(b *balance.Balancer) {
+		"answered here since": {func(b *balance.Balancer) {
 			b.ObserveSuspects("g1", suspect, start.Add(-time.Second))
 			b.ObserveSuspects("g2", suspect, start.Add(-time.Second))
 			b.Release("t1", balance.Good, start.Add(-time.Second/2))
 		}, false},
-		"not repeated for long": {func(b *balance.Balancer) {
+		"expired": {func(b *balance.Balancer) {
 			b.ObserveSuspects("g1", suspect, start.Add(-2*time.Second))
 			b.ObserveSuspects("g2", suspect, start.Add(-2*time.Second))
 		}, false},
--- a/internal/balance/totals_test.go
+++ b/internal/balance/totals_test.go
@@ -160,9 +160,9 @@
 		// maxLoad is the largest load allowed, as a multiple of the slots.
 		maxLoad float64
 	}{
-		"sixteen":             {16, 1, 1.25},
-		"a hundred and three": {103, 1, 1.35},
-		"the whole fleet":     {385, 5, 1.35},
+		"sixteen":                       {16, 1, 1.25},
+		"a hundred and three":           {103, 1, 1.35},
+		"three hundred and eighty-five": {385, 5, 1.35},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -211,11 +211,11 @@
 		peers, heard int
 		load         int
 	}{
-		"all":          {40, 40, 3},
-		"half":         {40, 20, 6},
-		"a few":        {40, 2, 12},
-		"more than so": {40, 60, 3},
-		"few gateways": {3, 1, 3},
+		"all":                {40, 40, 3},
+		"half":               {40, 20, 6},
+		"a few":              {40, 2, 12},
+		"more than expected": {40, 60, 3},
+		"few gateways":       {3, 1, 3},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -241,13 +241,13 @@
 		at     time.Duration
 		load   int
 	}{
-		"all is counted":           {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 4}}, true, 0, 4},
-		"some is not":              {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 0, 6},
-		"another service's":        {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service + 1, Count: 12}}, true, 0, 4},
-		"few gateways":             {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, false, 0, 4},
-		"the counts are too old":   {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 3 * time.Second, 3},
-		"the totals are, too":      {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 6 * time.Second, 0},
-		"fewer in all than counts": {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 1}}, true, 0, 4},
+		"all counted":               {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 4}}, true, 0, 4},
+		"some uncounted":            {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 0, 6},
+		"another service":           {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service + 1, Count: 12}}, true, 0, 4},
+		"few gateways":              {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, false, 0, 4},
+		"expired counts":            {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 3 * time.Second, 3},
+		"expired counts and totals": {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 12}}, true, 6 * time.Second, 0},
+		"total below the counts":    {[]balance.Count{{Target: policy.HashName("t0"), Count: 4}}, []balance.Total{{Service: service, Count: 1}}, true, 0, 4},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -287,10 +287,10 @@
 		age   time.Duration
 		load  int
 	}{
-		"a hundred, as old as allowed": {102, 5 * time.Second, 3},
-		"a hundred, too old":           {102, 5100 * time.Millisecond, 0},
-		"hundreds, older":              {370, 17 * time.Second, 3},
-		"hundreds, too old":            {370, 18 * time.Second, 0},
+		"a hundred, at the limit": {102, 5 * time.Second, 3},
+		"a hundred, too old":      {102, 5100 * time.Millisecond, 0},
+		"hundreds, older":         {370, 17 * time.Second, 3},
+		"hundreds, too old":       {370, 18 * time.Second, 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -66,48 +66,48 @@
 		exclude  []string
 		want     []string
 	}{
-		"all":                 {want: slices.Concat(news, olds)},
-		"one":                 {versions: onlyNew, want: news},
-		"not one":             {versions: notNew, want: olds},
-		"rather one":          {versions: preferNew, want: news},
-		"one that nobody has": {versions: balance.Versions{Only: "newer"}},
-		"a further attempt":   {versions: notNew, exclude: []string{"old0", "new1"}, want: olds[1:]},
-		"an ejected one":      {versions: onlyNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
-		"at least half of the version serve": {versions: onlyNew, before: func(b *balance.Balancer) {
+		"all":             {want: slices.Concat(news, olds)},
+		"only one":        {versions: onlyNew, want: news},
+		"excluding one":   {versions: notNew, want: olds},
+		"preferring one":  {versions: preferNew, want: news},
+		"unknown version": {versions: balance.Versions{Only: "newer"}},
+		"second attempt":  {versions: notNew, exclude: []string{"old0", "new1"}, want: olds[1:]},
+		"ejected target":  {versions: onlyNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"most of the version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range news[1:] {
 				eject(b, id)
 			}
 		}, want: news[:2]},
-		"others that are ejected change nothing": {versions: onlyNew, before: func(b *balance.Balancer) {
+		"other version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range olds {
 				eject(b, id)
 			}
 		}, want: news},
-		"rather one that has none left": {versions: preferNew, before: func(b *balance.Balancer) {
+		"preferring one that is leaving": {versions: preferNew, before: func(b *balance.Balancer) {
 			for i := range 4 {
 				leaving := versioned(fmt.Sprint("new", i), "new")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
 		}, want: olds},
-		"rather one of which some are left": {versions: preferNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
-		"their entries lapse": {versions: onlyOld, before: func(b *balance.Balancer) {
+		"preferring one with an ejected target": {versions: preferNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"all entries expire": {versions: onlyOld, before: func(b *balance.Balancer) {
 			for _, id := range slices.Concat(olds, news) {
 				b.Drop(id, start)
 			}
 		}, want: olds},
-		"the others are taken away": {versions: onlyNew, before: func(b *balance.Balancer) {
+		"other version unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range olds {
 				b.Drop(id, start)
 			}
 		}, want: news},
-		"the others and one of them are taken away": {versions: onlyNew, before: func(b *balance.Balancer) {
+		"other version and one target unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
 			for _, id := range append(slices.Clone(olds), "new3") {
 				b.Drop(id, start)
 			}
 		}, want: news[:3]},
-		"an entry states its version later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(news), "old2")},
-		"evacuated":                         {versions: onlyNew, before: func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }},
+		"version stated later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(news), "old2")},
+		"evacuated":            {versions: onlyNew, before: func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -149,29 +149,29 @@
 		before func(b *balance.Balancer)
 		want   []string
 	}{
-		"a tenth of fifty":        {each: 50, share: 0.1, want: firstNew(seed, 50, 5)},
-		"more than a tenth":       {each: 50, share: 0.11, want: firstNew(seed, 50, 6)},
-		"of four":                 {each: 4, share: 0.1, want: firstNew(seed, 4, 2)},
-		"of one":                  {each: 1, share: 0.1, want: []string{"new0"}},
-		"all, where none is said": {each: 6, share: 0, want: firstNew(seed, 6, 6)},
-		"more than there are":     {each: 6, share: 1, want: firstNew(seed, 6, 6)},
-		"an ejected one is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		"a tenth of fifty":            {each: 50, share: 0.1, want: firstNew(seed, 50, 5)},
+		"more than a tenth":           {each: 50, share: 0.11, want: firstNew(seed, 50, 6)},
+		"of four":                     {each: 4, share: 0.1, want: firstNew(seed, 4, 2)},
+		"of one":                      {each: 1, share: 0.1, want: []string{"new0"}},
+		"no share":                    {each: 6, share: 0, want: firstNew(seed, 6, 6)},
+		"more targets than available": {each: 6, share: 1, want: firstNew(seed, 6, 6)},
+		"ejected target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			eject(b, firstNew(seed, 50, 1)[0])
 		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
-		"one that is evacuated is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		"evacuated target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			moved := versioned(firstNew(seed, 50, 1)[0], "new")
 			moved.DataCenter = "b"
 			b.Put(moved, start)
 			b.SetEvacuated("b", true, start)
 		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
-		"one that is cold is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		"cold target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			b.SetCold("s", balance.ColdBound{Rate: 0.0001, Start: time.Minute})
 			b.SetGateways(balance.Gateways{Count: 1000, Place: 500})
 			cold := versioned(firstNew(seed, 50, 1)[0], "new")
 			cold.ColdFor = time.Minute
 			b.Put(cold, start)
 		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
-		"others that leave don't count": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		"leaving targets of the other version": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			for i := range 20 {
 				leaving := versioned(fmt.Sprint("old", i), "old")
 				leaving.Leaving = true
@@ -198,12 +198,12 @@
 		peers    int
 		want     int
 	}{
-		"all":                      {want: 18},
-		"one":                      {versions: balance.Versions{Only: "new"}, want: 8},
-		"not one":                  {versions: balance.Versions{Excluded: []string{"new"}}, want: 10},
-		"all, among many":          {peers: 20, want: 18},
-		"one, among many":          {versions: balance.Versions{Only: "new"}, peers: 20, want: 8},
-		"one of none, nothing yet": {versions: balance.Versions{Only: "newer"}, want: 100},
+		"all":                     {want: 18},
+		"only one":                {versions: balance.Versions{Only: "new"}, want: 8},
+		"excluding one":           {versions: balance.Versions{Excluded: []string{"new"}}, want: 10},
+		"all, many gateways":      {peers: 20, want: 18},
+		"only one, many gateways": {versions: balance.Versions{Only: "new"}, peers: 20, want: 8},
+		"unknown version":         {versions: balance.Versions{Only: "newer"}, want: 100},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -232,11 +232,11 @@
 		source                    balance.Source
 		from                      string
 	}{
-		"none stated":              {"", "", "", balance.SourceKnown, "old0"},
-		"the same":                 {"w1", "w1", "w1", balance.SourceKnown, "old0"},
-		"others":                   {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
-		"one states none":          {"", "w2", "w2", balance.SourceGuessed, "new1"},
-		"others, nothing to guess": {"w1", "w2", "w1", balance.SourceNone, ""},
+		"not stated":                      {"", "", "", balance.SourceKnown, "old0"},
+		"same weights":                    {"w1", "w1", "w1", balance.SourceKnown, "old0"},
+		"other weights":                   {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
+		"holder states none":              {"", "w2", "w2", balance.SourceGuessed, "new1"},
+		"other weights, nothing to guess": {"w1", "w2", "w1", balance.SourceNone, ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -265,7 +265,7 @@
 	for name, tc := range map[string]struct {
 		weights string
 		fills   int
-	}{"the same": {"w1", 0}, "others": {"w2", 1}} {
+	}{"same weights": {"w1", 0}, "other weights": {"w2", 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := balance.New(balance.DefaultOptions())
@@ -290,11 +290,11 @@
 		versions balance.Versions
 		asked    int
 	}{
-		"all":         {asked: 0},
-		"its version": {versions: balance.Versions{Only: "old"}, asked: 0},
-		"another":     {versions: balance.Versions{Only: "new"}, asked: 1},
-		"not its own": {versions: balance.Versions{Excluded: []string{"old"}}, asked: 1},
-		"rather":      {versions: balance.Versions{Preferred: "new"}, asked: 1},
+		"all":                            {asked: 0},
+		"version of the holder":          {versions: balance.Versions{Only: "old"}, asked: 0},
+		"other version":                  {versions: balance.Versions{Only: "new"}, asked: 1},
+		"excluding the holder's version": {versions: balance.Versions{Excluded: []string{"old"}}, asked: 1},
+		"preferring another version":     {versions: balance.Versions{Preferred: "new"}, asked: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -330,7 +330,7 @@
 // allocate.
 func TestChooseVersionsAllocs(t *testing.T) {
 	for name, versions := range map[string]balance.Versions{
-		"all": {}, "not": {Excluded: []string{"new"}}, "rather": {Preferred: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
+		"all": {}, "not": {Excluded: []string{"new"}}, "preferring another version": {Preferred: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := twoVersions(50)
@@ -358,11 +358,11 @@
 		source balance.Source
 		unread int
 	}{
-		"nobody holds anything":      {nil, balance.SourceGuessed, 700},
-		"the target holds it":        {[]balance.Placement{placement(13, "t0")}, balance.SourceHeld, 0},
-		"another one does":           {[]balance.Placement{placement(13, "t1")}, balance.SourceKnown, 0},
-		"the target holds the first": {[]balance.Placement{placement(11, "t0")}, balance.SourceHeld, 600},
-		"another one holds more":     {[]balance.Placement{placement(11, "t0"), placement(12, "t1")}, balance.SourceKnown, 400},
+		"no holder":                     {nil, balance.SourceGuessed, 700},
+		"held by the target":            {[]balance.Placement{placement(13, "t0")}, balance.SourceHeld, 0},
+		"held by another":               {[]balance.Placement{placement(13, "t1")}, balance.SourceKnown, 0},
+		"first part held by the target": {[]balance.Placement{placement(11, "t0")}, balance.SourceHeld, 600},
+		"more held by another":          {[]balance.Placement{placement(11, "t0"), placement(12, "t1")}, balance.SourceKnown, 400},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -403,8 +403,8 @@
 	}{
 		"all":                            {load: 6},
 		"a single version, all admitted": {admitting: balance.Versions{Excluded: []string{"older"}, Preferred: "new"}, load: 6},
-		"one of two":                     {admitting: balance.Versions{Excluded: []string{"old"}}, old: 2, load: 6},
-		"both of two":                    {admitting: balance.Versions{Excluded: []string{"older"}}, old: 2, load: 3},
+		"one of two versions":            {admitting: balance.Versions{Excluded: []string{"old"}}, old: 2, load: 6},
+		"both versions":                  {admitting: balance.Versions{Excluded: []string{"older"}}, old: 2, load: 3},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -438,10 +438,10 @@
 		versions balance.Versions
 		waits    bool
 	}{
-		"the same weights":                 {"w1", balance.Versions{Only: "new"}, true},
-		"others":                           {"w2", balance.Versions{Only: "new"}, false},
-		"others, and its own are admitted": {"w2", balance.Versions{}, true},
-		"others, and only its own are":     {"w2", balance.Versions{Excluded: []string{"new"}}, true},
+		"same weights":                             {"w1", balance.Versions{Only: "new"}, true},
+		"other weights":                            {"w2", balance.Versions{Only: "new"}, false},
+		"other weights, all versions admitted":     {"w2", balance.Versions{}, true},
+		"other weights, only the reader's version": {"w2", balance.Versions{Excluded: []string{"new"}}, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
