--- a/internal/policy/choose.go
+++ b/internal/policy/choose.go
@@ -2,39 +2,38 @@
 
 import "math/rand/v2"
 
-// Hint is what a router believes of a target; it may be stale or missing.
+// Hint is a router's view of a target; it may be stale or missing.
 type Hint struct {
-	// InFlight and Limit are from the agent's last word; Limit is zero when
-	// nothing is known.
+	// InFlight and Limit are from the agent's last report; Limit is zero if unknown.
 	InFlight uint32
 	Limit    uint32
-	// Leaving targets take nothing new.
+	// Leaving reports whether the target is shutting down and takes no new requests.
 	Leaving bool
-	// Down targets could not be reached a moment ago.
+	// Down reports whether the target could not be reached a moment ago.
 	Down bool
 }
 
-// Usable says whether the target may be tried at all.
+// Usable reports whether the target may be tried at all.
 func (h Hint) Usable() bool {
 	return !h.Leaving && !h.Down
 }
 
-// Full says whether the target is believed to be at its bound.
+// Full reports whether the target is assumed to be at its bound.
 func (h Hint) Full() bool {
 	return h.Limit > 0 && h.InFlight >= h.Limit
 }
 
-// Hints looks up the hint of a target number.
+// Hints returns the hint of a target number.
 type Hints func(number uint32) Hint
 
-// samples is how many random targets stand against each other when a chat's
-// own choices are full.
-const samples = 2
+// sampleSize is how many random targets are compared when the targets of a chat's slot are
+// full.
+const sampleSize = 2
 
-// Choose picks the target to try for a chat: its own targets in order, past
-// those that are believed full, leaving or down; when all are, the less loaded
-// of two random ones. tried are the target numbers that have refused already.
-// It returns false when the pool has nothing usable left.
+// Choose picks the target to try for a chat: the first target in the slot's order that is not
+// assumed to be full, leaving or down. If there is none, it picks the less loaded of two
+// random targets. tried holds the numbers of the targets that have already refused. It returns
+// false if the pool has no usable target left.
 func (p *Places) Choose(chat uint64, hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
 	for _, number := range p.Order(SlotOf(chat)) {
 		hint := hints(number)
@@ -42,16 +41,16 @@
 			return number, true
 		}
 	}
-	return p.lighter(hints, random, tried)
+	return p.lessLoadedOfSample(hints, random, tried)
 }
 
-// lighter picks among a few random targets the one with most room.
-func (p *Places) lighter(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
-	const mostDraws = 16
+// lessLoadedOfSample picks the target with the most room among a few random ones.
+func (p *Places) lessLoadedOfSample(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
+	const maxDraws = 16
 	best := none
 	var bestHint Hint
 	found := 0
-	for draw := 0; draw < mostDraws && found < samples; draw++ {
+	for draw := 0; draw < maxDraws && found < sampleSize; draw++ {
 		number := uint32(random.IntN(max(len(p.names), 1)))
 		if int(number) >= len(p.names) || p.names[number] == "" || contains(tried, number) {
 			continue
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// Wanted is a model and how many engines should hold it.
+// Wanted is a model and the number of engines that should hold it.
 type Wanted struct {
 	Model    string
 	Replicas int
 }
 
-// Holder is an engine whose model may be changed, and the model it holds now;
-// empty for none.
+// Holder is an engine whose model may be changed, and the model that it holds now; empty for
+// none.
 type Holder struct {
 	Engine string
 	Holds  string
 }
 
-// Assign says which model each engine should hold. Every agent works it out by
-// itself; those that see the same engines agree, whatever the order. An engine
-// keeps its model unless another model lacks engines, so that engines that come
-// and go cause few loads.
+// Assign returns which model each engine should hold. Every agent computes it independently;
+// agents that see the same engines get the same result, regardless of the order. An engine
+// keeps its model unless another model lacks engines, so that engines that leave and join
+// cause few model loads.
 func Assign(wanted []Wanted, engines []Holder) map[string]string {
 	a := newAssignment(wanted, engines)
 	for _, want := range a.wanted {
@@ -32,7 +32,7 @@
 	}
 	for _, engine := range a.engines {
 		if _, done := a.result[engine.Engine]; !done {
-			a.result[engine.Engine] = a.rest(engine)
+			a.result[engine.Engine] = a.fallback(engine)
 		}
 	}
 	return a.result
@@ -56,7 +56,7 @@
 	return a
 }
 
-// byRank orders engines by rendezvous for a model.
+// byRank returns the engines in rendezvous order for a model.
 func (a *assignment) byRank(model string) []Holder {
 	hash := HashName("placement/" + model)
 	ranked := slices.Clone(a.engines)
@@ -69,16 +69,16 @@
 	return ranked
 }
 
-// keep leaves a model where it is, on as many engines as wanted.
+// keep leaves a model on the engines that hold it, up to the wanted number.
 func (a *assignment) keep(want Wanted) {
 	for _, engine := range a.byRank(want.Model) {
 		if engine.Holds == want.Model && a.count[want.Model] < want.Replicas {
-			a.give(engine, want.Model)
+			a.assign(engine, want.Model)
 		}
 	}
 }
 
-// fill gives a model that lacks engines those that are free, empty ones first.
+// fill assigns free engines to a model that lacks engines, empty ones first.
 func (a *assignment) fill(want Wanted) {
 	ranked := a.byRank(want.Model)
 	slices.SortStableFunc(ranked, func(x, y Holder) int {
@@ -89,19 +89,19 @@
 			return
 		}
 		if _, taken := a.result[engine.Engine]; !taken {
-			a.give(engine, want.Model)
+			a.assign(engine, want.Model)
 		}
 	}
 }
 
-func (a *assignment) give(engine Holder, model string) {
+func (a *assignment) assign(engine Holder, model string) {
 	a.result[engine.Engine] = model
 	a.count[model]++
 }
 
-// rest is the model of an engine that nobody needs: its own if that is still
-// wanted at all, else none.
-func (a *assignment) rest(engine Holder) string {
+// fallback returns the model of an engine that no model needs: its own if that is still wanted
+// at all, otherwise none.
+func (a *assignment) fallback(engine Holder) string {
 	if slices.ContainsFunc(a.wanted, func(w Wanted) bool { return w.Model == engine.Holds && w.Replicas > 0 }) {
 		return engine.Holds
 	}
--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// Every model gets its engines while there are enough, no engine gets two, and
-// the order in which engines are listed does not matter.
+// TestAssign checks that every model gets its engines while there are enough, no engine gets
+// two models, and the order in which engines are listed does not matter.
 func TestAssign(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var wanted []Wanted
@@ -42,7 +42,7 @@
 		if !maps.Equal(got, Assign(wanted, shuffled)) {
 			rt.Fatal("the order of engines matters")
 		}
-		// What is assigned stays: working it out again changes nothing.
+		// The assignment is stable: computing it again changes nothing.
 		for i := range engines {
 			engines[i].Holds = got[engines[i].Engine]
 		}
@@ -52,14 +52,15 @@
 	})
 }
 
-// An engine that goes and comes back causes one load, not two.
-func TestComingBackCausesNoLoad(t *testing.T) {
+// TestReturningEngineCausesOneLoad checks that an engine that leaves and returns causes one
+// model load, not two.
+func TestReturningEngineCausesOneLoad(t *testing.T) {
 	is := is.New(t)
 	wanted := []Wanted{{"a", 3}, {"b", 2}}
 	holds := make(map[string]string)
 	names := []string{"e0", "e1", "e2", "e3", "e4", "e5", "e6"}
 	loads := 0
-	round := func(up []string) {
+	assignAll := func(up []string) {
 		var engines []Holder
 		for _, name := range up {
 			engines = append(engines, Holder{Engine: name, Holds: holds[name]})
@@ -71,18 +72,18 @@
 			holds[name] = model
 		}
 	}
-	round(names)
+	assignAll(names)
 	is.Equal(loads, 5)
-	victim := ""
+	returning := ""
 	for _, name := range names {
 		if holds[name] == "a" {
-			victim = name
+			returning = name
 		}
 	}
-	up := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == victim })
+	up := slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == returning })
 	for range 10 {
-		round(up)
-		round(names)
+		assignAll(up)
+		assignAll(names)
 	}
 	is.Equal(loads, 6)
 }
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -26,8 +26,8 @@
 	return names
 }
 
-// Whatever the order in which targets come and go, two processes with the same
-// targets have the same order for every slot.
+// TestOrderDependsOnlyOnTheSet checks that two processes with the same targets have the same
+// order for every slot, regardless of the order in which targets joined and left.
 func TestOrderDependsOnlyOnTheSet(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 1))
 	names := engineNames(30)
@@ -48,7 +48,7 @@
 	}
 }
 
-// A target that comes or goes moves only the chats that it gets or loses.
+// TestChangeMovesFewChats checks that adding a target moves only the chats that it gets.
 func TestChangeMovesFewChats(t *testing.T) {
 	is := is.New(t)
 	before := NewPlaces(engineNames(50))
@@ -59,7 +59,7 @@
 		was, now := namesOf(before, slot)[0], namesOf(after, slot)[0]
 		if was != now {
 			moved++
-			is.Equal(now, "engine-new") // nobody moves between old targets
+			is.Equal(now, "engine-new") // no chat moves between old targets
 		}
 	}
 	share := float64(moved) / Slots
@@ -68,8 +68,8 @@
 
 func noHints(uint32) Hint { return Hint{} }
 
-// A search never asks a target twice in a row, ends, and only asks targets
-// that are usable.
+// TestSearchEnds checks that a search ends and asks only usable targets, a limited number of
+// times.
 func TestSearchEnds(t *testing.T) {
 	places := NewPlaces(engineNames(12))
 	rapid.Check(t, func(rt *rapid.T) {
@@ -92,7 +92,7 @@
 			if !usable[ask.Number] {
 				rt.Fatalf("asked %d, which is down", ask.Number)
 			}
-			if asked++; asked > 2*mostTried+Homes {
+			if asked++; asked > 2*maxTried+Homes {
 				rt.Fatalf("asked %d times", asked)
 			}
 			outcome := []Outcome{NotHeld, Full, Gone}[rapid.IntRange(0, 2).Draw(rt, "outcome")]
@@ -147,11 +147,11 @@
 	}
 }
 
-// BenchmarkDecision is one search's first attempt.
+// BenchmarkDecision measures the first attempt of a search.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedPlaces(engineNames(n))
+			places := sharedTable(engineNames(n))
 			table := make([]Hint, n)
 			random := rand.New(rand.NewPCG(1, 2))
 			for i := range table {
@@ -169,11 +169,11 @@
 	}
 }
 
-// BenchmarkPlacesChange is one target leaving and one joining.
-func BenchmarkPlacesChange(b *testing.B) {
+// BenchmarkSlotTableChange measures one target leaving and one joining.
+func BenchmarkSlotTableChange(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedPlaces(engineNames(n)).Clone()
+			places := sharedTable(engineNames(n)).Clone()
 			for b.Loop() {
 				places.Remove("engine-00007")
 				places.Add("engine-00007")
@@ -182,8 +182,8 @@
 	}
 }
 
-// BenchmarkPlacesBuild is a router's start.
-func BenchmarkPlacesBuild(b *testing.B) {
+// BenchmarkSlotTableBuild measures building the table at a router's start.
+func BenchmarkSlotTableBuild(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			names := engineNames(n)
--- a/internal/policy/rendezvous.go
+++ b/internal/policy/rendezvous.go
@@ -1,5 +1,5 @@
-// Package policy holds decisions without I/O: which targets a chat prefers,
-// which of them to try now, and how large a target's share may be.
+// Package policy implements decisions without I/O: which targets a chat prefers, which of them
+// to try now, and how large a target's share may be.
 package policy
 
 import (
@@ -16,7 +16,7 @@
 	mixShift  = 33
 )
 
-// mix spreads the bits of a number over all its bits.
+// mix spreads each bit of a number over all bits.
 func mix(x uint64) uint64 {
 	x ^= x >> mixShift
 	x *= mixFirst
@@ -26,10 +26,10 @@
 	return x
 }
 
-// Score is the rendezvous weight of a place for a hashed key: the place with
-// the highest score comes first, on every process alike.
-func Score(key, place uint64) uint64 {
-	return mix(key ^ place)
+// Score returns the rendezvous score of a node for a hashed key. The node with the highest
+// score ranks first, in every process.
+func Score(key, node uint64) uint64 {
+	return mix(key ^ node)
 }
 
 // HashName hashes a name for use with Score.
@@ -37,8 +37,8 @@
 	return mix(xxhash.Sum64String(name))
 }
 
-// Rank orders names by rendezvous for a key, the first choice first; the order
-// of the input does not matter.
+// Rank returns names in rendezvous order for a key, best first. The order of the input does
+// not matter.
 func Rank(key string, names []string) []string {
 	hashed := HashName(key)
 	ranked := slices.Clone(names)
@@ -51,7 +51,8 @@
 	return ranked
 }
 
-// First is the first name of Rank without ordering the rest; empty for none.
+// First returns the first name of Rank without ranking the others; empty if there are no
+// names.
 func First(key string, names []string) string {
 	hashed := HashName(key)
 	best := ""
@@ -66,8 +67,8 @@
 	return best
 }
 
-// Home is the first target of a chat among names, in the same order as Places
-// has it; empty for none. It is for a few chats: Places is for many.
+// Home returns the first target of a chat among names, in the same order as SlotTable; empty
+// if there are no names. It is meant for a few chats; SlotTable is for many.
 func Home(chat uint64, names []string) string {
 	hash := slotHash(SlotOf(chat))
 	best := ""
--- a/internal/policy/search.go
+++ b/internal/policy/search.go
@@ -3,18 +3,18 @@
 import "math/rand/v2"
 
 const (
-	// Homes is how many of a chat's first targets it may have been placed at:
-	// a new chat goes to the least loaded of them, so that targets with room
-	// fill up first, and a returning one is looked for there.
+	// Homes is how many of the first targets in its order a chat may be placed at. A new chat
+	// goes to the least loaded of them, so that targets with room fill up first, and a
+	// returning chat is looked for there.
 	Homes = 4
-	// mostFull is how many targets may refuse for their load before the
-	// request asks to wait in a queue.
-	mostFull = 3
-	// mostTried bounds all attempts of one search.
-	mostTried = 16
+	// maxFull is how many targets may refuse because of their load before the request asks to
+	// wait in a queue.
+	maxFull = 3
+	// maxTried limits the attempts of one search.
+	maxTried = 16
 )
 
-// Ask is one attempt: which target, and how.
+// Attempt is one attempt: the target and the conditions.
 type Ask struct {
 	Number uint32
 	// OnlyHeld asks the target to refuse a chat that it does not hold.
@@ -23,10 +23,10 @@
 	Wait bool
 }
 
-// Outcome is how an attempt that ran nothing ended.
+// Outcome is the result of an attempt that did not run the request.
 type Outcome int
 
-// The outcomes that a search goes on from.
+// The outcomes after which a search continues.
 const (
 	// NotHeld: the target does not hold the chat.
 	NotHeld Outcome = iota
@@ -36,43 +36,43 @@
 	Gone
 )
 
-// Search finds a target for one request, attempt by attempt. The zero value
-// with its first fields set is ready.
+// Search finds a target for one request, attempt by attempt. The zero value with its exported
+// fields set is ready to use.
 type Search struct {
 	Places *Places
 	// Chat is the chat's hash.
 	Chat uint64
-	// Returning says that the chat has been answered before.
+	// Returning reports whether the chat has been answered before.
 	Returning bool
-	// Token is the target that the caller's token names; valid if HasToken.
+	// Token is the target named by the caller's token; valid if HasToken.
 	Token    uint32
 	HasToken bool
-	// Patient requests ask to wait as soon as one target was full.
+	// Patient makes the request ask to wait as soon as one target was full.
 	Patient bool
 
-	tried [mostTried]uint32
+	tried [maxTried]uint32
 	count int
-	// probed counts the homes looked at for a returning chat.
+	// probed counts the homes checked for a returning chat.
 	probed int
 	full   int
-	// queued says that a target was asked to queue the request.
+	// queued reports whether a target was asked to queue the request.
 	queued bool
 	last   Ask
 }
 
-// Next gives the next attempt; false when nothing is left to try.
+// Next returns the next attempt; false if nothing is left to try.
 func (s *Search) Next(hints Hints, random *rand.Rand) (Ask, bool) {
 	ask, ok := s.next(hints, random)
 	if !ok && s.full > 0 && !s.queued {
-		// All that are left are full: one of them may queue the request.
+		// All remaining targets are full: one of them may queue the request.
 		s.count = 0
-		s.full = max(s.full, mostFull)
+		s.full = max(s.full, maxFull)
 		ask, ok = s.next(hints, random)
 	}
-	if !ok || s.count == mostTried {
+	if !ok || s.count == maxTried {
 		return Ask{}, false
 	}
-	ask.Wait = s.full >= mostFull || s.Patient && s.full > 0
+	ask.Wait = s.full >= maxFull || s.Patient && s.full > 0
 	s.queued = s.queued || ask.Wait
 	s.tried[s.count] = ask.Number
 	s.count++
@@ -80,12 +80,12 @@
 	return ask, true
 }
 
-// After takes in how the last attempt ended; false when the search is over
+// After records the outcome of the last attempt. It returns false if the search is over
 // because even a queue had no room.
 func (s *Search) After(outcome Outcome) bool {
 	switch outcome {
 	case NotHeld:
-		// It may still be the best place for the chat as a new one.
+		// The target may still be the best one for the chat as a new one.
 		s.count--
 	case Full:
 		s.full++
@@ -106,15 +106,15 @@
 	if number, ok := s.probe(hints); ok {
 		return Ask{Number: number, OnlyHeld: true}, true
 	}
-	if number, ok := s.lightestHome(hints); ok {
+	if number, ok := s.leastLoadedHome(hints); ok {
 		return Ask{Number: number}, true
 	}
 	number, ok := s.Places.Choose(s.Chat, hints, random, s.tried[:s.count])
 	return Ask{Number: number}, ok
 }
 
-// probe looks for a returning chat at its homes, in order, until one was
-// full: then that one holds it.
+// probe looks for a returning chat at its homes, in order, until one was full: that one is
+// assumed to hold the chat.
 func (s *Search) probe(hints Hints) (uint32, bool) {
 	if !s.Returning || s.full > 0 {
 		return 0, false
@@ -135,9 +135,9 @@
 	return order[:min(len(order), Homes)]
 }
 
-// lightestHome is the home with the most room; those believed full are left
-// for later.
-func (s *Search) lightestHome(hints Hints) (uint32, bool) {
+// leastLoadedHome returns the home with the most room. Homes that are assumed to be full are
+// skipped.
+func (s *Search) leastLoadedHome(hints Hints) (uint32, bool) {
 	best := none
 	var bestHint Hint
 	for _, number := range s.homes() {
--- a/internal/policy/trial_pickers_test.go
+++ b/internal/policy/trial_pickers_test.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// pickers are our policy and what it is compared with.
+// pickers returns this package's policy and those that it is compared with.
 func pickers() []picker {
 	usable := func(t *trial, router int, number uint32, tried []uint32) bool {
 		return !slices.Contains(tried, number) && t.hint(router, number).Usable()
@@ -20,8 +20,8 @@
 	}
 	robin := func(t *trial, router int, _ *trialChat, tried []uint32) (uint32, bool) {
 		for range 64 {
-			t.turn[router]++
-			number := uint32((t.turn[router] + router*31) % len(t.engines))
+			t.turns[router]++
+			number := uint32((t.turns[router] + router*31) % len(t.engines))
 			if usable(t, router, number, tried) {
 				return number, true
 			}
@@ -29,8 +29,8 @@
 		return 0, false
 	}
 	least := func(t *trial, router int, _ *trialChat, tried []uint32) (uint32, bool) {
-		// Of the engines it knows, those with the least load; at thousands of
-		// engines a sample of 64 keeps the trial's own cost down.
+		// Picks the engine with the least known load. With thousands of engines a sample of 64
+		// limits the cost of the trial.
 		best, found := uint32(0), false
 		for range min(len(t.engines), 64) {
 			number := uint32(t.random.IntN(len(t.engines)))
@@ -49,7 +49,7 @@
 		return a, okA
 	}
 	plain := func(t *trial, router int, chat *trialChat, tried []uint32) (uint32, bool) {
-		for _, number := range t.places.Order(SlotOf(chat.hash)) {
+		for _, number := range t.table.Order(SlotOf(chat.hash)) {
 			if usable(t, router, number, tried) {
 				return number, true
 			}
@@ -57,7 +57,7 @@
 		return random(t, router, chat, tried)
 	}
 	bounded := func(t *trial, router int, chat *trialChat, tried []uint32) (uint32, bool) {
-		return t.places.Choose(chat.hash, func(number uint32) Hint { return t.hint(router, number) }, t.random, tried)
+		return t.table.Choose(chat.hash, func(number uint32) Hint { return t.hint(router, number) }, t.random, tried)
 	}
 	return []picker{
 		{name: "capersaddle", bounded: true, tokens: 9},
--- a/internal/policy/trial_scenarios_test.go
+++ b/internal/policy/trial_scenarios_test.go
@@ -1,27 +1,27 @@
 package policy
 
-// scenario is what happens during a trial.
+// scenario describes the events of a trial.
 type scenario struct {
 	name string
-	// rate scales the rate of requests at a second.
+	// rate returns the factor on the request rate at a second.
 	rate func(second int) float64
-	// returning is the share of requests that return to a chat at a second.
+	// returning returns the share of requests that return to a chat at a second.
 	returning func(second int) float64
-	// long says that returning chats are the longest ones.
+	// long reports whether returning chats are the longest ones.
 	long func(second int) bool
-	// down says whether an engine is away at a second.
+	// down reports whether an engine is away at a second.
 	down func(engine, second int) bool
-	// stale is the share of routers whose lists are 15 s old.
+	// stale is the share of routers whose target lists are 15 s old.
 	stale float64
 }
 
-func flat(rate float64) func(int) float64 { return func(int) float64 { return rate } }
+func constant(rate float64) func(int) float64 { return func(int) float64 { return rate } }
 
 func scenarios() []scenario {
 	usual := func(int) float64 { return 0.7 }
 	never := func(int) bool { return false }
 	up := func(int, int) bool { return false }
-	steady := scenario{name: "steady", rate: flat(1), returning: usual, long: never, down: up}
+	steady := scenario{name: "steady", rate: constant(1), returning: usual, long: never, down: up}
 	surge := steady
 	surge.name = "surge"
 	surge.rate = func(second int) float64 {
@@ -54,7 +54,7 @@
 	churn := steady
 	churn.name = "churn"
 	churn.down = func(engine, second int) bool {
-		// A tenth of the engines goes within a minute, each for 30 s.
+		// A tenth of the engines goes away within a minute, each for 30 s.
 		gone := engine % 10
 		from := engine * 7 % 60
 		return gone == 0 && second >= from && second < from+30
--- a/internal/policy/trial_test.go
+++ b/internal/policy/trial_test.go
@@ -9,36 +9,36 @@
 	"testing"
 )
 
-// The trial plays routers and engines in steps of a tenth of a second: real
-// decision code, simple engines, hints that are late, lost and partial. It is
-// for comparing policies within one run, not for absolute figures.
+// The trial simulates routers and engines in steps of a tenth of a second: real decision code,
+// simplified engines, and hints that are late, lost and partial. It is for comparing policies
+// within one run, not for absolute figures.
 
 const (
 	stepsPerSecond = 10
 	trialSeconds   = 60
-	// factor and floor are the agents' bound.
+	// factor and floor define the agents' bound.
 	factor = 1.25
 	floor  = 4
 	// serviceSeconds is the mean time of a request without prefill.
 	serviceSeconds = 6.0
-	// prefillPerSecond is how many uncached tokens an engine takes in.
+	// prefillPerSecond is the number of uncached tokens that an engine reads per second.
 	prefillPerSecond = 4000.0
 	// homeWaitFactor is the agents' default.
 	homeWaitFactor = 2.0
 	// cacheTokens is the size of an engine's prefix cache.
 	cacheTokens = 400_000
-	// longestQueue is how many requests wait at an engine.
-	longestQueue = 32
+	// maxQueue is how many requests may wait at an engine.
+	maxQueue = 32
 )
 
-// trialSize is the size of one trial.
+// trialSize is the size of a trial.
 type trialSize struct {
 	routers int
 	engines int
-	// perSecond is the rate of requests.
+	// perSecond is the request rate.
 	perSecond float64
-	// samples is how many engines' loads a router and an agent hear of each
-	// second; the rest of their hints is from replies.
+	// samples is the number of engines whose loads a router and an agent receive per second;
+	// the other hints come from replies.
 	samples int
 }
 
@@ -60,14 +60,14 @@
 type trialEngine struct {
 	load  int
 	queue []*trialRequest
-	// cached maps chats to the tokens cached; used orders them.
+	// cached maps chats to the number of cached tokens; used holds them in the order of use.
 	cached map[*trialChat]int
 	used   []*trialChat
 	tokens int
-	// mean is what the agent believes of its pool.
+	// mean is the agent's estimate of the mean load of its pool.
 	mean float64
 	down bool
-	// running are the requests by their end.
+	// running holds the running requests by the step at which they end.
 	running map[int][]*trialRequest
 }
 
@@ -79,7 +79,7 @@
 // picker is a policy under trial.
 type picker struct {
 	name string
-	// bounded says that agents enforce the bound.
+	// bounded reports whether agents enforce the bound.
 	bounded bool
 	// tokens is how many of ten returning chats send their token back.
 	tokens int
@@ -92,18 +92,19 @@
 	scenario scenario
 	picker
 	random  *rand.Rand
-	places  *Places
+	table   *Places
 	engines []*trialEngine
-	// hints are by router and engine.
+	// hints is indexed by router and engine.
 	hints  [][]Hint
-	turn   []int
+	turns  []int
 	chats  []*trialChat
 	step   int
 	result trialResult
 	ratios []float64
-	// history holds loads of past seconds, newest last.
+	// history holds the loads of past seconds, newest last.
 	history [][]int
-	// seen is what routers with fresh and with stale lists believe is up.
+	// upNow and upBefore are the engines that routers with fresh and with stale lists see as
+	// up.
 	upNow, upBefore []bool
 	tried           []uint32
 }
@@ -116,13 +117,13 @@
 }
 
 func newTrial(size trialSize, s scenario, p picker) *trial {
-	t := &trial{size: size, scenario: s, picker: p, random: rand.New(rand.NewPCG(1, 2)), turn: make([]int, size.routers)}
+	t := &trial{size: size, scenario: s, picker: p, random: rand.New(rand.NewPCG(1, 2)), turns: make([]int, size.routers)}
 	names := make([]string, size.engines)
 	for i := range names {
 		names[i] = fmt.Sprintf("engine-%05d", i)
 		t.engines = append(t.engines, &trialEngine{cached: make(map[*trialChat]int), running: make(map[int][]*trialRequest)})
 	}
-	t.places = sharedPlaces(names)
+	t.table = sharedTable(names)
 	t.upNow = make([]bool, size.engines)
 	for i := range t.upNow {
 		t.upNow[i] = true
@@ -134,13 +135,13 @@
 	return t
 }
 
-var placesCache = map[int]*Places{}
+var tableCache = map[int]*Places{}
 
-func sharedPlaces(names []string) *Places {
-	if _, ok := placesCache[len(names)]; !ok {
-		placesCache[len(names)] = NewPlaces(names)
+func sharedTable(names []string) *Places {
+	if _, ok := tableCache[len(names)]; !ok {
+		tableCache[len(names)] = NewPlaces(names)
 	}
-	return placesCache[len(names)]
+	return tableCache[len(names)]
 }
 
 func (t *trial) run() {
@@ -154,13 +155,13 @@
 	}
 }
 
-// eachSecond changes engines and passes words on load around.
+// eachSecond starts and stops engines and distributes load reports.
 func (t *trial) eachSecond(second int) {
 	loads := make([]int, len(t.engines))
 	for i, e := range t.engines {
 		down := t.scenario.down(i, second)
 		if down && !e.down {
-			t.engineDies(e)
+			t.stopEngine(e)
 		}
 		e.down = down
 		loads[i] = e.load
@@ -173,15 +174,15 @@
 		copy(t.upBefore, t.upNow)
 	}
 	for r := range t.hints {
-		t.spread(t.hints[r])
+		t.sendLoads(t.hints[r])
 	}
 	for _, e := range t.engines {
 		e.mean = t.sampledMean()
 	}
 }
 
-// engineDies loses its cache and its requests.
-func (t *trial) engineDies(e *trialEngine) {
+// stopEngine stops an engine, which loses its cache and its requests.
+func (t *trial) stopEngine(e *trialEngine) {
 	for _, ending := range e.running {
 		for _, request := range ending {
 			request.chat.busy = false
@@ -193,9 +194,9 @@
 	*e = trialEngine{cached: make(map[*trialChat]int), running: make(map[int][]*trialRequest), down: true}
 }
 
-// spread gives a router words on some engines' load, up to 4 s old; one in
-// five is lost.
-func (t *trial) spread(hints []Hint) {
+// sendLoads gives a router the loads of some engines, up to 4 s old; one in five reports is
+// lost.
+func (t *trial) sendLoads(hints []Hint) {
 	for range t.size.samples {
 		i := t.random.IntN(len(hints))
 		if t.random.IntN(5) == 0 {
@@ -207,7 +208,7 @@
 	}
 }
 
-// sampledMean is what an agent works out from late words on some engines.
+// sampledMean returns an agent's estimate from late load reports of some engines.
 func (t *trial) sampledMean() float64 {
 	sum := 0
 	count := min(t.size.samples, 100)
@@ -234,7 +235,7 @@
 	}
 }
 
-// nextChat returns to a chat or begins one.
+// nextChat returns to an existing chat or begins a new one.
 func (t *trial) nextChat(second int) *trialChat {
 	if len(t.chats) > 100 && t.random.Float64() < t.scenario.returning(second) {
 		if chat := t.returningChat(t.scenario.long(second)); chat != nil {
@@ -250,7 +251,7 @@
 func (t *trial) returningChat(long bool) *trialChat {
 	var best *trialChat
 	for range 8 {
-		// Most return within minutes: the newest half is drawn more often.
+		// Most chats return within minutes: the newest half is drawn more often.
 		i := len(t.chats) - 1 - int(math.Pow(t.random.Float64(), 2)*float64(len(t.chats)))
 		chat := t.chats[max(i, 0)]
 		if chat.busy {
@@ -266,7 +267,7 @@
 	return best
 }
 
-// send carries a request to an engine as a router would.
+// send sends a request to an engine as a router would.
 func (t *trial) send(chat *trialChat, router int) {
 	t.result.requests++
 	chat.busy = true
@@ -295,10 +296,10 @@
 	chat.busy = false
 }
 
-// search is the way of the real router.
+// search uses the search of the real router.
 func (t *trial) search(request *trialRequest) {
 	chat := request.chat
-	search := Search{Places: t.places, Chat: chat.hash, Returning: chat.home >= 0}
+	search := Search{Places: t.table, Chat: chat.hash, Returning: chat.home >= 0}
 	if chat.home >= 0 && t.random.IntN(10) < t.tokens {
 		search.Token, search.HasToken = uint32(chat.home), true
 	}
@@ -332,7 +333,7 @@
 	return hint
 }
 
-// admitted is the end of an attempt beside the search's outcomes.
+// admitted is the result of a successful attempt, in addition to the search's outcomes.
 const admitted = -1
 
 // offer lets an engine's agent admit, queue or refuse a request.
@@ -360,11 +361,11 @@
 		t.admit(e, int(ask.Number), request)
 		return admitted
 	}
-	// A chat whose prefix is here may wait for up to twice the time that the
-	// prefix saves.
+	// A chat whose prefix is cached here may wait for up to twice the time that the prefix
+	// saves.
 	saved := homeWaitFactor * float64(held) / prefillPerSecond
 	expected := serviceSeconds / float64(max(e.load, 1)) * float64(len(e.queue)+1)
-	if (ask.Wait || expected <= saved) && len(e.queue) < longestQueue {
+	if (ask.Wait || expected <= saved) && len(e.queue) < maxQueue {
 		e.queue = append(e.queue, request)
 		return admitted
 	}
@@ -372,7 +373,7 @@
 	return int(Full)
 }
 
-// admit begins a request: what is cached of its chat needs no prefill.
+// admit starts a request. Cached tokens of its chat need no prefill.
 func (t *trial) admit(e *trialEngine, number int, request *trialRequest) {
 	if t.bounded && e.load >= t.limit(e) {
 		t.result.overBound++
@@ -391,7 +392,7 @@
 	e.running[end] = append(e.running[end], request)
 }
 
-// remember puts a chat into the cache, least recently used out first.
+// remember adds a chat to the cache and evicts the least recently used ones.
 func (e *trialEngine) remember(chat *trialChat) {
 	if _, ok := e.cached[chat]; ok {
 		e.tokens -= e.cached[chat]
@@ -410,7 +411,7 @@
 	}
 }
 
-// finish ends requests and admits those that wait.
+// finish ends requests and admits waiting ones.
 func (t *trial) finish() {
 	for i, e := range t.engines {
 		ending := e.running[t.step]
@@ -431,22 +432,22 @@
 	}
 }
 
-// measure notes the largest load over the mean.
+// measure records the ratio of the largest load to the mean.
 func (t *trial) measure() {
 	if t.step < 10*stepsPerSecond {
 		return
 	}
-	sum, most, up := 0, 0, 0
+	sum, highest, up := 0, 0, 0
 	for _, e := range t.engines {
 		if e.down {
 			continue
 		}
 		up++
 		sum += e.load
-		most = max(most, e.load)
+		highest = max(highest, e.load)
 	}
 	if sum > 0 {
-		t.ratios = append(t.ratios, float64(most)*float64(up)/float64(sum))
+		t.ratios = append(t.ratios, float64(highest)*float64(up)/float64(sum))
 	}
 }
 
@@ -492,23 +493,23 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// TestTrialKeepsTheBound plays each scenario at today's size: no engine is
-// ever above its bound, and reuse stays near that of plain rendezvous.
-func TestTrialKeepsTheBound(t *testing.T) {
+// TestTrialKeepsBound runs each scenario at today's size and checks that no engine is ever
+// above its bound, and that reuse stays near that of plain rendezvous hashing.
+func TestTrialKeepsBound(t *testing.T) {
 	all := pickers()
-	ours, plain := all[0], all[len(all)-1]
+	own, plain := all[0], all[len(all)-1]
 	for _, s := range scenarios() {
 		t.Run(s.name, func(t *testing.T) {
-			bounded := runTrial(sizeToday, s, ours)
+			bounded := runTrial(sizeToday, s, own)
 			free := runTrial(sizeToday, s, plain)
 			if bounded.result.overBound != 0 {
 				t.Fatalf("%d requests were admitted above the bound", bounded.result.overBound)
 			}
 			reuse := float64(bounded.result.reused) / float64(bounded.result.reusable)
-			most := float64(free.result.reused) / float64(free.result.reusable)
-			t.Logf("skew worst %.2f, plain rendezvous %.2f; reuse %.3f and %.3f", quantile(bounded.ratios, 1), quantile(free.ratios, 1), reuse, most)
-			if reuse < 0.8*most {
-				t.Fatalf("reuse is %.3f, below four fifths of plain rendezvous' %.3f", reuse, most)
+			freeReuse := float64(free.result.reused) / float64(free.result.reusable)
+			t.Logf("skew worst %.2f, plain rendezvous %.2f; reuse %.3f and %.3f", quantile(bounded.ratios, 1), quantile(free.ratios, 1), reuse, freeReuse)
+			if reuse < 0.8*freeReuse {
+				t.Fatalf("reuse is %.3f, below four fifths of plain rendezvous' %.3f", reuse, freeReuse)
 			}
 		})
 	}
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,7 +1,7 @@
-// Package retryafter reads the header Retry-After of what a back end answers: for how long it
-// wants to be left alone.
+// Package retryafter parses the Retry-After header of a back end's response: for how long the
+// back end wants no requests.
 //
-// Source: RFC 9110, section 10.2.3; fractions of seconds are read besides.
+// Source: RFC 9110, section 10.2.3; fractions of seconds are accepted in addition.
 package retryafter
 
 import (
@@ -12,34 +12,34 @@
 )
 
 const (
-	// Max bounds what is read: whoever asks for more has most likely written nonsense, and a
-	// back end is away for longer than a day only if it ends.
+	// Max limits the time that is accepted: a longer one is most likely a mistake, and a back
+	// end is away for longer than a day only if it is shut down.
 	Max = 24 * time.Hour
-	// mostQuoted bounds what is given back of a value that can't be read, in bytes.
-	mostQuoted = 40
+	// maxQuoted limits how much of an invalid value is returned, in bytes.
+	maxQuoted = 40
 )
 
-// Of is the longest time that a header asks for, zero for none, and what it says in place of
-// a time, cut short; empty if there is no such thing. now is the time of day, for dates in a
-// header that does not say when it was made.
+// Of returns the longest time that a header asks for, zero for none, and the beginning of the
+// first invalid value; empty if all values are valid. now is the current time, used for dates
+// in a header without a Date field.
 func Of(header http.Header, now time.Time) (wait time.Duration, unreadable string) {
 	from := now
-	if made, err := http.ParseTime(header.Get("Date")); err == nil {
+	if sent, err := http.ParseTime(header.Get("Date")); err == nil {
 		// The clocks of the back end and of this host may differ.
-		from = made
+		from = sent
 	}
 	for _, value := range header.Values("Retry-After") {
 		value = strings.TrimSpace(value)
-		read, ok := parse(value, from)
+		parsed, ok := parse(value, from)
 		if !ok && unreadable == "" {
-			unreadable = value[:min(len(value), mostQuoted)]
+			unreadable = value[:min(len(value), maxQuoted)]
 		}
-		wait = max(wait, read)
+		wait = max(wait, parsed)
 	}
 	return wait, unreadable
 }
 
-// parse reads seconds or a date; what lies in the past asks for nothing.
+// parse parses a number of seconds or a date. A date in the past yields zero.
 func parse(value string, from time.Time) (time.Duration, bool) {
 	if wait, ok := parseSeconds(value); ok {
 		return wait, true
@@ -51,8 +51,8 @@
 	return min(max(until.Sub(from), 0), Max), true
 }
 
-// parseSeconds reads a decimal number of seconds, at most Max. Signs, exponents and names of
-// numbers are none that a back end writes.
+// parseSeconds parses a decimal number of seconds and limits it to Max. It rejects signs,
+// exponents and names of numbers, which back ends do not write.
 func parseSeconds(text string) (time.Duration, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -13,9 +13,9 @@
 
 const date = "Thu, 03 Dec 2026 10:00:00 GMT"
 
-// TestOf: seconds in each form that a back end may write, and what is none.
+// TestOf checks seconds and dates in each form that a back end may write, and invalid values.
 func TestOf(t *testing.T) {
-	const mostQuoted = 40
+	const maxQuoted = 40
 	long := strings.Repeat("9", 400)
 	cases := map[string]struct {
 		values     []string
@@ -32,7 +32,7 @@
 		"negative":                   {[]string{"-3"}, 0, "-3"},
 		"a day":                      {[]string{"86400"}, 24 * time.Hour, ""},
 		"more than a day":            {[]string{"99999999"}, 24 * time.Hour, ""},
-		"more than any number":       {[]string{long}, 0, long[:mostQuoted]},
+		"more than any number":       {[]string{long}, 0, long[:maxQuoted]},
 		"an exponent":                {[]string{"1e99"}, 0, "1e99"},
 		"the name of a number":       {[]string{"inf"}, 0, "inf"},
 		"no number":                  {[]string{"soon"}, 0, "soon"},
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestADateWithoutTheDateOfTheAnswer is seen from this host's.
-func TestADateWithoutTheDateOfTheAnswer(t *testing.T) {
+// TestDateWithoutDateHeader checks that a date in a response without a Date header is compared
+// with this host's clock.
+func TestDateWithoutDateHeader(t *testing.T) {
 	is := is.New(t)
 	now, err := http.ParseTime(date)
 	is.NoErr(err)
@@ -66,7 +67,7 @@
 	is.Equal(wait, 9*time.Second)
 }
 
-// FuzzOf: whatever stands there, the time is within its bounds.
+// FuzzOf checks that for any header the time is within its limits.
 func FuzzOf(f *testing.F) {
 	for _, value := range []string{"3", "2.5", "-1", "1e99", "soon", "Thu, 03 Dec 2026 10:00:07 GMT", strings.Repeat("9", 400), "."} {
 		f.Add(value, date)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -24,11 +24,11 @@
 	}
 	is.Equal(spent, 5)
 	is.True(!budgets.Spend("a", now.Add(9*time.Second)))
-	is.True(budgets.Spend("b", now))                     // another service has a budget of its own
+	is.True(budgets.Spend("b", now))                     // another service has its own budget
 	is.True(budgets.Spend("a", now.Add(11*time.Second))) // the window has passed
 }
 
-// TestEveryWindow checks the bound in every sliding window of any history.
+// TestEveryWindow checks the limit in every sliding window of any sequence of events.
 func TestEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budgets := retrybudget.New(options)
@@ -46,8 +46,8 @@
 			}
 		}
 		for _, from := range retries {
-			// The window of the requests reaches further back by the width of
-			// two buckets, as the counting does.
+			// The window for requests extends further back by the width of two buckets, like
+			// the counter.
 			const width = 500 * time.Millisecond
 			spent := within(retries, from, options.Window)
 			earned := within(requests, from.Add(-options.Window-width), 2*options.Window+2*width)
