--- a/internal/policy/choose.go
+++ b/internal/policy/choose.go
@@ -34,7 +34,7 @@
 // assumed to be full, leaving or down. If there is none, it picks the less loaded of two
 // random targets. tried holds the numbers of the targets that have already refused. It returns
 // false if the pool has no usable target left.
-func (p *Places) Choose(chat uint64, hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
+func (p *SlotTable) Choose(chat uint64, hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
 	for _, number := range p.Order(SlotOf(chat)) {
 		hint := hints(number)
 		if hint.Usable() && !hint.Full() && !contains(tried, number) {
@@ -45,7 +45,7 @@
 }
 
 // lessLoadedOfSample picks the target with the most room among a few random ones.
-func (p *Places) lessLoadedOfSample(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
+func (p *SlotTable) lessLoadedOfSample(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
 	const maxDraws = 16
 	best := none
 	var bestHint Hint
--- a/internal/policy/places.go
+++ b/internal/policy/places.go
@@ -18,7 +18,7 @@
 // SlotTable ranks the targets of one pool for every chat slot by rendezvous hashing, so that a
 // decision is a table look-up. A change of targets costs work only for the slots that it
 // affects. It is not safe for concurrent use; readers use a Clone.
-type Places struct {
+type SlotTable struct {
 	// names and hashes are indexed by target number; an empty name marks a free number.
 	names   []string
 	hashes  []uint64
@@ -31,8 +31,8 @@
 }
 
 // NewSlotTable builds the table for a set of targets, in any order.
-func NewPlaces(names []string) *Places {
-	p := &Places{
+func NewSlotTable(names []string) *SlotTable {
+	p := &SlotTable{
 		numbers:  make(map[string]uint32),
 		order:    make([]uint32, Slots*Choices),
 		minScore: make([]uint64, Slots),
@@ -54,23 +54,23 @@
 }
 
 // Len returns the number of targets.
-func (p *Places) Len() int {
+func (p *SlotTable) Len() int {
 	return len(p.numbers)
 }
 
 // Has reports whether a target is in the table.
-func (p *Places) Has(name string) bool {
+func (p *SlotTable) Has(name string) bool {
 	_, ok := p.numbers[name]
 	return ok
 }
 
 // Name returns the name of a target number.
-func (p *Places) Name(number uint32) string {
+func (p *SlotTable) Name(number uint32) string {
 	return p.names[number]
 }
 
 // Add adds a target to the table and to the slots that prefer it.
-func (p *Places) Add(name string) {
+func (p *SlotTable) Add(name string) {
 	if p.Has(name) {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *Places) assignNumber(name string) uint32 {
+func (p *SlotTable) assignNumber(name string) uint32 {
 	free := slices.Index(p.names, "")
 	if free < 0 {
 		free = len(p.names)
@@ -102,7 +102,7 @@
 }
 
 // insert adds a target to a slot's order if it is among the best.
-func (p *Places) insert(slot int, number uint32, score uint64) {
+func (p *SlotTable) insert(slot int, number uint32, score uint64) {
 	row := p.order[slot*Choices : (slot+1)*Choices]
 	hash := slotHash(slot)
 	at := Choices
@@ -120,7 +120,7 @@
 }
 
 // precedes reports whether a target comes before another in a slot's order.
-func (p *Places) precedes(hash uint64, number uint32, score uint64, other uint32) bool {
+func (p *SlotTable) precedes(hash uint64, number uint32, score uint64, other uint32) bool {
 	if other == none {
 		return true
 	}
@@ -132,7 +132,7 @@
 }
 
 // Remove removes a target. Only the slots that contained it are ranked again.
-func (p *Places) Remove(name string) {
+func (p *SlotTable) Remove(name string) {
 	number, ok := p.numbers[name]
 	if !ok {
 		return
@@ -148,7 +148,7 @@
 }
 
 // rebuild ranks the targets of one slot again.
-func (p *Places) rebuild(slot int, row []uint32) {
+func (p *SlotTable) rebuild(slot int, row []uint32) {
 	for i := range row {
 		row[i] = none
 	}
@@ -166,7 +166,7 @@
 
 // Order returns the ranked target numbers of a slot. The result is the table's own memory and
 // must not be modified.
-func (p *Places) Order(slot int) []uint32 {
+func (p *SlotTable) Order(slot int) []uint32 {
 	row := p.order[slot*Choices : (slot+1)*Choices]
 	for i, number := range row {
 		if number == none {
@@ -177,12 +177,12 @@
 }
 
 // Clone returns a copy of the table.
-func (p *Places) Clone() *Places {
+func (p *SlotTable) Clone() *SlotTable {
 	number := make(map[string]uint32, len(p.numbers))
 	for name, n := range p.numbers {
 		number[name] = n
 	}
-	return &Places{
+	return &SlotTable{
 		names:    slices.Clone(p.names),
 		hashes:   slices.Clone(p.hashes),
 		numbers:  number,
@@ -192,7 +192,7 @@
 }
 
 // Names returns the sorted names of the targets.
-func (p *Places) Names() []string {
+func (p *SlotTable) Names() []string {
 	names := make([]string, 0, len(p.numbers))
 	for name := range p.numbers {
 		names = append(names, name)
@@ -202,12 +202,12 @@
 }
 
 // Numbers returns one more than the highest target number, used or free.
-func (p *Places) Numbers() int {
+func (p *SlotTable) Numbers() int {
 	return len(p.names)
 }
 
 // Number returns the number of a target.
-func (p *Places) Number(name string) (uint32, bool) {
+func (p *SlotTable) Number(name string) (uint32, bool) {
 	number, ok := p.numbers[name]
 	return number, ok
 }
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -18,7 +18,7 @@
 	return names
 }
 
-func namesOf(p *Places, slot int) []string {
+func namesOf(p *SlotTable, slot int) []string {
 	var names []string
 	for _, number := range p.Order(slot) {
 		names = append(names, p.Name(number))
@@ -31,7 +31,7 @@
 func TestOrderDependsOnlyOnTheSet(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 1))
 	names := engineNames(30)
-	grown := NewPlaces(nil)
+	grown := NewSlotTable(nil)
 	for range 150 {
 		name := names[source.IntN(len(names))]
 		if grown.Has(name) {
@@ -40,7 +40,7 @@
 			grown.Add(name)
 		}
 	}
-	fresh := NewPlaces(grown.Names())
+	fresh := NewSlotTable(grown.Names())
 	for slot := 0; slot < Slots; slot += 101 {
 		if !slices.Equal(namesOf(grown, slot), namesOf(fresh, slot)) {
 			t.Fatalf("slot %d: %v and %v", slot, namesOf(grown, slot), namesOf(fresh, slot))
@@ -51,7 +51,7 @@
 // TestChangeMovesFewChats checks that adding a target moves only the chats that it gets.
 func TestChangeMovesFewChats(t *testing.T) {
 	is := is.New(t)
-	before := NewPlaces(engineNames(50))
+	before := NewSlotTable(engineNames(50))
 	after := before.Clone()
 	after.Add("engine-new")
 	moved := 0
@@ -71,12 +71,12 @@
 // TestSearchEnds checks that a search ends and asks only usable targets, a limited number of
 // times.
 func TestSearchEnds(t *testing.T) {
-	places := NewPlaces(engineNames(12))
+	places := NewSlotTable(engineNames(12))
 	rapid.Check(t, func(rt *rapid.T) {
 		usable := rapid.SliceOfN(rapid.Bool(), 12, 12).Draw(rt, "usable")
 		hints := func(number uint32) Hint { return Hint{Down: !usable[number]} }
 		search := Search{
-			Places:    places,
+			Table:     places,
 			Chat:      rapid.Uint64().Draw(rt, "chat"),
 			Returning: rapid.Bool().Draw(rt, "returning"),
 			HasToken:  rapid.Bool().Draw(rt, "has token"),
@@ -99,7 +99,7 @@
 			if outcome == NotHeld && !ask.OnlyHeld {
 				outcome = Gone
 			}
-			if !search.After(outcome) {
+			if !search.Record(outcome) {
 				break
 			}
 		}
@@ -107,35 +107,35 @@
 }
 
 func TestSearchOrder(t *testing.T) {
-	places := NewPlaces(engineNames(20))
+	places := NewSlotTable(engineNames(20))
 	const chat = 42
 	homes := places.Order(SlotOf(chat))[:Homes]
 	random := rand.New(rand.NewPCG(1, 2))
 	tests := map[string]struct {
 		search Search
 		hints  Hints
-		want   Ask
+		want   Attempt
 	}{
 		"the token's target first": {
-			Search{Places: places, Chat: chat, HasToken: true, Token: 7}, noHints, Ask{Number: 7},
+			Search{Table: places, Chat: chat, HasToken: true, Token: 7}, noHints, Attempt{Number: 7},
 		},
 		"a token to a leaving target is passed over": {
-			Search{Places: places, Chat: chat, HasToken: true, Token: homes[3]},
+			Search{Table: places, Chat: chat, HasToken: true, Token: homes[3]},
 			func(n uint32) Hint { return Hint{Leaving: n == homes[3]} },
-			Ask{Number: homes[0]},
+			Attempt{Number: homes[0]},
 		},
 		"a returning chat is looked for at its homes": {
-			Search{Places: places, Chat: chat, Returning: true}, noHints, Ask{Number: homes[0], OnlyHeld: true},
+			Search{Table: places, Chat: chat, Returning: true}, noHints, Attempt{Number: homes[0], OnlyHeld: true},
 		},
 		"a new chat goes to the home with most room": {
-			Search{Places: places, Chat: chat},
+			Search{Table: places, Chat: chat},
 			func(n uint32) Hint {
 				if n == homes[2] {
 					return Hint{InFlight: 1, Limit: 9}
 				}
 				return Hint{InFlight: 5, Limit: 9}
 			},
-			Ask{Number: homes[2]},
+			Attempt{Number: homes[2]},
 		},
 	}
 	for name, tt := range tests {
@@ -160,9 +160,9 @@
 			hints := func(number uint32) Hint { return table[number] }
 			b.ReportAllocs()
 			for b.Loop() {
-				search := Search{Places: places, Chat: random.Uint64(), Returning: true}
+				search := Search{Table: places, Chat: random.Uint64(), Returning: true}
 				_, _ = search.Next(hints, random)
-				search.After(NotHeld)
+				search.Record(NotHeld)
 				_, _ = search.Next(hints, random)
 			}
 		})
@@ -188,7 +188,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			names := engineNames(n)
 			for b.Loop() {
-				NewPlaces(names)
+				NewSlotTable(names)
 			}
 		})
 	}
--- a/internal/policy/search.go
+++ b/internal/policy/search.go
@@ -15,7 +15,7 @@
 )
 
 // Attempt is one attempt: the target and the conditions.
-type Ask struct {
+type Attempt struct {
 	Number uint32
 	// OnlyHeld asks the target to refuse a chat that it does not hold.
 	OnlyHeld bool
@@ -39,7 +39,7 @@
 // Search finds a target for one request, attempt by attempt. The zero value with its exported
 // fields set is ready to use.
 type Search struct {
-	Places *Places
+	Table *SlotTable
 	// Chat is the chat's hash.
 	Chat uint64
 	// Returning reports whether the chat has been answered before.
@@ -57,11 +57,11 @@
 	full   int
 	// queued reports whether a target was asked to queue the request.
 	queued bool
-	last   Ask
+	last   Attempt
 }
 
 // Next returns the next attempt; false if nothing is left to try.
-func (s *Search) Next(hints Hints, random *rand.Rand) (Ask, bool) {
+func (s *Search) Next(hints Hints, random *rand.Rand) (Attempt, bool) {
 	ask, ok := s.next(hints, random)
 	if !ok && s.full > 0 && !s.queued {
 		// All remaining targets are full: one of them may queue the request.
@@ -70,7 +70,7 @@
 		ask, ok = s.next(hints, random)
 	}
 	if !ok || s.count == maxTried {
-		return Ask{}, false
+		return Attempt{}, false
 	}
 	ask.Wait = s.full >= maxFull || s.Patient && s.full > 0
 	s.queued = s.queued || ask.Wait
@@ -80,9 +80,9 @@
 	return ask, true
 }
 
-// After records the outcome of the last attempt. It returns false if the search is over
+// Record records the outcome of the last attempt. It returns false if the search is over
 // because even a queue had no room.
-func (s *Search) After(outcome Outcome) bool {
+func (s *Search) Record(outcome Outcome) bool {
 	switch outcome {
 	case NotHeld:
 		// The target may still be the best one for the chat as a new one.
@@ -95,22 +95,22 @@
 	return true
 }
 
-func (s *Search) next(hints Hints, random *rand.Rand) (Ask, bool) {
+func (s *Search) next(hints Hints, random *rand.Rand) (Attempt, bool) {
 	if s.HasToken {
 		s.HasToken = false
 		if hints(s.Token).Usable() {
 			s.probed = Homes
-			return Ask{Number: s.Token}, true
+			return Attempt{Number: s.Token}, true
 		}
 	}
 	if number, ok := s.probe(hints); ok {
-		return Ask{Number: number, OnlyHeld: true}, true
+		return Attempt{Number: number, OnlyHeld: true}, true
 	}
 	if number, ok := s.leastLoadedHome(hints); ok {
-		return Ask{Number: number}, true
+		return Attempt{Number: number}, true
 	}
-	number, ok := s.Places.Choose(s.Chat, hints, random, s.tried[:s.count])
-	return Ask{Number: number}, ok
+	number, ok := s.Table.Choose(s.Chat, hints, random, s.tried[:s.count])
+	return Attempt{Number: number}, ok
 }
 
 // probe looks for a returning chat at its homes, in order, until one was full: that one is
@@ -131,7 +131,7 @@
 }
 
 func (s *Search) homes() []uint32 {
-	order := s.Places.Order(SlotOf(s.Chat))
+	order := s.Table.Order(SlotOf(s.Chat))
 	return order[:min(len(order), Homes)]
 }
 
--- a/internal/policy/trial_test.go
+++ b/internal/policy/trial_test.go
@@ -92,7 +92,7 @@
 	scenario scenario
 	picker
 	random  *rand.Rand
-	table   *Places
+	table   *SlotTable
 	engines []*trialEngine
 	// hints is indexed by router and engine.
 	hints  [][]Hint
@@ -135,11 +135,11 @@
 	return t
 }
 
-var tableCache = map[int]*Places{}
+var tableCache = map[int]*SlotTable{}
 
-func sharedTable(names []string) *Places {
+func sharedTable(names []string) *SlotTable {
 	if _, ok := tableCache[len(names)]; !ok {
-		tableCache[len(names)] = NewPlaces(names)
+		tableCache[len(names)] = NewSlotTable(names)
 	}
 	return tableCache[len(names)]
 }
@@ -282,7 +282,7 @@
 		if !ok {
 			break
 		}
-		if t.offer(request, Ask{Number: number}) == admitted {
+		if t.offer(request, Attempt{Number: number}) == admitted {
 			return
 		}
 		t.result.retries++
@@ -299,7 +299,7 @@
 // search uses the search of the real router.
 func (t *trial) search(request *trialRequest) {
 	chat := request.chat
-	search := Search{Places: t.table, Chat: chat.hash, Returning: chat.home >= 0}
+	search := Search{Table: t.table, Chat: chat.hash, Returning: chat.home >= 0}
 	if chat.home >= 0 && t.random.IntN(10) < t.tokens {
 		search.Token, search.HasToken = uint32(chat.home), true
 	}
@@ -314,7 +314,7 @@
 			return
 		}
 		t.result.retries++
-		if !search.After(Outcome(end)) {
+		if !search.Record(Outcome(end)) {
 			break
 		}
 	}
@@ -337,7 +337,7 @@
 const admitted = -1
 
 // offer lets an engine's agent admit, queue or refuse a request.
-func (t *trial) offer(request *trialRequest, ask Ask) int {
+func (t *trial) offer(request *trialRequest, ask Attempt) int {
 	e := t.engines[ask.Number]
 	hint := &t.hints[request.router][ask.Number]
 	if e.down {
--- a/internal/router/chat.go
+++ b/internal/router/chat.go
@@ -119,7 +119,7 @@
 		into:    &chatSink{sink: into, begin: begin},
 		state:   fault.NotRun,
 		search: policy.Search{
-			Places:    pool.order,
+			Table:     pool.order,
 			Chat:      request.chat,
 			Returning: request.returning,
 			Patient:   request.deferrable,
@@ -156,13 +156,13 @@
 	return fault.New(fault.NoTarget, c.state, "no engine for model %q takes requests now", c.request.model).After(time.Second)
 }
 
-func (c *chatRun) choose() (policy.Ask, bool) {
+func (c *chatRun) choose() (policy.Attempt, bool) {
 	c.router.randomMu.Lock()
 	defer c.router.randomMu.Unlock()
 	return c.search.Next(c.pool.hints(time.Now()), c.router.random)
 }
 
-func (c *chatRun) call(p *place, ask policy.Ask) *wire.Call {
+func (c *chatRun) call(p *place, ask policy.Attempt) *wire.Call {
 	c.attempts++
 	return &wire.Call{
 		RequestId:  c.request.id,
@@ -194,7 +194,7 @@
 		return fault.From(endOf(ctx))
 	}
 	if failure.Kind == fault.NotHeld {
-		c.search.After(policy.NotHeld)
+		c.search.Record(policy.NotHeld)
 		return nil
 	}
 	c.last = failure
@@ -213,7 +213,7 @@
 	}
 	if failure.State != fault.NotRun {
 		c.reruns++
-		c.search.After(policy.Gone)
+		c.search.Record(policy.Gone)
 		return c.reruns <= mostReruns && c.router.rerun.spend()
 	}
 	outcome := policy.Gone
@@ -221,7 +221,7 @@
 		outcome = policy.Full
 	}
 	// A request that was refused even the queue is given up at once.
-	if !c.search.After(outcome) {
+	if !c.search.Record(outcome) {
 		return false
 	}
 	if !c.router.spill.spend() {
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -72,7 +72,7 @@
 // pool is the targets of one model or service. It is never changed after it
 // was built; hints inside its places are.
 type pool struct {
-	order  *policy.Places
+	order  *policy.SlotTable
 	byName map[string]*place
 	// byNumber is parallel to the numbers of order.
 	byNumber []*place
@@ -243,9 +243,9 @@
 }
 
 // orderFor changes the order of the pool before, or builds a new one.
-func orderFor(before *pool, names []string) *policy.Places {
+func orderFor(before *pool, names []string) *policy.SlotTable {
 	if before == nil {
-		return policy.NewPlaces(names)
+		return policy.NewSlotTable(names)
 	}
 	old := before.order.Names()
 	if slices.Equal(old, names) {
