--- a/internal/policy/placement_test.go
+++ b/internal/policy/placement_test.go
@@ -40,14 +40,14 @@
 		shuffled := slices.Clone(engines)
 		rand.New(rand.NewPCG(1, 1)).Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		if !maps.Equal(got, Assign(wanted, shuffled)) {
-			rt.Fatal("the order of engines matters")
+			rt.Fatal("the result depends on the order of engines")
 		}
 		// The assignment is stable: computing it again changes nothing.
 		for i := range engines {
 			engines[i].Holds = got[engines[i].Engine]
 		}
 		if !maps.Equal(got, Assign(wanted, engines)) {
-			rt.Fatal("a second look changes the placement")
+			rt.Fatal("assigning again changes the placement")
 		}
 	})
 }
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -90,10 +90,10 @@
 				break
 			}
 			if !usable[ask.Number] {
-				rt.Fatalf("asked %d, which is down", ask.Number)
+				rt.Fatalf("attempt at target %d, which is down", ask.Number)
 			}
 			if asked++; asked > 2*maxTried+Homes {
-				rt.Fatalf("asked %d times", asked)
+				rt.Fatalf("%d attempts", asked)
 			}
 			outcome := []Outcome{NotHeld, Full, Gone}[rapid.IntRange(0, 2).Draw(rt, "outcome")]
 			if outcome == NotHeld && !ask.OnlyHeld {
@@ -116,18 +116,18 @@
 		hints  Hints
 		want   Attempt
 	}{
-		"the token's target first": {
+		"target of the token": {
 			Search{Table: places, Chat: chat, HasToken: true, Token: 7}, noHints, Attempt{Number: 7},
 		},
-		"a token to a leaving target is passed over": {
+		"token of a leaving target": {
 			Search{Table: places, Chat: chat, HasToken: true, Token: homes[3]},
 			func(n uint32) Hint { return Hint{Leaving: n == homes[3]} },
 			Attempt{Number: homes[0]},
 		},
-		"a returning chat is looked for at its homes": {
+		"returning chat": {
 			Search{Table: places, Chat: chat, Returning: true}, noHints, Attempt{Number: homes[0], OnlyHeld: true},
 		},
-		"a new chat goes to the home with most room": {
+		"new chat": {
 			Search{Table: places, Chat: chat},
 			func(n uint32) Hint {
 				if n == homes[2] {
