--- a/internal/balance/announcement.go
+++ b/internal/balance/announcement.go
@@ -42,19 +42,19 @@
 	if !ok {
 		return NoticeChange{}
 	}
-	news := NoticeChange{
+	change := NoticeChange{
 		Leaving:    notice.Leaving && !target.announced.leaving,
 		Unreadable: notice.Unreadable != "" && !target.announced.unreadable,
 	}
-	target.announced.unreadable = target.announced.unreadable || news.Unreadable
-	if news.Leaving {
+	target.announced.unreadable = target.announced.unreadable || change.Unreadable
+	if change.Leaving {
 		target.announced.leaving, target.needsCheck = true, true
 	}
 	if notice.RetryAfter > 0 {
-		news.BackingOff = target.announced.backoff.extend(now.Add(notice.RetryAfter), b.probeOffset(target), now)
+		change.BackingOff = target.announced.backoff.extend(now.Add(notice.RetryAfter), b.probeOffset(target), now)
 		target.needsCheck = true
 	}
-	return news
+	return change
 }
 
 // Closed reports whether an incarnation of a target that was already chosen must get no
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -40,26 +40,26 @@
 
 // extend prolongs the back-off to a time, if that is later than the known end. It reports
 // whether the change is worth reporting.
-func (r *backoff) extend(until time.Time, offset time.Duration, now time.Time) (isNew bool) {
-	if !until.After(r.until) {
+func (b *backoff) extend(until time.Time, offset time.Duration, now time.Time) (isNew bool) {
+	if !until.After(b.until) {
 		return false
 	}
-	isNew = !r.active(now) || until.Sub(r.until) >= minReportedExtension
-	*r = backoff{until: until, probeAt: until.Add(offset)}
+	isNew = !b.active(now) || until.Sub(b.until) >= minReportedExtension
+	*b = backoff{until: until, probeAt: until.Add(offset)}
 	return isNew
 }
 
 // active reports whether the target wants no requests now.
-func (r *backoff) active(now time.Time) bool { return now.Before(r.until) }
+func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
 // unprobed reports whether there is a back-off, possibly over, after which no probe has
 // succeeded yet.
-func (r *backoff) unprobed() bool { return !r.until.IsZero() }
+func (b *backoff) unprobed() bool { return !b.until.IsZero() }
 
 // blocks reports whether the target must get no request now, because it is backing off or a
 // probe is in flight.
-func (r *backoff) blocks(now time.Time) bool {
-	return r.unprobed() && (now.Before(r.probeAt) || now.Sub(r.probedAt) < probeTimeout)
+func (b *backoff) blocks(now time.Time) bool {
+	return b.unprobed() && (now.Before(b.probeAt) || now.Sub(b.probedAt) < probeTimeout)
 }
 
 // probeOffset returns how long after the end of a back-off this gateway probes. The caller
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -84,7 +84,7 @@
 func newLimitWorld(load limitLoad, seed uint64) *limitWorld {
 	w := &limitWorld{load: load, crowd: &crowd{now: start, random: rand.New(rand.NewPCG(seed, 4)), inFlight: make([][]heldRequest, load.gateways)}}
 	w.arrivals = load.totalRate() * crowdStep.Seconds() / float64(load.gateways)
-	w.request, w.sent, w.beat = w.draw, w.recordArrival, w.report
+	w.request, w.onChoose, w.sendReport = w.drawRequest, w.recordArrival, w.report
 	w.bytes, w.next = make([]float64, load.gateways), make([]int, load.gateways)
 	for range load.gateways {
 		options := balance.DefaultOptions()
@@ -146,8 +146,8 @@
 	}
 }
 
-// draw returns a request: its prompt, the versions that may take it, and how long it stays.
-func (w *limitWorld) draw(gateway int) (balance.Query, time.Duration) {
+// drawRequest returns a request: its prompt, the versions that may take it, and how long it stays.
+func (w *limitWorld) drawRequest(gateway int) (balance.Query, time.Duration) {
 	query := balance.Query{Service: "s"}
 	if w.versions != nil {
 		query.Versions = w.versions(w.random.Float64() < w.share)
@@ -155,7 +155,7 @@
 			query.Versions = w.versions(false)
 		}
 	}
-	kind := w.kind()
+	kind := w.drawKind()
 	if kind.tokens > 0 {
 		// A few tenants are large: most requests use one of the first prompts.
 		at := int(float64(w.load.sessions) * math.Pow(w.random.Float64(), 2))
@@ -165,8 +165,8 @@
 	return query, stay
 }
 
-// kind returns a random kind of request, weighted by the rates.
-func (w *limitWorld) kind() limitKind {
+// drawKind returns a random kind of request, weighted by the rates.
+func (w *limitWorld) drawKind() limitKind {
 	at := w.random.Float64() * w.load.totalRate()
 	for _, kind := range w.load.kinds {
 		if at -= kind.rate; at < 0 {
--- a/internal/balance/loads.go
+++ b/internal/balance/loads.go
@@ -15,12 +15,12 @@
 
 // report is the last report of another gateway's requests in flight.
 type report struct {
-	counts []reported
+	counts []reportedCount
 	at     time.Time
 }
 
-// reported is one gateway's count of its requests at one target.
-type reported struct {
+// reportedCount is one gateway's count of its requests at one target.
+type reportedCount struct {
 	target *state
 	count  int
 }
@@ -42,7 +42,7 @@
 	for _, count := range counts {
 		if target, ok := b.byShort[shortHash(count.Target)]; ok {
 			target.others += count.Count
-			last.counts = append(last.counts, reported{target: target, count: count.Count})
+			last.counts = append(last.counts, reportedCount{target: target, count: count.Count})
 		}
 	}
 	if end := now.Add(reportTTL); b.reportsEnd.IsZero() || end.Before(b.reportsEnd) {
--- a/internal/balance/room.go
+++ b/internal/balance/room.go
@@ -30,11 +30,11 @@
 // headroom returns the number of requests per slot up to which a target has room. Requests
 // beyond the slots wait at the target, for at most a fraction of the time within which callers
 // want an answer.
-func (p *requestTiming) headroom() float64 {
-	if p == nil || p.hold <= 0 || p.wanted <= 0 {
+func (t *requestTiming) headroom() float64 {
+	if t == nil || t.hold <= 0 || t.wanted <= 0 {
 		return initialHeadroom
 	}
-	return min(max(1+queueShare*p.wanted/p.hold, minHeadroom), maxHeadroom)
+	return min(max(1+queueShare*t.wanted/t.hold, minHeadroom), maxHeadroom)
 }
 
 // NoteHold records how long an answered request stayed at a target, and within which time its
--- a/internal/balance/service.go
+++ b/internal/balance/service.go
@@ -70,7 +70,7 @@
 	onGoodPaths       []*state
 	drawFrom          []*state
 	holderDataCenters []string
-	scored            []scored
+	scored            []scoredTarget
 	// idle counts the idle targets of the last check.
 	idle idleTargets
 }
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -128,15 +128,15 @@
 
 // SuspectedByPeers reports whether several gateways suspect a target because of what they saw since
 // this gateway last heard from it, in an answer or otherwise.
-func (b *Balancer) SuspectedByPeers(incarnation string, heardAt, now time.Time) bool {
+func (b *Balancer) SuspectedByPeers(incarnation string, lastHeard, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	target, ok := b.targets[incarnation]
 	if !ok {
 		return false
 	}
-	if target.health.answeredAt.After(heardAt) {
-		heardAt = target.health.answeredAt
+	if target.health.answeredAt.After(lastHeard) {
+		lastHeard = target.health.answeredAt
 	}
-	return target.suspectedByPeersSince(heardAt, now)
+	return target.suspectedByPeersSince(lastHeard, now)
 }
--- a/internal/balance/topscored.go
+++ b/internal/balance/topscored.go
@@ -2,20 +2,20 @@
 
 import "github.com/capersaddle/capersaddle/internal/policy"
 
-// scored is a target with its score in an order that all gateways share.
-type scored struct {
+// scoredTarget is a target with its score in an order that all gateways share.
+type scoredTarget struct {
 	target *state
 	score  uint64
 }
 
 // moveTopScored moves the first count targets in the rendezvous order of a seed to the front,
 // in any order. It works in scratch, which it returns for reuse.
-func moveTopScored(targets []*state, count int, seed uint64, scratch []scored) []scored {
+func moveTopScored(targets []*state, count int, seed uint64, scratch []scoredTarget) []scoredTarget {
 	if count >= len(targets) {
 		return scratch
 	}
 	for _, target := range targets {
-		scratch = append(scratch, scored{target: target, score: policy.Score(seed, target.hash)})
+		scratch = append(scratch, scoredTarget{target: target, score: policy.Score(seed, target.hash)})
 	}
 	partition(scratch, count)
 	for i := range scratch {
@@ -26,7 +26,7 @@
 
 // partition moves the count targets with the highest scores to the front (quickselect).
 // Sorting all targets of a large service would cost more than the choice.
-func partition(all []scored, count int) {
+func partition(all []scoredTarget, count int) {
 	low, high := 0, len(all)-1
 	for low < high {
 		pivot := all[(low+high)/2].score
--- a/internal/balance/totals_test.go
+++ b/internal/balance/totals_test.go
@@ -27,10 +27,10 @@
 	request func(gateway int) (balance.Query, time.Duration)
 	// admitting restricts the versions that count for the room.
 	admitting balance.Versions
-	// beat replaces report for sending a gateway's loads; nil to use report.
-	beat func(gateway int)
-	// sent is called for each choice; nil for none.
-	sent     func(gateway int, query balance.Query, pick balance.Pick)
+	// sendReport replaces report for sending a gateway's loads; nil to use report.
+	sendReport func(gateway int)
+	// onChoose is called for each choice; nil for none.
+	onChoose func(gateway int, query balance.Query, pick balance.Pick)
 	admitted int
 	refused  int
 }
@@ -78,8 +78,8 @@
 			c.arrive(i)
 		}
 		switch {
-		case c.beat != nil:
-			c.beat(i)
+		case c.sendReport != nil:
+			c.sendReport(i)
 		case len(c.gateways) > 1:
 			c.report(i)
 		}
@@ -111,8 +111,8 @@
 		return
 	}
 	c.admitted++
-	if c.sent != nil {
-		c.sent(i, query, pick)
+	if c.onChoose != nil {
+		c.onChoose(i, query, pick)
 	}
 	c.inFlight[i] = append(c.inFlight[i], heldRequest{pick.Target.ID, c.now.Add(stay)})
 }
@@ -208,8 +208,8 @@
 // for seconds.
 func TestFewReportsAreScaled(t *testing.T) {
 	cases := map[string]struct {
-		peers, heard int
-		load         int
+		peers, reported int
+		load            int
 	}{
 		"all":                {40, 40, 3},
 		"half":               {40, 20, 6},
@@ -222,7 +222,7 @@
 			is := is.New(t)
 			b := newBalancer(4)
 			b.SetPeers(tc.peers)
-			addIdlePeers(b, tc.heard-1)
+			addIdlePeers(b, tc.reported-1)
 			b.Observe("other", []balance.Count{{Target: policy.HashName("t0"), Count: 3}}, start)
 			pick, _ := b.Choose(balance.Query{Service: "s", Exclude: []string{"t1", "t2", "t3"}}, start)
 			is.Equal(pick.Load, tc.load)
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -59,54 +59,54 @@
 func TestVersions(t *testing.T) {
 	onlyNew, onlyOld := balance.Versions{Only: "new"}, balance.Versions{Only: "old"}
 	notNew, preferNew := balance.Versions{Excluded: []string{"new"}}, balance.Versions{Preferred: "new"}
-	olds, news := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
+	oldIDs, newIDs := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
 	cases := map[string]struct {
 		versions balance.Versions
 		before   func(b *balance.Balancer)
 		exclude  []string
 		want     []string
 	}{
-		"all":             {want: slices.Concat(news, olds)},
-		"only one":        {versions: onlyNew, want: news},
-		"excluding one":   {versions: notNew, want: olds},
-		"preferring one":  {versions: preferNew, want: news},
+		"all":             {want: slices.Concat(newIDs, oldIDs)},
+		"only one":        {versions: onlyNew, want: newIDs},
+		"excluding one":   {versions: notNew, want: oldIDs},
+		"preferring one":  {versions: preferNew, want: newIDs},
 		"unknown version": {versions: balance.Versions{Only: "newer"}},
-		"second attempt":  {versions: notNew, exclude: []string{"old0", "new1"}, want: olds[1:]},
+		"second attempt":  {versions: notNew, exclude: []string{"old0", "new1"}, want: oldIDs[1:]},
 		"ejected target":  {versions: onlyNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
 		"most of the version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range news[1:] {
+			for _, id := range newIDs[1:] {
 				eject(b, id)
 			}
-		}, want: news[:2]},
+		}, want: newIDs[:2]},
 		"other version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range olds {
+			for _, id := range oldIDs {
 				eject(b, id)
 			}
-		}, want: news},
+		}, want: newIDs},
 		"preferring one that is leaving": {versions: preferNew, before: func(b *balance.Balancer) {
 			for i := range 4 {
 				leaving := versioned(fmt.Sprint("new", i), "new")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
-		}, want: olds},
+		}, want: oldIDs},
 		"preferring one with an ejected target": {versions: preferNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
 		"all entries expire": {versions: onlyOld, before: func(b *balance.Balancer) {
-			for _, id := range slices.Concat(olds, news) {
+			for _, id := range slices.Concat(oldIDs, newIDs) {
 				b.Drop(id, start)
 			}
-		}, want: olds},
+		}, want: oldIDs},
 		"other version unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range olds {
+			for _, id := range oldIDs {
 				b.Drop(id, start)
 			}
-		}, want: news},
+		}, want: newIDs},
 		"other version and one target unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range append(slices.Clone(olds), "new3") {
+			for _, id := range append(slices.Clone(oldIDs), "new3") {
 				b.Drop(id, start)
 			}
-		}, want: news[:3]},
-		"version stated later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(news), "old2")},
+		}, want: newIDs[:3]},
+		"version stated later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(newIDs), "old2")},
 		"evacuated":            {versions: onlyNew, before: func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }},
 	}
 	for name, tc := range cases {
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -31,19 +31,19 @@
 func TestOrderDependsOnlyOnTheSet(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 1))
 	names := engineNames(30)
-	grown := NewSlotTable(nil)
+	changed := NewSlotTable(nil)
 	for range 150 {
 		name := names[source.IntN(len(names))]
-		if grown.Has(name) {
-			grown.Remove(name)
+		if changed.Has(name) {
+			changed.Remove(name)
 		} else {
-			grown.Add(name)
+			changed.Add(name)
 		}
 	}
-	fresh := NewSlotTable(grown.Names())
+	fresh := NewSlotTable(changed.Names())
 	for slot := 0; slot < Slots; slot += 101 {
-		if !slices.Equal(namesOf(grown, slot), namesOf(fresh, slot)) {
-			t.Fatalf("slot %d: %v and %v", slot, namesOf(grown, slot), namesOf(fresh, slot))
+		if !slices.Equal(namesOf(changed, slot), namesOf(fresh, slot)) {
+			t.Fatalf("slot %d: %v and %v", slot, namesOf(changed, slot), namesOf(fresh, slot))
 		}
 	}
 }
@@ -83,20 +83,20 @@
 			Token:     uint32(rapid.IntRange(0, 11).Draw(rt, "token")),
 		}
 		random := rand.New(rand.NewPCG(3, 4))
-		asked := 0
+		attempts := 0
 		for {
-			ask, ok := search.Next(hints, random)
+			attempt, ok := search.Next(hints, random)
 			if !ok {
 				break
 			}
-			if !usable[ask.Number] {
-				rt.Fatalf("attempt at target %d, which is down", ask.Number)
+			if !usable[attempt.Number] {
+				rt.Fatalf("attempt at target %d, which is down", attempt.Number)
 			}
-			if asked++; asked > 2*maxTried+Homes {
-				rt.Fatalf("%d attempts", asked)
+			if attempts++; attempts > 2*maxTried+Homes {
+				rt.Fatalf("%d attempts", attempts)
 			}
 			outcome := []Outcome{NotHeld, Full, Gone}[rapid.IntRange(0, 2).Draw(rt, "outcome")]
-			if outcome == NotHeld && !ask.OnlyHeld {
+			if outcome == NotHeld && !attempt.OnlyHeld {
 				outcome = Gone
 			}
 			if !search.Record(outcome) {
--- a/internal/policy/search.go
+++ b/internal/policy/search.go
@@ -62,22 +62,22 @@
 
 // Next returns the next attempt; false if nothing is left to try.
 func (s *Search) Next(hints Hints, random *rand.Rand) (Attempt, bool) {
-	ask, ok := s.next(hints, random)
+	attempt, ok := s.next(hints, random)
 	if !ok && s.full > 0 && !s.queued {
 		// All remaining targets are full: one of them may queue the request.
 		s.count = 0
 		s.full = max(s.full, maxFull)
-		ask, ok = s.next(hints, random)
+		attempt, ok = s.next(hints, random)
 	}
 	if !ok || s.count == maxTried {
 		return Attempt{}, false
 	}
-	ask.Wait = s.full >= maxFull || s.Patient && s.full > 0
-	s.queued = s.queued || ask.Wait
-	s.tried[s.count] = ask.Number
+	attempt.Wait = s.full >= maxFull || s.Patient && s.full > 0
+	s.queued = s.queued || attempt.Wait
+	s.tried[s.count] = attempt.Number
 	s.count++
-	s.last = ask
-	return ask, true
+	s.last = attempt
+	return attempt, true
 }
 
 // Record records the outcome of the last attempt. It returns false if the search is over
--- a/internal/policy/trial_test.go
+++ b/internal/policy/trial_test.go
@@ -305,16 +305,16 @@
 	}
 	hints := func(number uint32) Hint { return t.hint(request.router, number) }
 	for {
-		ask, ok := search.Next(hints, t.random)
+		attempt, ok := search.Next(hints, t.random)
 		if !ok {
 			break
 		}
-		end := t.offer(request, ask)
-		if end == admitted {
+		outcome := t.offer(request, attempt)
+		if outcome == admitted {
 			return
 		}
 		t.result.retries++
-		if !search.Record(Outcome(end)) {
+		if !search.Record(Outcome(outcome)) {
 			break
 		}
 	}
@@ -337,15 +337,15 @@
 const admitted = -1
 
 // offer lets an engine's agent admit, queue or refuse a request.
-func (t *trial) offer(request *trialRequest, ask Attempt) int {
-	e := t.engines[ask.Number]
-	hint := &t.hints[request.router][ask.Number]
+func (t *trial) offer(request *trialRequest, attempt Attempt) int {
+	e := t.engines[attempt.Number]
+	hint := &t.hints[request.router][attempt.Number]
 	if e.down {
 		hint.Down = true
 		return int(Gone)
 	}
 	held, holds := e.cached[request.chat]
-	if ask.OnlyHeld && !holds {
+	if attempt.OnlyHeld && !holds {
 		t.result.probes++
 		return int(NotHeld)
 	}
@@ -358,14 +358,14 @@
 		}
 	}()
 	if !t.bounded || e.load < limit && len(e.queue) == 0 {
-		t.admit(e, int(ask.Number), request)
+		t.admit(e, int(attempt.Number), request)
 		return admitted
 	}
 	// A chat whose prefix is cached here may wait for up to twice the time that the prefix
 	// saves.
 	saved := homeWaitFactor * float64(held) / prefillPerSecond
 	expected := serviceSeconds / float64(max(e.load, 1)) * float64(len(e.queue)+1)
-	if (ask.Wait || expected <= saved) && len(e.queue) < maxQueue {
+	if (attempt.Wait || expected <= saved) && len(e.queue) < maxQueue {
 		e.queue = append(e.queue, request)
 		return admitted
 	}
