--- a/internal/balance/announcement_test.go
+++ b/internal/balance/announcement_test.go
@@ -88,7 +88,7 @@
 			next.Version = "v2"
 			b.Put(next, now)
 		},
-		"failure records are cleared":        func(b *Balancer, _ time.Time) { b.Forgive() },
+		"failure records are cleared":        func(b *Balancer, _ time.Time) { b.ClearFailures() },
 		"a correct answer":                   func(b *Balancer, now time.Time) { b.Release(t1.Incarnation(), Good, now) },
 		"an answer without the announcement": func(b *Balancer, _ time.Time) { b.ObserveNotice(t1.Incarnation(), Notice{}, time.Time{}) },
 		"an evacuation begins and ends": func(b *Balancer, now time.Time) {
@@ -186,7 +186,7 @@
 			"drop":    func(t *rapid.T) { b.Drop(id.Draw(t, "id"), now) },
 			"odd":     func(t *rapid.T) { b.SetUnusable(id.Draw(t, "id")) },
 			"restore": func(t *rapid.T) { b.Restore([]Target{drawTarget(t)}, now) },
-			"forgive": func(*rapid.T) { b.Forgive() },
+			"forgive": func(*rapid.T) { b.ClearFailures() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 100_000).Draw(t, "ms")) * time.Millisecond)
 			},
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -32,7 +32,7 @@
 		"the entry disappears":             func(b *Balancer, now time.Time) { b.Drop("t", now) },
 		"all entries expire":               func(b *Balancer, now time.Time) { b.Drop("t", now); b.Drop("other", now) },
 		"the other target leaves":          func(b *Balancer, now time.Time) { b.ObserveNotice("other@1000", Notice{Leaving: true}, now) },
-		"failure records are cleared":      func(b *Balancer, _ time.Time) { b.Forgive() },
+		"failure records are cleared":      func(b *Balancer, _ time.Time) { b.ClearFailures() },
 		"an evacuation ends":               func(b *Balancer, now time.Time) { b.SetEvacuated("", true, now); b.SetEvacuated("", false, now) },
 		"the service changes and returns":  func(b *Balancer, now time.Time) { moved := t1; moved.Service = "x"; b.Put(moved, now); b.Put(t1, now) },
 		"the entry states the start time":  func(b *Balancer, now time.Time) { b.Put(t1, now) },
@@ -254,7 +254,7 @@
 			"drop":    func(t *rapid.T) { b.Drop(id.Draw(t, "id"), now) },
 			"odd":     func(t *rapid.T) { b.SetUnusable(id.Draw(t, "id")) },
 			"restore": func(t *rapid.T) { b.Restore([]Target{drawTarget(t)}, now) },
-			"forgive": func(*rapid.T) { b.Forgive() },
+			"forgive": func(*rapid.T) { b.ClearFailures() },
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -26,9 +26,9 @@
 	// Cold limits how many requests a cold target may get within any second from all gateways
 	// together, as a function of the rate that it bears per second.
 	Cold Bound
-	// Lapse is how long targets keep serving after the entries of at least half of their
+	// ExpiryGrace is how long targets keep serving after the entries of at least half of their
 	// service have disappeared. Targets that are not registered again by then count as gone.
-	Lapse time.Duration
+	ExpiryGrace time.Duration
 }
 
 // Bound is a limit on load, in requests: Multiple times the mean load of a service's targets,
@@ -82,9 +82,9 @@
 	return Bound{Multiple: b.Multiple * whole.Multiple, Extra: b.Extra * whole.Extra}
 }
 
-// MaxLapse is how long an entry that expired during a store outage may be missing after the
+// MaxExpiryGrace is how long an entry that expired during a store outage may be missing after the
 // store's return. The users' platform specifies it.
-const MaxLapse = 2 * time.Second
+const MaxExpiryGrace = 2 * time.Second
 
 // DefaultCold is the bound on requests to cold targets if the deployment sets none: exactly
 // the rate that they bear.
@@ -100,7 +100,7 @@
 		Whole:             whole,
 		MaxEjected:        0.5,
 		Cold:              DefaultCold,
-		Lapse:             MaxLapse,
+		ExpiryGrace:       MaxExpiryGrace,
 	}
 }
 
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -157,10 +157,10 @@
 	}
 	_, ok := b.Choose(balance.Query{Service: "s"}, start)
 	is.True(ok) // all at once: their entries expired during a store outage
-	_, ok = b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxLapse+time.Millisecond))
+	_, ok = b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxExpiryGrace+time.Millisecond))
 	is.True(!ok) // still missing: they are gone
 	b.Put(target(1), start)
-	pick, _ := b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxLapse+time.Millisecond))
+	pick, _ := b.Choose(balance.Query{Service: "s"}, start.Add(balance.MaxExpiryGrace+time.Millisecond))
 	is.Equal(pick.Target.ID, "t1") // one is back, the others are still missing
 	single := newBalancer(1)
 	single.Drop("t0", start)
@@ -180,7 +180,7 @@
 		"one of four is back":       {missing: 4, back: 1, want: 4},
 		"half are back":             {missing: 4, back: 2, want: 4},
 		"most are back":             {missing: 4, back: 3, want: 3},
-		"after the limit":           {missing: 4, back: 1, after: balance.MaxLapse + time.Millisecond, want: 1},
+		"after the limit":           {missing: 4, back: 1, after: balance.MaxExpiryGrace + time.Millisecond, want: 1},
 		"one of four is missing":    {missing: 1, want: 3},
 		"two of four are missing":   {missing: 2, want: 4},
 		"three of four are missing": {missing: 3, want: 4},
@@ -227,7 +227,7 @@
 		pick, _ := b.Choose(balance.Query{Service: "s"}, start)
 		is.True(pick.Target.ID != "t2")
 	}
-	later := start.Add(balance.MaxLapse + time.Millisecond)
+	later := start.Add(balance.MaxExpiryGrace + time.Millisecond)
 	for range 6 {
 		pick, _ := b.Choose(balance.Query{Service: "s"}, later)
 		is.Equal(pick.Target.ID, "t0")
--- a/internal/balance/list.go
+++ b/internal/balance/list.go
@@ -173,8 +173,8 @@
 	b.removeFromLists(target)
 }
 
-// Forgive clears the failure records of all targets.
-func (b *Balancer) Forgive() {
+// ClearFailures clears the failure records of all targets.
+func (b *Balancer) ClearFailures() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, target := range b.targets {
--- a/internal/balance/open.go
+++ b/internal/balance/open.go
@@ -46,7 +46,7 @@
 		case idle && !unlisted && !target.leaving():
 			b.scratch.idle.add(target)
 		case idle || target.leaving() || slices.Contains(exclude, target.incarnation):
-		case unlisted && target.unlistedFor(now) <= b.options.Lapse && !target.health.ejected(now):
+		case unlisted && target.unlistedFor(now) <= b.options.ExpiryGrace && !target.health.ejected(now):
 			expired = append(expired, target)
 		case unlisted:
 		case target.health.ejected(now) || target.suspectedByPeers(now):
--- a/internal/gateway/path_test.go
+++ b/internal/gateway/path_test.go
@@ -73,7 +73,7 @@
 					for range 3 { // one of three goes to each target
 						w.serveAs(t.Context(), fmt.Sprintf("/stream/%d", i))
 					}
-					w.gateway.Balancer.Forgive()
+					w.gateway.Balancer.ClearFailures()
 				}
 				chosen := false
 				// Choices among equals are random: with twenty of them the target was not
--- a/internal/gateway/rollout_test.go
+++ b/internal/gateway/rollout_test.go
@@ -155,7 +155,7 @@
 	before := len(w.caller.records)
 	for range count {
 		w.serveAs(ctx, path)
-		w.gateway.Balancer.Forgive()
+		w.gateway.Balancer.ClearFailures()
 	}
 	return w.caller.records[before:]
 }
--- a/internal/process/budget_test.go
+++ b/internal/process/budget_test.go
@@ -116,7 +116,7 @@
 			s := &settings.Gateway{Load: tc.load, Apply: settings.Duration(tc.apply), Leave: settings.Duration(tc.leave), Evacuate: settings.Duration(tc.evacuate)}
 			is.Equal(staleAfter(s), tc.stale)
 			options := balanceOptions(s)
-			is.True(options.Lapse <= balance.MaxLapse && options.Lapse < tc.leave)
+			is.True(options.ExpiryGrace <= balance.MaxExpiryGrace && options.ExpiryGrace < tc.leave)
 			for _, own := range []balance.Bound{options.Short, options.Long, options.ShortManyGateways, options.LongManyGateways} {
 				is.True(own.Multiple <= tc.load.Multiple && own.Multiple >= tc.load.Multiple/2)
 				is.True(own.Extra < tc.load.Extra)
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -244,7 +244,7 @@
 	options.Cold = balance.Bound{Multiple: s.Cold.Multiple, Extra: s.Cold.Extra}
 	// What lapsed may also have left, and then gets no new work for long.
 	const leaveShare = 0.85
-	options.Lapse = min(balance.MaxLapse, time.Duration(leaveShare*float64(s.Leave)))
+	options.ExpiryGrace = min(balance.MaxExpiryGrace, time.Duration(leaveShare*float64(s.Leave)))
 	return options
 }
 
@@ -322,7 +322,7 @@
 
 // Forgive lets targets that were left out for their failures back in at once.
 func (p *GatewayProcess) Forgive() {
-	p.gateway.Balancer.Forgive()
+	p.gateway.Balancer.ClearFailures()
 }
 
 // Addresses are where the process listens.
