--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -15,8 +15,8 @@
 	// moves to its next home. Long prompts cost more to move, so short ones make room for
 	// them.
 	Short, Long Bound
-	// ShortManyGateways and LongManyGateways replace Short and Long when more than a few gateways share
-	// the targets.
+	// ShortManyGateways and LongManyGateways replace Short and Long when more than a few
+	// gateways share the targets.
 	ShortManyGateways, LongManyGateways Bound
 	// Whole is the limit that no target may exceed. The other bounds are fractions of it.
 	Whole Bound
@@ -82,8 +82,8 @@
 	return Bound{Multiple: b.Multiple * whole.Multiple, Extra: b.Extra * whole.Extra}
 }
 
-// MaxExpiryGrace is how long an entry that expired during a store outage may be missing after the
-// store's return. The users' platform specifies it.
+// MaxExpiryGrace is how long an entry that expired during a store outage may be missing after
+// the store's return. The users' platform specifies it.
 const MaxExpiryGrace = 2 * time.Second
 
 // DefaultCold is the bound on requests to cold targets if the deployment sets none: exactly
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -206,8 +206,9 @@
 	}
 }
 
-// TestRestoredTargetsServe guards against a fault found on trouble-3 of mmd-cuenca-grown,
-// where all gateways restarted while the entries of the targets had expired.
+// TestRestoredTargetsServe checks that targets restored from a checkpoint serve until their
+// entries are back. The fault was found on trouble-3 of mmd-cuenca-grown, where all gateways
+// restarted while the entries of the targets had expired.
 func TestRestoredTargetsServe(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -172,7 +172,7 @@
 
 // TestUnplannedEnds checks that an incarnation ends unplanned when nothing listens any more,
 // its entry disappears or another incarnation begins, and as planned when it announced that
-// before.
+// before or its entry had disappeared before.
 func TestUnplannedEnds(t *testing.T) {
 	first := incarnationOf(1000)
 	cases := map[string]struct {
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// drawRequest returns a request: its prompt, the versions that may take it, and how long it stays.
+// drawRequest returns a request: its prompt, the versions that may take it, and how long it
+// stays.
 func (w *limitWorld) drawRequest(gateway int) (balance.Query, time.Duration) {
 	query := balance.Query{Service: "s"}
 	if w.versions != nil {
--- a/internal/balance/paths_test.go
+++ b/internal/balance/paths_test.go
@@ -22,8 +22,9 @@
 	return b
 }
 
-// TestStalledPathsAreAvoided guards against a fault found on days with heavy packet loss,
-// where most streams between data centres stalled for longer than callers accept.
+// TestStalledPathsAreAvoided checks that paths on which most streams stall are avoided. On
+// days with heavy packet loss most streams between data centres stalled for longer than
+// callers accept.
 func TestStalledPathsAreAvoided(t *testing.T) {
 	cases := map[string]struct {
 		// stalledA and stalledB are how many in ten streams from each data centre stall.
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -126,8 +126,8 @@
 	return agreeing >= minSuspicions
 }
 
-// SuspectedByPeers reports whether several gateways suspect a target because of what they saw since
-// this gateway last heard from it, in an answer or otherwise.
+// SuspectedByPeers reports whether several gateways suspect a target because of what they saw
+// since this gateway last heard from it, in an answer or otherwise.
 func (b *Balancer) SuspectedByPeers(incarnation string, lastHeard, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -112,8 +112,8 @@
 	return float64(s.inFlight) + s.estimatedOthers() + s.service.load.unestimated
 }
 
-// estimatedOthers returns the estimated number of requests that the other gateways have in flight at
-// the target; zero if no gateway that reported recently has any.
+// estimatedOthers returns the estimated number of requests that the other gateways have in
+// flight at the target; zero if no gateway that reported recently has any.
 func (s *state) estimatedOthers() float64 {
 	return float64(s.others) * max(s.service.load.scale, 1)
 }
--- a/internal/balance/totals_test.go
+++ b/internal/balance/totals_test.go
@@ -16,8 +16,8 @@
 // reports its loads to one other in turn, as often as its byte budget allows.
 type crowd struct {
 	gateways []*balance.Balancer
-	// inFlight contains the requests in flight at each gateway, with their target and the time of
-	// their end.
+	// inFlight contains the requests in flight at each gateway, with their target and the time
+	// of their end.
 	inFlight [][]heldRequest
 	now      time.Time
 	random   *rand.Rand
--- a/internal/balance/versions.go
+++ b/internal/balance/versions.go
@@ -6,12 +6,12 @@
 // admits all.
 type Versions struct {
 	// Only is the single version that is admitted; empty admits all versions that are not in
-	// Not.
+	// Excluded.
 	Only string
 	// Excluded lists the versions that are not admitted.
 	Excluded []string
-	// Preferred is the version that takes the request while one of its targets is open; empty for
-	// none.
+	// Preferred is the version that takes the request while one of its targets is open; empty
+	// for none.
 	Preferred string
 	// Share is the fraction of the traffic that targets of Only get together. Only so many of
 	// them take requests that each is as loaded as one of the other targets: the first in the
--- a/internal/policy/choose.go
+++ b/internal/policy/choose.go
@@ -34,25 +34,25 @@
 // assumed to be full, leaving or down. If there is none, it picks the less loaded of two
 // random targets. tried holds the numbers of the targets that have already refused. It returns
 // false if the pool has no usable target left.
-func (p *SlotTable) Choose(chat uint64, hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
-	for _, number := range p.Order(SlotOf(chat)) {
+func (t *SlotTable) Choose(chat uint64, hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
+	for _, number := range t.Order(SlotOf(chat)) {
 		hint := hints(number)
 		if hint.Usable() && !hint.Full() && !contains(tried, number) {
 			return number, true
 		}
 	}
-	return p.lessLoadedOfSample(hints, random, tried)
+	return t.lessLoadedOfSample(hints, random, tried)
 }
 
 // lessLoadedOfSample picks the target with the most room among a few random ones.
-func (p *SlotTable) lessLoadedOfSample(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
+func (t *SlotTable) lessLoadedOfSample(hints Hints, random *rand.Rand, tried []uint32) (uint32, bool) {
 	const maxDraws = 16
 	best := none
 	var bestHint Hint
 	found := 0
 	for draw := 0; draw < maxDraws && found < sampleSize; draw++ {
-		number := uint32(random.IntN(max(len(p.names), 1)))
-		if int(number) >= len(p.names) || p.names[number] == "" || contains(tried, number) {
+		number := uint32(random.IntN(max(len(t.names), 1)))
+		if int(number) >= len(t.names) || t.names[number] == "" || contains(tried, number) {
 			continue
 		}
 		hint := hints(number)
--- a/internal/policy/places.go
+++ b/internal/policy/places.go
@@ -32,20 +32,20 @@
 
 // NewSlotTable builds the table for a set of targets, in any order.
 func NewSlotTable(names []string) *SlotTable {
-	p := &SlotTable{
+	t := &SlotTable{
 		numbers:  make(map[string]uint32),
 		order:    make([]uint32, Slots*Choices),
 		minScore: make([]uint64, Slots),
 	}
-	for i := range p.order {
-		p.order[i] = none
+	for i := range t.order {
+		t.order[i] = none
 	}
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
 	for _, name := range slices.Compact(sorted) {
-		p.Add(name)
+		t.Add(name)
 	}
-	return p
+	return t
 }
 
 // SlotOf returns the chat slot of a chat's hash.
@@ -54,46 +54,46 @@
 }
 
 // Len returns the number of targets.
-func (p *SlotTable) Len() int {
-	return len(p.numbers)
+func (t *SlotTable) Len() int {
+	return len(t.numbers)
 }
 
 // Has reports whether a target is in the table.
-func (p *SlotTable) Has(name string) bool {
-	_, ok := p.numbers[name]
+func (t *SlotTable) Has(name string) bool {
+	_, ok := t.numbers[name]
 	return ok
 }
 
 // Name returns the name of a target number.
-func (p *SlotTable) Name(number uint32) string {
-	return p.names[number]
+func (t *SlotTable) Name(number uint32) string {
+	return t.names[number]
 }
 
 // Add adds a target to the table and to the slots that prefer it.
-func (p *SlotTable) Add(name string) {
-	if p.Has(name) {
+func (t *SlotTable) Add(name string) {
+	if t.Has(name) {
 		return
 	}
-	number := p.assignNumber(name)
-	hash := p.hashes[number]
+	number := t.assignNumber(name)
+	hash := t.hashes[number]
 	for slot := range Slots {
-		if score := Score(slotHash(slot), hash); score >= p.minScore[slot] {
-			p.insert(slot, number, score)
+		if score := Score(slotHash(slot), hash); score >= t.minScore[slot] {
+			t.insert(slot, number, score)
 		}
 	}
 }
 
-func (p *SlotTable) assignNumber(name string) uint32 {
-	free := slices.Index(p.names, "")
+func (t *SlotTable) assignNumber(name string) uint32 {
+	free := slices.Index(t.names, "")
 	if free < 0 {
-		free = len(p.names)
-		p.names = append(p.names, "")
-		p.hashes = append(p.hashes, 0)
+		free = len(t.names)
+		t.names = append(t.names, "")
+		t.hashes = append(t.hashes, 0)
 	}
 	number := uint32(free)
-	p.names[number] = name
-	p.hashes[number] = HashName(name)
-	p.numbers[name] = number
+	t.names[number] = name
+	t.hashes[number] = HashName(name)
+	t.numbers[name] = number
 	return number
 }
 
@@ -102,11 +102,11 @@
 }
 
 // insert adds a target to a slot's order if it is among the best.
-func (p *SlotTable) insert(slot int, number uint32, score uint64) {
-	row := p.order[slot*Choices : (slot+1)*Choices]
+func (t *SlotTable) insert(slot int, number uint32, score uint64) {
+	row := t.order[slot*Choices : (slot+1)*Choices]
 	hash := slotHash(slot)
 	at := Choices
-	for at > 0 && p.precedes(hash, number, score, row[at-1]) {
+	for at > 0 && t.precedes(hash, number, score, row[at-1]) {
 		at--
 	}
 	if at == Choices {
@@ -115,59 +115,59 @@
 	copy(row[at+1:], row[at:Choices-1])
 	row[at] = number
 	if last := row[Choices-1]; last != none {
-		p.minScore[slot] = Score(hash, p.hashes[last])
+		t.minScore[slot] = Score(hash, t.hashes[last])
 	}
 }
 
 // precedes reports whether a target comes before another in a slot's order.
-func (p *SlotTable) precedes(hash uint64, number uint32, score uint64, other uint32) bool {
+func (t *SlotTable) precedes(hash uint64, number uint32, score uint64, other uint32) bool {
 	if other == none {
 		return true
 	}
-	otherScore := Score(hash, p.hashes[other])
+	otherScore := Score(hash, t.hashes[other])
 	if score != otherScore {
 		return score > otherScore
 	}
-	return p.names[number] < p.names[other]
+	return t.names[number] < t.names[other]
 }
 
 // Remove removes a target. Only the slots that contained it are ranked again.
-func (p *SlotTable) Remove(name string) {
-	number, ok := p.numbers[name]
+func (t *SlotTable) Remove(name string) {
+	number, ok := t.numbers[name]
 	if !ok {
 		return
 	}
-	delete(p.numbers, name)
-	p.names[number] = ""
+	delete(t.numbers, name)
+	t.names[number] = ""
 	for slot := range Slots {
-		row := p.order[slot*Choices : (slot+1)*Choices]
+		row := t.order[slot*Choices : (slot+1)*Choices]
 		if slices.Contains(row, number) {
-			p.rebuild(slot, row)
+			t.rebuild(slot, row)
 		}
 	}
 }
 
 // rebuild ranks the targets of one slot again.
-func (p *SlotTable) rebuild(slot int, row []uint32) {
+func (t *SlotTable) rebuild(slot int, row []uint32) {
 	for i := range row {
 		row[i] = none
 	}
-	p.minScore[slot] = 0
+	t.minScore[slot] = 0
 	hash := slotHash(slot)
-	for number, name := range p.names {
+	for number, name := range t.names {
 		if name == "" {
 			continue
 		}
-		if score := Score(hash, p.hashes[number]); score >= p.minScore[slot] {
-			p.insert(slot, uint32(number), score)
+		if score := Score(hash, t.hashes[number]); score >= t.minScore[slot] {
+			t.insert(slot, uint32(number), score)
 		}
 	}
 }
 
 // Order returns the ranked target numbers of a slot. The result is the table's own memory and
 // must not be modified.
-func (p *SlotTable) Order(slot int) []uint32 {
-	row := p.order[slot*Choices : (slot+1)*Choices]
+func (t *SlotTable) Order(slot int) []uint32 {
+	row := t.order[slot*Choices : (slot+1)*Choices]
 	for i, number := range row {
 		if number == none {
 			return row[:i]
@@ -177,24 +177,24 @@
 }
 
 // Clone returns a copy of the table.
-func (p *SlotTable) Clone() *SlotTable {
-	number := make(map[string]uint32, len(p.numbers))
-	for name, n := range p.numbers {
-		number[name] = n
+func (t *SlotTable) Clone() *SlotTable {
+	numbers := make(map[string]uint32, len(t.numbers))
+	for name, n := range t.numbers {
+		numbers[name] = n
 	}
 	return &SlotTable{
-		names:    slices.Clone(p.names),
-		hashes:   slices.Clone(p.hashes),
-		numbers:  number,
-		order:    slices.Clone(p.order),
-		minScore: slices.Clone(p.minScore),
+		names:    slices.Clone(t.names),
+		hashes:   slices.Clone(t.hashes),
+		numbers:  numbers,
+		order:    slices.Clone(t.order),
+		minScore: slices.Clone(t.minScore),
 	}
 }
 
 // Names returns the sorted names of the targets.
-func (p *SlotTable) Names() []string {
-	names := make([]string, 0, len(p.numbers))
-	for name := range p.numbers {
+func (t *SlotTable) Names() []string {
+	names := make([]string, 0, len(t.numbers))
+	for name := range t.numbers {
 		names = append(names, name)
 	}
 	slices.SortFunc(names, cmp.Compare[string])
@@ -202,12 +202,12 @@
 }
 
 // Numbers returns one more than the highest target number, used or free.
-func (p *SlotTable) Numbers() int {
-	return len(p.names)
+func (t *SlotTable) Numbers() int {
+	return len(t.names)
 }
 
 // Number returns the number of a target.
-func (p *SlotTable) Number(name string) (uint32, bool) {
-	number, ok := p.numbers[name]
+func (t *SlotTable) Number(name string) (uint32, bool) {
+	number, ok := t.numbers[name]
 	return number, ok
 }
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -71,12 +71,12 @@
 // TestSearchEnds checks that a search ends and asks only usable targets, a limited number of
 // times.
 func TestSearchEnds(t *testing.T) {
-	places := NewSlotTable(engineNames(12))
+	slotTable := NewSlotTable(engineNames(12))
 	rapid.Check(t, func(rt *rapid.T) {
 		usable := rapid.SliceOfN(rapid.Bool(), 12, 12).Draw(rt, "usable")
 		hints := func(number uint32) Hint { return Hint{Down: !usable[number]} }
 		search := Search{
-			Table:     places,
+			Table:     slotTable,
 			Chat:      rapid.Uint64().Draw(rt, "chat"),
 			Returning: rapid.Bool().Draw(rt, "returning"),
 			HasToken:  rapid.Bool().Draw(rt, "has token"),
@@ -107,9 +107,9 @@
 }
 
 func TestSearchOrder(t *testing.T) {
-	places := NewSlotTable(engineNames(20))
+	slotTable := NewSlotTable(engineNames(20))
 	const chat = 42
-	homes := places.Order(SlotOf(chat))[:Homes]
+	homes := slotTable.Order(SlotOf(chat))[:Homes]
 	random := rand.New(rand.NewPCG(1, 2))
 	tests := map[string]struct {
 		search Search
@@ -117,18 +117,18 @@
 		want   Attempt
 	}{
 		"target of the token": {
-			Search{Table: places, Chat: chat, HasToken: true, Token: 7}, noHints, Attempt{Number: 7},
+			Search{Table: slotTable, Chat: chat, HasToken: true, Token: 7}, noHints, Attempt{Number: 7},
 		},
 		"token of a leaving target": {
-			Search{Table: places, Chat: chat, HasToken: true, Token: homes[3]},
+			Search{Table: slotTable, Chat: chat, HasToken: true, Token: homes[3]},
 			func(n uint32) Hint { return Hint{Leaving: n == homes[3]} },
 			Attempt{Number: homes[0]},
 		},
 		"returning chat": {
-			Search{Table: places, Chat: chat, Returning: true}, noHints, Attempt{Number: homes[0], OnlyHeld: true},
+			Search{Table: slotTable, Chat: chat, Returning: true}, noHints, Attempt{Number: homes[0], OnlyHeld: true},
 		},
 		"new chat": {
-			Search{Table: places, Chat: chat},
+			Search{Table: slotTable, Chat: chat},
 			func(n uint32) Hint {
 				if n == homes[2] {
 					return Hint{InFlight: 1, Limit: 9}
@@ -151,7 +151,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedTable(engineNames(n))
+			slotTable := sharedTable(engineNames(n))
 			table := make([]Hint, n)
 			random := rand.New(rand.NewPCG(1, 2))
 			for i := range table {
@@ -160,7 +160,7 @@
 			hints := func(number uint32) Hint { return table[number] }
 			b.ReportAllocs()
 			for b.Loop() {
-				search := Search{Table: places, Chat: random.Uint64(), Returning: true}
+				search := Search{Table: slotTable, Chat: random.Uint64(), Returning: true}
 				_, _ = search.Next(hints, random)
 				search.Record(NotHeld)
 				_, _ = search.Next(hints, random)
@@ -173,10 +173,10 @@
 func BenchmarkSlotTableChange(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedTable(engineNames(n)).Clone()
+			slotTable := sharedTable(engineNames(n)).Clone()
 			for b.Loop() {
-				places.Remove("engine-00007")
-				places.Add("engine-00007")
+				slotTable.Remove("engine-00007")
+				slotTable.Add("engine-00007")
 			}
 		})
 	}
