--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -234,7 +234,7 @@
 	}{
 		"not stated":                      {"", "", "", balance.SourceKnown, "old0"},
 		"same weights":                    {"w1", "w1", "w1", balance.SourceKnown, "old0"},
-		"other weights":                   {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
+		"others":                          {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
 		"holder states none":              {"", "w2", "w2", balance.SourceGuessed, "new1"},
 		"other weights, nothing to guess": {"w1", "w2", "w1", balance.SourceNone, ""},
 	}
@@ -265,7 +265,7 @@
 	for name, tc := range map[string]struct {
 		weights string
 		fills   int
-	}{"same weights": {"w1", 0}, "other weights": {"w2", 1}} {
+	}{"same weights": {"w1", 0}, "others": {"w2", 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := balance.New(balance.DefaultOptions())
@@ -292,7 +292,7 @@
 	}{
 		"all":                            {asked: 0},
 		"version of the holder":          {versions: balance.Versions{Only: "old"}, asked: 0},
-		"other version":                  {versions: balance.Versions{Only: "new"}, asked: 1},
+		"another":                        {versions: balance.Versions{Only: "new"}, asked: 1},
 		"excluding the holder's version": {versions: balance.Versions{Excluded: []string{"old"}}, asked: 1},
 		"preferring another version":     {versions: balance.Versions{Preferred: "new"}, asked: 1},
 	}
@@ -438,9 +438,9 @@
 		versions balance.Versions
 		waits    bool
 	}{
-		"same weights":                             {"w1", balance.Versions{Only: "new"}, true},
-		"other weights":                            {"w2", balance.Versions{Only: "new"}, false},
-		"other weights, all versions admitted":     {"w2", balance.Versions{}, true},
+		"same weights":                         {"w1", balance.Versions{Only: "new"}, true},
+		"others":                               {"w2", balance.Versions{Only: "new"}, false},
+		"other weights, all versions admitted": {"w2", balance.Versions{}, true},
 		"other weights, only the reader's version": {"w2", balance.Versions{Excluded: []string{"new"}}, true},
 	}
 	for name, tc := range cases {
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -28,7 +28,7 @@
 		"less than a second":         {[]string{"0.05"}, 50 * time.Millisecond, ""},
 		"no digit before the point":  {[]string{".5"}, 500 * time.Millisecond, ""},
 		"surrounding spaces":         {[]string{" 4 "}, 4 * time.Second, ""},
-		"zero":                       {[]string{"0"}, 0, ""},
+		"none":                       {[]string{"0"}, 0, ""},
 		"negative":                   {[]string{"-3"}, 0, "-3"},
 		"a day":                      {[]string{"86400"}, 24 * time.Hour, ""},
 		"more than a day":            {[]string{"99999999"}, 24 * time.Hour, ""},
