--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -14,12 +14,13 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// versioned is a target of a version.
+// versioned returns a target with a version.
 func versioned(id, version string) balance.Target {
 	return balance.Target{ID: id, Service: "s", Address: id, DataCenter: "a", Version: version}
 }
 
-// twoVersions is a balancer with as many targets of an old and of a new version.
+// twoVersions returns a balancer with the same number of targets of an old and of a new
+// version.
 func twoVersions(each int) *balance.Balancer {
 	b := balance.New(balance.DefaultOptions())
 	for i := range each {
@@ -29,7 +30,8 @@
 	return b
 }
 
-// chosenOf are the targets that get requests of the given versions, which last, in order.
+// chosenOf returns the sorted targets that get requests restricted to the given versions, all
+// of them in flight together.
 func chosenOf(b *balance.Balancer, versions balance.Versions, now time.Time, exclude ...string) []string {
 	ids := make(map[string]bool)
 	var picks []string
@@ -49,63 +51,63 @@
 	return slices.Sorted(maps.Keys(ids))
 }
 
-// leaveOut has a target ejected.
-func leaveOut(b *balance.Balancer, id string) {
+// eject ejects a target.
+func eject(b *balance.Balancer, id string) {
 	b.NoteRefused(short(id), start)
 }
 
-func TestWhichVersionsGetRequests(t *testing.T) {
+func TestVersions(t *testing.T) {
 	onlyNew, onlyOld := balance.Versions{Only: "new"}, balance.Versions{Only: "old"}
-	notNew, ratherNew := balance.Versions{Not: []string{"new"}}, balance.Versions{Rather: "new"}
-	olds, news := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
+	notNew, preferNew := balance.Versions{Excluded: []string{"new"}}, balance.Versions{Preferred: "new"}
+	oldIDs, newIDs := []string{"old0", "old1", "old2", "old3"}, []string{"new0", "new1", "new2", "new3"}
 	cases := map[string]struct {
 		versions balance.Versions
 		before   func(b *balance.Balancer)
 		exclude  []string
 		want     []string
 	}{
-		"all":                 {want: slices.Concat(news, olds)},
-		"one":                 {versions: onlyNew, want: news},
-		"not one":             {versions: notNew, want: olds},
-		"rather one":          {versions: ratherNew, want: news},
-		"one that nobody has": {versions: balance.Versions{Only: "newer"}},
-		"a further attempt":   {versions: notNew, exclude: []string{"old0", "new1"}, want: olds[1:]},
-		"an ejected one":      {versions: onlyNew, before: func(b *balance.Balancer) { leaveOut(b, "new1") }, want: []string{"new0", "new2", "new3"}},
-		"at least half of the version serve": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range news[1:] {
-				leaveOut(b, id)
+		"all":             {want: slices.Concat(newIDs, oldIDs)},
+		"only one":        {versions: onlyNew, want: newIDs},
+		"excluding one":   {versions: notNew, want: oldIDs},
+		"preferring one":  {versions: preferNew, want: newIDs},
+		"unknown version": {versions: balance.Versions{Only: "newer"}},
+		"second attempt":  {versions: notNew, exclude: []string{"old0", "new1"}, want: oldIDs[1:]},
+		"ejected target":  {versions: onlyNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"most of the version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
+			for _, id := range newIDs[1:] {
+				eject(b, id)
 			}
-		}, want: news[:2]},
-		"others that are ejected change nothing": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range olds {
-				leaveOut(b, id)
+		}, want: newIDs[:2]},
+		"other version ejected": {versions: onlyNew, before: func(b *balance.Balancer) {
+			for _, id := range oldIDs {
+				eject(b, id)
 			}
-		}, want: news},
-		"rather one that has none left": {versions: ratherNew, before: func(b *balance.Balancer) {
+		}, want: newIDs},
+		"preferring one that is leaving": {versions: preferNew, before: func(b *balance.Balancer) {
 			for i := range 4 {
 				leaving := versioned(fmt.Sprint("new", i), "new")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
-		}, want: olds},
-		"rather one of which some are left": {versions: ratherNew, before: func(b *balance.Balancer) { leaveOut(b, "new1") }, want: []string{"new0", "new2", "new3"}},
-		"their entries lapse": {versions: onlyOld, before: func(b *balance.Balancer) {
-			for _, id := range slices.Concat(olds, news) {
+		}, want: oldIDs},
+		"preferring one with an ejected target": {versions: preferNew, before: func(b *balance.Balancer) { eject(b, "new1") }, want: []string{"new0", "new2", "new3"}},
+		"all entries expire": {versions: onlyOld, before: func(b *balance.Balancer) {
+			for _, id := range slices.Concat(oldIDs, newIDs) {
 				b.Drop(id, start)
 			}
-		}, want: olds},
-		"the others are taken away": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range olds {
+		}, want: oldIDs},
+		"other version unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
+			for _, id := range oldIDs {
 				b.Drop(id, start)
 			}
-		}, want: news},
-		"the others and one of them are taken away": {versions: onlyNew, before: func(b *balance.Balancer) {
-			for _, id := range append(slices.Clone(olds), "new3") {
+		}, want: newIDs},
+		"other version and one target unlisted": {versions: onlyNew, before: func(b *balance.Balancer) {
+			for _, id := range append(slices.Clone(oldIDs), "new3") {
 				b.Drop(id, start)
 			}
-		}, want: news[:3]},
-		"an entry states its version later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(news), "old2")},
-		"evacuated":                         {versions: onlyNew, before: func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }},
+		}, want: newIDs[:3]},
+		"version stated later": {versions: onlyNew, before: func(b *balance.Balancer) { b.Put(versioned("old2", "new"), start) }, want: append(slices.Clone(newIDs), "old2")},
+		"evacuated":            {versions: onlyNew, before: func(b *balance.Balancer) { b.SetEvacuated("a", true, start) }},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -121,8 +123,8 @@
 	}
 }
 
-// first are the first of the new targets in the order of a seed, but for some.
-func first(seed uint64, each, count int, without ...string) []string {
+// firstNew returns the first new targets in the order of a seed, without the given ones.
+func firstNew(seed uint64, each, count int, without ...string) []string {
 	var ids []string
 	for i := range each {
 		if id := fmt.Sprint("new", i); !slices.Contains(without, id) {
@@ -137,9 +139,9 @@
 	return ids
 }
 
-// TestAFewTargetsTakeTheShare: as many as make each as loaded as the others, the first in
-// an order that all gateways share.
-func TestAFewTargetsTakeTheShare(t *testing.T) {
+// TestVersionShare checks that as many targets take the share as make each of them as loaded
+// as the others, and that they are the first in an order that all gateways share.
+func TestVersionShare(t *testing.T) {
 	const seed = 5
 	cases := map[string]struct {
 		each   int
@@ -147,35 +149,35 @@
 		before func(b *balance.Balancer)
 		want   []string
 	}{
-		"a tenth of fifty":        {each: 50, share: 0.1, want: first(seed, 50, 5)},
-		"more than a tenth":       {each: 50, share: 0.11, want: first(seed, 50, 6)},
-		"of four":                 {each: 4, share: 0.1, want: first(seed, 4, 2)},
-		"of one":                  {each: 1, share: 0.1, want: []string{"new0"}},
-		"all, where none is said": {each: 6, share: 0, want: first(seed, 6, 6)},
-		"more than there are":     {each: 6, share: 1, want: first(seed, 6, 6)},
-		"an ejected one is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
-			leaveOut(b, first(seed, 50, 1)[0])
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
-		"one that is evacuated is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
-			moved := versioned(first(seed, 50, 1)[0], "new")
+		"a tenth of fifty":            {each: 50, share: 0.1, want: firstNew(seed, 50, 5)},
+		"more than a tenth":           {each: 50, share: 0.11, want: firstNew(seed, 50, 6)},
+		"of four":                     {each: 4, share: 0.1, want: firstNew(seed, 4, 2)},
+		"of one":                      {each: 1, share: 0.1, want: []string{"new0"}},
+		"no share":                    {each: 6, share: 0, want: firstNew(seed, 6, 6)},
+		"more targets than available": {each: 6, share: 1, want: firstNew(seed, 6, 6)},
+		"ejected target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+			eject(b, firstNew(seed, 50, 1)[0])
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
+		"evacuated target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+			moved := versioned(firstNew(seed, 50, 1)[0], "new")
 			moved.DataCenter = "b"
 			b.Put(moved, start)
 			b.SetEvacuated("b", true, start)
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
-		"one that is cold is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
+		"cold target is replaced": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			b.SetCold("s", balance.ColdBound{Rate: 0.0001, Start: time.Minute})
 			b.SetGateways(balance.Gateways{Count: 1000, Place: 500})
-			cold := versioned(first(seed, 50, 1)[0], "new")
+			cold := versioned(firstNew(seed, 50, 1)[0], "new")
 			cold.ColdFor = time.Minute
 			b.Put(cold, start)
-		}, want: first(seed, 50, 5, first(seed, 50, 1)...)},
-		"others that leave don't count": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
+		}, want: firstNew(seed, 50, 5, firstNew(seed, 50, 1)...)},
+		"leaving targets of the other version": {each: 50, share: 0.1, before: func(b *balance.Balancer) {
 			for i := range 20 {
 				leaving := versioned(fmt.Sprint("old", i), "old")
 				leaving.Leaving = true
 				b.Put(leaving, start)
 			}
-		}, want: first(seed, 50, 3)},
+		}, want: firstNew(seed, 50, 3)},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -188,19 +190,20 @@
 	}
 }
 
-// TestRoomOfVersions: the room of a request is that of the targets that may take it.
+// TestRoomOfVersions checks that the room for a request is that of the targets that may take
+// it.
 func TestRoomOfVersions(t *testing.T) {
 	cases := map[string]struct {
 		versions balance.Versions
 		peers    int
 		want     int
 	}{
-		"all":                      {want: 18},
-		"one":                      {versions: balance.Versions{Only: "new"}, want: 8},
-		"not one":                  {versions: balance.Versions{Not: []string{"new"}}, want: 10},
-		"all, among many":          {peers: 20, want: 18},
-		"one, among many":          {versions: balance.Versions{Only: "new"}, peers: 20, want: 8},
-		"one of none, nothing yet": {versions: balance.Versions{Only: "newer"}, want: 100},
+		"all":                     {want: 18},
+		"only one":                {versions: balance.Versions{Only: "new"}, want: 8},
+		"excluding one":           {versions: balance.Versions{Excluded: []string{"new"}}, want: 10},
+		"all, many gateways":      {peers: 20, want: 18},
+		"only one, many gateways": {versions: balance.Versions{Only: "new"}, peers: 20, want: 8},
+		"unknown version":         {versions: balance.Versions{Only: "newer"}, want: 100},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -221,19 +224,19 @@
 	}
 }
 
-// TestPromptsOfOtherWeights: what a target has read is of use to one with the same
-// weights only, and then whether or not it takes requests itself.
-func TestPromptsOfOtherWeights(t *testing.T) {
+// TestSourcesWithOtherWeights checks that a cached prompt is used only by targets with the
+// same weights, whether or not its holder takes requests itself.
+func TestSourcesWithOtherWeights(t *testing.T) {
 	cases := map[string]struct {
 		holder, chosen, bystander string
 		source                    balance.Source
 		from                      string
 	}{
-		"none stated":              {"", "", "", balance.SourceKnown, "old0"},
-		"the same":                 {"w1", "w1", "w1", balance.SourceKnown, "old0"},
-		"others":                   {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
-		"one states none":          {"", "w2", "w2", balance.SourceGuessed, "new1"},
-		"others, nothing to guess": {"w1", "w2", "w1", balance.SourceNone, ""},
+		"not stated":                      {"", "", "", balance.SourceKnown, "old0"},
+		"same weights":                    {"w1", "w1", "w1", balance.SourceKnown, "old0"},
+		"others":                          {"w1", "w2", "w2", balance.SourceGuessed, "new1"},
+		"holder states none":              {"", "w2", "w2", balance.SourceGuessed, "new1"},
+		"other weights, nothing to guess": {"w1", "w2", "w1", balance.SourceNone, ""},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -256,13 +259,13 @@
 	}
 }
 
-// TestAReadByOtherWeightsIsBegunAnew: a long part that only targets with other weights
-// hold is read, and others of its requests wait for that.
-func TestAReadByOtherWeightsIsBegunAnew(t *testing.T) {
+// TestFillWithOtherWeights checks that a long part held only by targets with other weights is
+// read again, and that other requests wait for that read.
+func TestFillWithOtherWeights(t *testing.T) {
 	for name, tc := range map[string]struct {
 		weights string
 		fills   int
-	}{"the same": {"w1", 0}, "others": {"w2", 1}} {
+	}{"same weights": {"w1", 0}, "others": {"w2", 1}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := balance.New(balance.DefaultOptions())
@@ -280,18 +283,18 @@
 	}
 }
 
-// TestHoldersOfRefusedVersions: a holder that may not take the request is no reason not
-// to ask for one that may.
-func TestHoldersOfRefusedVersions(t *testing.T) {
+// TestPartsToLocateWithVersions checks that holders are asked for even if a known holder
+// exists that may not take the request.
+func TestPartsToLocateWithVersions(t *testing.T) {
 	cases := map[string]struct {
 		versions balance.Versions
 		asked    int
 	}{
-		"all":         {asked: 0},
-		"its version": {versions: balance.Versions{Only: "old"}, asked: 0},
-		"another":     {versions: balance.Versions{Only: "new"}, asked: 1},
-		"not its own": {versions: balance.Versions{Not: []string{"old"}}, asked: 1},
-		"rather":      {versions: balance.Versions{Rather: "new"}, asked: 1},
+		"all":                            {asked: 0},
+		"version of the holder":          {versions: balance.Versions{Only: "old"}, asked: 0},
+		"another":                        {versions: balance.Versions{Only: "new"}, asked: 1},
+		"excluding the holder's version": {versions: balance.Versions{Excluded: []string{"old"}}, asked: 1},
+		"preferring another version":     {versions: balance.Versions{Preferred: "new"}, asked: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -299,7 +302,7 @@
 			query := longSession(1)
 			query.Versions = tc.versions
 			b.Learn([]balance.Placement{{Part: uint32(query.Parts[len(query.Parts)-1] >> 32), Target: short("old0")}})
-			is.New(t).Equal(len(b.Unplaced(query, start)), tc.asked)
+			is.New(t).Equal(len(b.PartsToLocate(query, start)), tc.asked)
 		})
 	}
 }
@@ -317,16 +320,17 @@
 	for i := range 3 {
 		b.Drop(fmt.Sprint("new", i), start)
 	}
-	b.Drop("plain", start.Add(2*time.Minute)) // those gone for long are forgotten
+	b.Drop("plain", start.Add(2*time.Minute)) // targets unlisted for long are forgotten
 	b.Put(versioned("newest0", "newest"), start)
 	is.Equal(b.VersionsOf("s"), map[string]int{"old": 2, "newest": 1})
 	is.Equal(chosenOf(b, balance.Versions{Only: "newest"}, start), []string{"newest0"})
 }
 
-// TestAChoiceAmongVersionsAllocatesNothing: it is made for each request.
-func TestAChoiceAmongVersionsAllocatesNothing(t *testing.T) {
+// TestChooseVersionsAllocs checks that a choice, which is made for each request, does not
+// allocate.
+func TestChooseVersionsAllocs(t *testing.T) {
 	for name, versions := range map[string]balance.Versions{
-		"all": {}, "not": {Not: []string{"new"}}, "rather": {Rather: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
+		"all": {}, "not": {Excluded: []string{"new"}}, "preferring another version": {Preferred: "new"}, "few": {Only: "new", Share: 0.1, Seed: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := twoVersions(50)
@@ -342,11 +346,11 @@
 	}
 }
 
-// TestWhatIsUnread: the parts of a prompt behind the deepest that the target holds or
+// TestUnread checks the number of tokens after the deepest part that the target holds or
 // fetches.
-func TestWhatIsUnread(t *testing.T) {
+func TestUnread(t *testing.T) {
 	query := balance.Query{Service: "s", Parts: []uint64{11 << 32, 12 << 32, 13 << 32}, Tokens: []int{100, 200, 400}, Exclude: []string{"t1"}}
-	placed := func(part uint32, target string) balance.Placement {
+	placement := func(part uint32, target string) balance.Placement {
 		return balance.Placement{Part: part, Target: short(target)}
 	}
 	cases := map[string]struct {
@@ -354,11 +358,11 @@
 		source balance.Source
 		unread int
 	}{
-		"nobody holds anything":      {nil, balance.SourceGuessed, 700},
-		"the target holds it":        {[]balance.Placement{placed(13, "t0")}, balance.SourceHeld, 0},
-		"another one does":           {[]balance.Placement{placed(13, "t1")}, balance.SourceKnown, 0},
-		"the target holds the first": {[]balance.Placement{placed(11, "t0")}, balance.SourceHeld, 600},
-		"another one holds more":     {[]balance.Placement{placed(11, "t0"), placed(12, "t1")}, balance.SourceKnown, 400},
+		"no holder":                     {nil, balance.SourceGuessed, 700},
+		"held by the target":            {[]balance.Placement{placement(13, "t0")}, balance.SourceHeld, 0},
+		"held by another":               {[]balance.Placement{placement(13, "t1")}, balance.SourceKnown, 0},
+		"first part held by the target": {[]balance.Placement{placement(11, "t0")}, balance.SourceHeld, 600},
+		"more held by another":          {[]balance.Placement{placement(11, "t0"), placement(12, "t1")}, balance.SourceKnown, 400},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -374,8 +378,9 @@
 	}
 }
 
-// TestAPickOfAColdTargetSaysSo: what it answers says less of its version.
-func TestAPickOfAColdTargetSaysSo(t *testing.T) {
+// TestColdPick checks that a pick of a cold target is marked, because its answers say less
+// about its version.
+func TestColdPick(t *testing.T) {
 	is := is.New(t)
 	b := balance.New(balance.DefaultOptions())
 	cold := target(0)
@@ -389,17 +394,17 @@
 	is.True(!pick.Cold)
 }
 
-// TestUncountedRequestsAreSpreadOverWhatTakesThem: what others report in their totals
-// only is at the targets of the versions that take the service's requests.
-func TestUncountedRequestsAreSpreadOverWhatTakesThem(t *testing.T) {
+// TestUncountedTotalsWithVersions checks that requests that others report only in their totals
+// are attributed to the targets of the versions that take the service's requests.
+func TestUncountedTotalsWithVersions(t *testing.T) {
 	cases := map[string]struct {
 		admitting balance.Versions
 		old, load int
 	}{
 		"all":                            {load: 6},
-		"a single version, all admitted": {admitting: balance.Versions{Not: []string{"older"}, Rather: "new"}, load: 6},
-		"one of two":                     {admitting: balance.Versions{Not: []string{"old"}}, old: 2, load: 6},
-		"both of two":                    {admitting: balance.Versions{Not: []string{"older"}}, old: 2, load: 3},
+		"a single version, all admitted": {admitting: balance.Versions{Excluded: []string{"older"}, Preferred: "new"}, load: 6},
+		"one of two versions":            {admitting: balance.Versions{Excluded: []string{"old"}}, old: 2, load: 6},
+		"both versions":                  {admitting: balance.Versions{Excluded: []string{"older"}}, old: 2, load: 3},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -425,18 +430,18 @@
 	}
 }
 
-// TestAReadingByOtherWeightsIsNotWaitedFor: what it leaves behind is of no use to the
-// targets that may take the request.
-func TestAReadingByOtherWeightsIsNotWaitedFor(t *testing.T) {
+// TestFillingWithOtherWeights checks that requests do not wait for a read whose result the
+// targets that may take them cannot use.
+func TestFillingWithOtherWeights(t *testing.T) {
 	cases := map[string]struct {
 		weights  string
 		versions balance.Versions
 		waits    bool
 	}{
-		"the same weights":                 {"w1", balance.Versions{Only: "new"}, true},
-		"others":                           {"w2", balance.Versions{Only: "new"}, false},
-		"others, and its own are admitted": {"w2", balance.Versions{}, true},
-		"others, and only its own are":     {"w2", balance.Versions{Not: []string{"new"}}, true},
+		"same weights":                         {"w1", balance.Versions{Only: "new"}, true},
+		"others":                               {"w2", balance.Versions{Only: "new"}, false},
+		"other weights, all versions admitted": {"w2", balance.Versions{}, true},
+		"other weights, only the reader's version": {"w2", balance.Versions{Excluded: []string{"new"}}, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -208,7 +208,7 @@
 		return
 	}
 	began := clock.Now()
-	unplaced := c.gateway.Balancer.Unplaced(c.attemptQuery(), began)
+	unplaced := c.gateway.Balancer.PartsToLocate(c.attemptQuery(), began)
 	if len(unplaced) == 0 {
 		return
 	}
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -100,7 +100,7 @@
 		w.gateway.Balancer.Put(target, time.Now())
 	}
 	refusedElsewhere := func(w *testGateway, _ *fakeProber, target balance.Target) {
-		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Life())>>32), time.Now())
+		w.gateway.Balancer.NoteRefused(uint32(policy.HashName(target.Incarnation())>>32), time.Now())
 	}
 	type step = func(w *testGateway, prober *fakeProber, target balance.Target)
 	cases := map[string]struct {
@@ -222,7 +222,7 @@
 				target := keepOneTarget(w, 1000)
 				time.AfterFunc(50*time.Millisecond, func() {
 					target.Born++
-					w.gateway.EndSuperseded(w.gateway.Balancer.Put(target, time.Now()).Outlived)
+					w.gateway.EndSuperseded(w.gateway.Balancer.Put(target, time.Now()).Superseded)
 				})
 				w.serve(t.Context(), tc.path)
 				is.Equal(w.caller.records[0].Took, 50*time.Millisecond)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -23,7 +23,7 @@
 	// Request is the ID of the request that was answered.
 	Request string
 	Notice  balance.Notice
-	News    balance.News
+	News    balance.NoticeChange
 }
 
 // handleNotice applies the target's report about itself. It applies from now on to everything that
@@ -33,8 +33,8 @@
 	if notice == (balance.Notice{}) {
 		return
 	}
-	changes := a.call.gateway.Balancer.Heed(a.incarnation, notice, clock.Check())
-	if changes == (balance.News{}) {
+	changes := a.call.gateway.Balancer.ObserveNotice(a.incarnation, notice, clock.Check())
+	if changes == (balance.NoticeChange{}) {
 		return
 	}
 	a.call.gateway.Events.Notice(&NoticeRecord{
@@ -51,18 +51,18 @@
 // endProbe reports how the half-open probe of a target that rested has ended. Other requests may
 // follow once the headers of its answer have arrived, however long the answer takes.
 func (a *attempt) endProbe(answered bool) {
-	if !a.pick.Try || a.probeEnded {
+	if !a.pick.Probe || a.probeEnded {
 		return
 	}
 	a.probeEnded = true
-	a.call.gateway.Balancer.EndTry(a.incarnation, answered, clock.Now())
+	a.call.gateway.Balancer.EndProbe(a.incarnation, answered, clock.Now())
 }
 
 // retryAfter returns when the caller of a request that did not run should retry: when a resting
 // target is available again if no other is open, else when the service has capacity.
 func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
-	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), now); ok {
+	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
 		return back
 	}
 	if c.gateway.Limiters == nil {
@@ -73,7 +73,7 @@
 
 // retryAfterNoTarget returns the same for a request for which no target was open at all.
 func (c *call) retryAfterNoTarget() time.Duration {
-	if back, ok := c.gateway.Balancer.BackIn(c.attemptQuery(), clock.Now()); ok {
+	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
 		return back
 	}
 	return retryAfterShortage
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -119,7 +119,7 @@
 // a leaving target go to another target and need no retry: the retry budget is empty here.
 func TestLeavingNoticeWhileConnecting(t *testing.T) {
 	notices := map[string]func(b *balance.Balancer){
-		"announced in an answer": func(b *balance.Balancer) { b.Heed("a", balance.Notice{Leaving: true}, time.Now()) },
+		"announced in an answer": func(b *balance.Balancer) { b.ObserveNotice("a", balance.Notice{Leaving: true}, time.Now()) },
 		"announced in its entry": func(b *balance.Balancer) {
 			b.Put(balance.Target{ID: "a", Service: "s", Address: "a", Leaving: true}, time.Now())
 		},
@@ -159,7 +159,7 @@
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, "yes"))
 		for _, id := range []string{"a", "b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, time.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, time.Now())
 		}
 		began := time.Now()
 		w.serve(t.Context(), "/once/x")
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -25,7 +25,7 @@
 func restingUntil(until time.Time) script {
 	return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		if time.Now().Before(until) {
-			return withNotice(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
 		}
 		return respond(http.StatusOK, one)(ctx, out)
 	}
@@ -70,9 +70,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, "yes"))
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		time.Sleep(time.Second)
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		time.Sleep(restTime - time.Millisecond)
 		for number := range 50 {
 			w.serve(t.Context(), fmt.Sprintf("/once/%d", number))
@@ -88,7 +88,7 @@
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Options.KeyFreshness = 0
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Minute}, clock.Check())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Minute}, clock.Check())
 		w.serve(t.Context(), "/once/x")
 		defer clock.Simulate(2 * time.Minute)()
 		for number := range 50 {
@@ -108,7 +108,7 @@
 		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 		for _, id := range []string{"a", "b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Rest: restTime}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{RetryAfter: restTime}, clock.Now())
 		}
 		retryTimes := make(map[time.Duration]bool)
 		for time.Since(began) < restTime {
@@ -135,9 +135,9 @@
 func TestLastTargetAsksForRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestGateway(withNotice(balance.Notice{Rest: restTime}, rejected))
+		w := newTestGateway(withNotice(balance.Notice{RetryAfter: restTime}, rejected))
 		for _, id := range []string{"b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 		}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(w.caller.refusal.State, fault.NotRun)
@@ -152,7 +152,7 @@
 		is := is.New(t)
 		w := newSingleSlotGateway(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			time.Sleep(5 * time.Millisecond)
-			return withNotice(balance.Notice{Rest: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
 		})
 		first := make(chan *recorder, 1)
 		go func() { first <- w.serveAs(t.Context(), "/once/first") }()
@@ -179,7 +179,7 @@
 			go func() { callers[i] = w.serveAs(t.Context(), "/once/x") }()
 		}
 		synctest.Wait()
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
 		close(sender.release)
 		synctest.Wait()
 		is.Equal(w.sentTo("a"), 0)
@@ -192,7 +192,7 @@
 // TestStreamIsNotResumedAtRestingTarget checks that a stream that broke off isn't resumed at a
 // resting or leaving target.
 func TestStreamIsNotResumedAtRestingTarget(t *testing.T) {
-	for name, notice := range map[string]balance.Notice{"rest": {Rest: time.Minute}, "leaving": {Leaving: true}} {
+	for name, notice := range map[string]balance.Notice{"rest": {RetryAfter: time.Minute}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -203,7 +203,7 @@
 					}
 					for _, id := range []string{"a", "b", "c"} {
 						if id != out.Target.ID && id != "c" {
-							w.gateway.Balancer.Heed(id, notice, clock.Now())
+							w.gateway.Balancer.ObserveNotice(id, notice, clock.Now())
 						}
 					}
 					return stream(one+two[:5], io.ErrUnexpectedEOF)(ctx, out)
@@ -250,9 +250,9 @@
 				is := is.New(t)
 				w := newTestGateway(withNotice(balance.Notice{}, test.answers))
 				for _, id := range []string{"b", "c"} {
-					w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+					w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 				}
-				w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Second}, clock.Now())
+				w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Second}, clock.Now())
 				time.Sleep(time.Second)
 				go w.serveAs(t.Context(), "/stream/first")
 				synctest.Wait()
@@ -282,9 +282,9 @@
 			return &gateway.Answer{Status: http.StatusOK, Size: -1, Signed: true, Body: body}, nil
 		})
 		for _, id := range []string{"b", "c"} {
-			w.gateway.Balancer.Heed(id, balance.Notice{Leaving: true}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 		}
-		w.gateway.Balancer.Heed("a", balance.Notice{Rest: time.Second}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: time.Second}, clock.Now())
 		time.Sleep(time.Second)
 		for range 5 {
 			go w.serveAs(t.Context(), "/stream/x")
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -206,7 +206,7 @@
 	if a.liveness.passing.Load() || now.Sub(last) < unresponsiveInterval {
 		return false
 	}
-	if a.call.gateway.Balancer.Doubted(a.incarnation, last, now) {
+	if a.call.gateway.Balancer.SuspectedByPeers(a.incarnation, last, now) {
 		a.liveness.suspectedAt = last
 	}
 	return a.liveness.suspectedAt.Equal(last) && now.Sub(last) >= a.maxUsualSilence()
--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -17,7 +17,7 @@
 		return
 	}
 	c.returnAssignment()
-	haveLeft := func(versions balance.Versions) bool { return c.gateway.Balancer.Left(c.service, versions) }
+	haveLeft := func(versions balance.Versions) bool { return c.gateway.Balancer.LeftAsPlanned(c.service, versions) }
 	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.triedIncarnations) > 0, Left: haveLeft}
 	c.assignment, c.assignmentUnused, c.assignedAt = gate.Assign(ask, now), true, now
 	c.versions = c.assignment.Versions
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -125,7 +125,7 @@
 
 // addPaces adds the paces that targets recently reported to this process.
 func (s *Service) addPaces(heartbeat *wire.GatewayBeat, now time.Time) {
-	for _, pace := range s.options.Balancer.PaceNews(maxPaces, now) {
+	for _, pace := range s.options.Balancer.ChangedPaces(maxPaces, now) {
 		heartbeat.Paced = append(heartbeat.Paced, pace.Target)
 		heartbeat.Paces = append(heartbeat.Paces, uint32(math.Round(pace.Factor/paceUnit)))
 		heartbeat.PaceAgesMs = append(heartbeat.PaceAgesMs, uint32(pace.Age.Milliseconds()))
--- a/internal/policy/places_test.go
+++ b/internal/policy/places_test.go
@@ -18,7 +18,7 @@
 	return names
 }
 
-func namesOf(p *Places, slot int) []string {
+func namesOf(p *SlotTable, slot int) []string {
 	var names []string
 	for _, number := range p.Order(slot) {
 		names = append(names, p.Name(number))
@@ -26,32 +26,32 @@
 	return names
 }
 
-// Whatever the order in which targets come and go, two processes with the same
-// targets have the same order for every slot.
+// TestOrderDependsOnlyOnTheSet checks that two processes with the same targets have the same
+// order for every slot, regardless of the order in which targets joined and left.
 func TestOrderDependsOnlyOnTheSet(t *testing.T) {
 	source := rand.New(rand.NewPCG(1, 1))
 	names := engineNames(30)
-	grown := NewPlaces(nil)
+	changed := NewSlotTable(nil)
 	for range 150 {
 		name := names[source.IntN(len(names))]
-		if grown.Has(name) {
-			grown.Remove(name)
+		if changed.Has(name) {
+			changed.Remove(name)
 		} else {
-			grown.Add(name)
+			changed.Add(name)
 		}
 	}
-	fresh := NewPlaces(grown.Names())
+	fresh := NewSlotTable(changed.Names())
 	for slot := 0; slot < Slots; slot += 101 {
-		if !slices.Equal(namesOf(grown, slot), namesOf(fresh, slot)) {
-			t.Fatalf("slot %d: %v and %v", slot, namesOf(grown, slot), namesOf(fresh, slot))
+		if !slices.Equal(namesOf(changed, slot), namesOf(fresh, slot)) {
+			t.Fatalf("slot %d: %v and %v", slot, namesOf(changed, slot), namesOf(fresh, slot))
 		}
 	}
 }
 
-// A target that comes or goes moves only the chats that it gets or loses.
+// TestChangeMovesFewChats checks that adding a target moves only the chats that it gets.
 func TestChangeMovesFewChats(t *testing.T) {
 	is := is.New(t)
-	before := NewPlaces(engineNames(50))
+	before := NewSlotTable(engineNames(50))
 	after := before.Clone()
 	after.Add("engine-new")
 	moved := 0
@@ -59,7 +59,7 @@
 		was, now := namesOf(before, slot)[0], namesOf(after, slot)[0]
 		if was != now {
 			moved++
-			is.Equal(now, "engine-new") // nobody moves between old targets
+			is.Equal(now, "engine-new") // no chat moves between old targets
 		}
 	}
 	share := float64(moved) / Slots
@@ -68,38 +68,38 @@
 
 func noHints(uint32) Hint { return Hint{} }
 
-// A search never asks a target twice in a row, ends, and only asks targets
-// that are usable.
+// TestSearchEnds checks that a search ends and asks only usable targets, a limited number of
+// times.
 func TestSearchEnds(t *testing.T) {
-	places := NewPlaces(engineNames(12))
+	slotTable := NewSlotTable(engineNames(12))
 	rapid.Check(t, func(rt *rapid.T) {
 		usable := rapid.SliceOfN(rapid.Bool(), 12, 12).Draw(rt, "usable")
 		hints := func(number uint32) Hint { return Hint{Down: !usable[number]} }
 		search := Search{
-			Places:    places,
+			Table:     slotTable,
 			Chat:      rapid.Uint64().Draw(rt, "chat"),
 			Returning: rapid.Bool().Draw(rt, "returning"),
 			HasToken:  rapid.Bool().Draw(rt, "has token"),
 			Token:     uint32(rapid.IntRange(0, 11).Draw(rt, "token")),
 		}
 		random := rand.New(rand.NewPCG(3, 4))
-		asked := 0
+		attempts := 0
 		for {
-			ask, ok := search.Next(hints, random)
+			attempt, ok := search.Next(hints, random)
 			if !ok {
 				break
 			}
-			if !usable[ask.Number] {
-				rt.Fatalf("asked %d, which is down", ask.Number)
+			if !usable[attempt.Number] {
+				rt.Fatalf("attempt at target %d, which is down", attempt.Number)
 			}
-			if asked++; asked > 2*mostTried+Homes {
-				rt.Fatalf("asked %d times", asked)
+			if attempts++; attempts > 2*maxTried+Homes {
+				rt.Fatalf("%d attempts", attempts)
 			}
 			outcome := []Outcome{NotHeld, Full, Gone}[rapid.IntRange(0, 2).Draw(rt, "outcome")]
-			if outcome == NotHeld && !ask.OnlyHeld {
+			if outcome == NotHeld && !attempt.OnlyHeld {
 				outcome = Gone
 			}
-			if !search.After(outcome) {
+			if !search.Record(outcome) {
 				break
 			}
 		}
@@ -107,35 +107,35 @@
 }
 
 func TestSearchOrder(t *testing.T) {
-	places := NewPlaces(engineNames(20))
+	slotTable := NewSlotTable(engineNames(20))
 	const chat = 42
-	homes := places.Order(SlotOf(chat))[:Homes]
+	homes := slotTable.Order(SlotOf(chat))[:Homes]
 	random := rand.New(rand.NewPCG(1, 2))
 	tests := map[string]struct {
 		search Search
 		hints  Hints
-		want   Ask
+		want   Attempt
 	}{
-		"the token's target first": {
-			Search{Places: places, Chat: chat, HasToken: true, Token: 7}, noHints, Ask{Number: 7},
+		"target of the token": {
+			Search{Table: slotTable, Chat: chat, HasToken: true, Token: 7}, noHints, Attempt{Number: 7},
 		},
-		"a token to a leaving target is passed over": {
-			Search{Places: places, Chat: chat, HasToken: true, Token: homes[3]},
+		"token of a leaving target": {
+			Search{Table: slotTable, Chat: chat, HasToken: true, Token: homes[3]},
 			func(n uint32) Hint { return Hint{Leaving: n == homes[3]} },
-			Ask{Number: homes[0]},
+			Attempt{Number: homes[0]},
 		},
-		"a returning chat is looked for at its homes": {
-			Search{Places: places, Chat: chat, Returning: true}, noHints, Ask{Number: homes[0], OnlyHeld: true},
+		"returning chat": {
+			Search{Table: slotTable, Chat: chat, Returning: true}, noHints, Attempt{Number: homes[0], OnlyHeld: true},
 		},
-		"a new chat goes to the home with most room": {
-			Search{Places: places, Chat: chat},
+		"new chat": {
+			Search{Table: slotTable, Chat: chat},
 			func(n uint32) Hint {
 				if n == homes[2] {
 					return Hint{InFlight: 1, Limit: 9}
 				}
 				return Hint{InFlight: 5, Limit: 9}
 			},
-			Ask{Number: homes[2]},
+			Attempt{Number: homes[2]},
 		},
 	}
 	for name, tt := range tests {
@@ -147,11 +147,11 @@
 	}
 }
 
-// BenchmarkDecision is one search's first attempt.
+// BenchmarkDecision measures the first attempt of a search.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedPlaces(engineNames(n))
+			slotTable := sharedTable(engineNames(n))
 			table := make([]Hint, n)
 			random := rand.New(rand.NewPCG(1, 2))
 			for i := range table {
@@ -160,35 +160,35 @@
 			hints := func(number uint32) Hint { return table[number] }
 			b.ReportAllocs()
 			for b.Loop() {
-				search := Search{Places: places, Chat: random.Uint64(), Returning: true}
+				search := Search{Table: slotTable, Chat: random.Uint64(), Returning: true}
 				_, _ = search.Next(hints, random)
-				search.After(NotHeld)
+				search.Record(NotHeld)
 				_, _ = search.Next(hints, random)
 			}
 		})
 	}
 }
 
-// BenchmarkPlacesChange is one target leaving and one joining.
-func BenchmarkPlacesChange(b *testing.B) {
+// BenchmarkSlotTableChange measures one target leaving and one joining.
+func BenchmarkSlotTableChange(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			places := sharedPlaces(engineNames(n)).Clone()
+			slotTable := sharedTable(engineNames(n)).Clone()
 			for b.Loop() {
-				places.Remove("engine-00007")
-				places.Add("engine-00007")
+				slotTable.Remove("engine-00007")
+				slotTable.Add("engine-00007")
 			}
 		})
 	}
 }
 
-// BenchmarkPlacesBuild is a router's start.
-func BenchmarkPlacesBuild(b *testing.B) {
+// BenchmarkSlotTableBuild measures building the table at a router's start.
+func BenchmarkSlotTableBuild(b *testing.B) {
 	for _, n := range []int{50, 833, 7500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			names := engineNames(n)
 			for b.Loop() {
-				NewPlaces(names)
+				NewSlotTable(names)
 			}
 		})
 	}
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -13,9 +13,9 @@
 
 const date = "Thu, 03 Dec 2026 10:00:00 GMT"
 
-// TestOf: seconds in each form that a back end may write, and what is none.
+// TestOf checks seconds and dates in each form that a back end may write, and invalid values.
 func TestOf(t *testing.T) {
-	const mostQuoted = 40
+	const maxQuoted = 40
 	long := strings.Repeat("9", 400)
 	cases := map[string]struct {
 		values     []string
@@ -24,28 +24,28 @@
 	}{
 		"nothing":                    {nil, 0, ""},
 		"whole seconds":              {[]string{"3"}, 3 * time.Second, ""},
-		"a fraction":                 {[]string{"2.5"}, 2500 * time.Millisecond, ""},
+		"fraction":                   {[]string{"2.5"}, 2500 * time.Millisecond, ""},
 		"less than a second":         {[]string{"0.05"}, 50 * time.Millisecond, ""},
-		"nothing before the point":   {[]string{".5"}, 500 * time.Millisecond, ""},
-		"blanks around it":           {[]string{" 4 "}, 4 * time.Second, ""},
+		"no digit before the point":  {[]string{".5"}, 500 * time.Millisecond, ""},
+		"surrounding spaces":         {[]string{" 4 "}, 4 * time.Second, ""},
 		"none":                       {[]string{"0"}, 0, ""},
 		"negative":                   {[]string{"-3"}, 0, "-3"},
 		"a day":                      {[]string{"86400"}, 24 * time.Hour, ""},
 		"more than a day":            {[]string{"99999999"}, 24 * time.Hour, ""},
-		"more than any number":       {[]string{long}, 0, long[:mostQuoted]},
-		"an exponent":                {[]string{"1e99"}, 0, "1e99"},
-		"the name of a number":       {[]string{"inf"}, 0, "inf"},
-		"no number":                  {[]string{"soon"}, 0, "soon"},
+		"too many digits":            {[]string{long}, 0, long[:maxQuoted]},
+		"exponent":                   {[]string{"1e99"}, 0, "1e99"},
+		"name of a number":           {[]string{"inf"}, 0, "inf"},
+		"not a number":               {[]string{"soon"}, 0, "soon"},
 		"two points":                 {[]string{"1.2.3"}, 0, "1.2.3"},
-		"a point":                    {[]string{"."}, 0, "."},
+		"only a point":               {[]string{"."}, 0, "."},
 		"empty":                      {[]string{""}, 0, ""},
-		"a unit":                     {[]string{"3 s"}, 0, "3 s"},
+		"with a unit":                {[]string{"3 s"}, 0, "3 s"},
 		"two numbers":                {[]string{"3, 4"}, 0, "3, 4"},
-		"the longest of two":         {[]string{"3", "5"}, 5 * time.Second, ""},
-		"one of two is none":         {[]string{"soon", "5"}, 5 * time.Second, "soon"},
-		"a date to come":             {[]string{"Thu, 03 Dec 2026 10:00:07 GMT"}, 7 * time.Second, ""},
-		"a date that is over":        {[]string{"Thu, 03 Dec 2026 09:00:00 GMT"}, 0, ""},
-		"a date in a distant future": {[]string{"Thu, 03 Dec 2099 10:00:00 GMT"}, 24 * time.Hour, ""},
+		"longest of two":             {[]string{"3", "5"}, 5 * time.Second, ""},
+		"one of two invalid":         {[]string{"soon", "5"}, 5 * time.Second, "soon"},
+		"date in the future":         {[]string{"Thu, 03 Dec 2026 10:00:07 GMT"}, 7 * time.Second, ""},
+		"date in the past":           {[]string{"Thu, 03 Dec 2026 09:00:00 GMT"}, 0, ""},
+		"date in the distant future": {[]string{"Thu, 03 Dec 2099 10:00:00 GMT"}, 24 * time.Hour, ""},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestADateWithoutTheDateOfTheAnswer is seen from this host's.
-func TestADateWithoutTheDateOfTheAnswer(t *testing.T) {
+// TestDateWithoutDateHeader checks that a date in a response without a Date header is compared
+// with this host's clock.
+func TestDateWithoutDateHeader(t *testing.T) {
 	is := is.New(t)
 	now, err := http.ParseTime(date)
 	is.NoErr(err)
@@ -66,14 +67,14 @@
 	is.Equal(wait, 9*time.Second)
 }
 
-// FuzzOf: whatever stands there, the time is within its bounds.
+// FuzzOf checks that for any header the time is within its limits.
 func FuzzOf(f *testing.F) {
 	for _, value := range []string{"3", "2.5", "-1", "1e99", "soon", "Thu, 03 Dec 2026 10:00:07 GMT", strings.Repeat("9", 400), "."} {
 		f.Add(value, date)
 	}
 	f.Fuzz(func(t *testing.T, value, date string) {
 		wait, unreadable := retryafter.Of(http.Header{"Retry-After": {value}, "Date": {date}}, time.Now())
-		if wait < 0 || wait > retryafter.Most || len(unreadable) > 40 {
+		if wait < 0 || wait > retryafter.Max || len(unreadable) > 40 {
 			t.Fatalf("%q, at %q: %v %q", value, date, wait, unreadable)
 		}
 	})
