--- a/internal/admission/decay.go
+++ b/internal/admission/decay.go
@@ -6,41 +6,41 @@
 )
 
 // decayed is a count that fades: after its half-life an event counts half.
-type decayed struct {
+type decayingCount struct {
 	value float64
-	at    time.Time
+	updatedAt    time.Time
 	// since is when the counting began.
-	since time.Time
+	start time.Time
 }
 
 // add counts an event.
-func (d *decayed) add(weight float64, now time.Time, halfLife time.Duration) {
-	if d.since.IsZero() {
-		d.since = now
+func (d *decayingCount) add(weight float64, now time.Time, halfLife time.Duration) {
+	if d.start.IsZero() {
+		d.start = now
 	}
-	d.value = d.read(now, halfLife) + weight
-	if now.After(d.at) {
-		d.at = now
+	d.value = d.valueAt(now, halfLife) + weight
+	if now.After(d.updatedAt) {
+		d.updatedAt = now
 	}
 }
 
 // read is the faded count.
-func (d *decayed) read(now time.Time, halfLife time.Duration) float64 {
-	if d.at.IsZero() || !now.After(d.at) {
+func (d *decayingCount) valueAt(now time.Time, halfLife time.Duration) float64 {
+	if d.updatedAt.IsZero() || !now.After(d.updatedAt) {
 		return d.value
 	}
-	return d.value * math.Exp2(-now.Sub(d.at).Seconds()/halfLife.Seconds())
+	return d.value * math.Exp2(-now.Sub(d.updatedAt).Seconds()/halfLife.Seconds())
 }
 
-// perSecond is the rate of events that a faded count stands for. A counting
+// rate is the rate of events that a faded count stands for. A counting
 // that has just begun has seen a part of its time only.
-func (d *decayed) perSecond(now time.Time, halfLife time.Duration) float64 {
-	if d.since.IsZero() {
+func (d *decayingCount) rate(now time.Time, halfLife time.Duration) float64 {
+	if d.start.IsZero() {
 		return 0
 	}
-	seen := 1 - math.Exp2(-max(now.Sub(d.since), leastSeen).Seconds()/halfLife.Seconds())
-	return d.read(now, halfLife) * math.Ln2 / halfLife.Seconds() / seen
+	weightSeen := 1 - math.Exp2(-max(now.Sub(d.start), minRateWindow).Seconds()/halfLife.Seconds())
+	return d.valueAt(now, halfLife) * math.Ln2 / halfLife.Seconds() / weightSeen
 }
 
-// leastSeen is the shortest time that a rate is worked out over.
-const leastSeen = 100 * time.Millisecond
+// minRateWindow is the shortest time that a rate is worked out over.
+const minRateWindow = 100 * time.Millisecond
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -86,24 +86,24 @@
 	rest    rest
 	queues  *queues
 	// pace is the smoothed time between two places that come free.
-	pace     time.Duration
-	lastFree time.Time
+	releaseInterval     time.Duration
+	lastRelease time.Time
 	// empty is closed when the gate is leaving and nothing is in flight.
-	empty   chan struct{}
+	drainDone   chan struct{}
 	drained bool
 }
 
 // NewGate returns an open gate.
 func NewGate(options Options) *Gate {
-	return &Gate{options: options, queues: newQueues(options.Patience), empty: make(chan struct{})}
+	return &Gate{options: options, queues: newQueues(options.Patience), drainDone: make(chan struct{})}
 }
 
 // Limit is the most requests that may be in flight: the larger of the floor
 // and ceil(factor x mean), where the mean is the pool's as last reported.
 func Limit(options Options, mean float64) int {
 	// A hair is taken off so that 1.25 x 4 does not become 6 by rounding.
-	const hair = 1e-9
-	bound := int(math.Ceil(options.Factor*mean - hair))
+	const epsilon = 1e-9
+	bound := int(math.Ceil(options.Factor*mean - epsilon))
 	return min(max(bound, options.Floor), options.Most)
 }
 
@@ -125,33 +125,33 @@
 }
 
 // limit is the bound now; a mean that is too old is not used.
-func (g *Gate) limit() int {
+func (g *Gate) currentLimit() int {
 	if time.Since(g.meanAt) > g.options.MeanAge {
 		return Limit(g.options, 0)
 	}
 	return Limit(g.options, g.mean)
 }
 
-func (g *Gate) free() bool {
-	if g.rest.trying {
+func (g *Gate) hasRoom() bool {
+	if g.rest.probing {
 		return false
 	}
-	return g.inFlight+g.foreign < g.limit()
+	return g.inFlight+g.foreign < g.currentLimit()
 }
 
 // Place is one admitted request; Release gives it back.
 type Place struct {
 	gate *Gate
 	// tries says that the request is the first after a rest of the target.
-	tries bool
+	probe bool
 	once  sync.Once
 }
 
 // take admits one request; g.mu is held.
-func (g *Gate) take() *Place {
+func (g *Gate) admitOne() *Place {
 	g.inFlight++
-	g.rest.trying = g.rest.untried()
-	return &Place{gate: g, tries: g.rest.trying}
+	g.rest.probing = g.rest.needsProbe()
+	return &Place{gate: g, probe: g.rest.probing}
 }
 
 // Admit takes a place. A refusal means that the request was never admitted.
@@ -161,13 +161,13 @@
 		g.mu.Unlock()
 		return nil, errLeaving()
 	}
-	if left := g.rest.left(); left > 0 {
+	if remaining := g.rest.remaining(); remaining > 0 {
 		g.mu.Unlock()
-		return nil, errResting(left)
+		return nil, errResting(remaining)
 	}
-	if g.free() && g.queues.len() == 0 {
+	if g.hasRoom() && g.queues.len() == 0 {
 		defer g.mu.Unlock()
-		return g.take(), nil
+		return g.admitOne(), nil
 	}
 	waiter, refusal := g.enqueue(ctx, ticket)
 	g.mu.Unlock()
@@ -177,44 +177,44 @@
 	if ticket.Wait {
 		return g.await(ctx, ctx, waiter)
 	}
-	short, cancel := context.WithTimeout(ctx, ticket.HomeWait)
+	homeCtx, cancel := context.WithTimeout(ctx, ticket.HomeWait)
 	defer cancel()
-	return g.await(ctx, short, waiter)
+	return g.await(ctx, homeCtx, waiter)
 }
 
 // enqueue puts a request into its queue, or says when to come back.
 func (g *Gate) enqueue(ctx context.Context, ticket Ticket) (*waiter, *fault.Error) {
-	wait := g.estimate(ticket)
+	expected := g.estimate(ticket)
 	full := g.queues.len() >= g.options.QueueCount || g.queues.bytes+ticket.Bytes > g.options.QueueBytes
-	mayWait := ticket.Wait || ticket.HomeWait > 0 && wait <= ticket.HomeWait
+	mayWait := ticket.Wait || ticket.HomeWait > 0 && expected <= ticket.HomeWait
 	if !mayWait || full {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.limit()).After(wait)
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.currentLimit()).After(expected)
 	}
-	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < wait {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the queue is longer than the request may wait").After(wait)
+	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < expected {
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the queue is longer than the request may wait").After(expected)
 	}
 	return g.queues.push(ticket), nil
 }
 
 const (
-	// leastPause and mostPause bound the time to come back.
-	leastPause = 250 * time.Millisecond
-	mostPause  = 60 * time.Second
+	// minRetryAfter and maxRetryAfter bound the time to come back.
+	minRetryAfter = 250 * time.Millisecond
+	maxRetryAfter  = 60 * time.Second
 )
 
 // estimate is the time until a request that queues now would be admitted.
 func (g *Gate) estimate(ticket Ticket) time.Duration {
 	ahead := g.queues.ahead(ticket)
-	wait := g.pace * time.Duration(ahead+1)
-	return min(max(wait, leastPause), mostPause)
+	wait := g.releaseInterval * time.Duration(ahead+1)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
 // await waits for the place, for leaving, or for the end of bounded, which is
 // the request's own context or a shorter one.
-func (g *Gate) await(ctx, bounded context.Context, w *waiter) (*Place, *fault.Error) {
+func (g *Gate) await(ctx, waitCtx context.Context, w *waiter) (*Place, *fault.Error) {
 	select {
-	case <-w.admitted:
-	case <-bounded.Done():
+	case <-w.decided:
+	case <-waitCtx.Done():
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -226,7 +226,7 @@
 	}
 	g.queues.remove(w)
 	if ctx.Err() == nil {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.limit()).After(g.estimate(w.ticket))
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.currentLimit()).After(g.estimate(w.ticket))
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return nil, fault.New(fault.Deadline, fault.NotRun, "the time ran out in the queue").After(g.estimate(w.ticket))
@@ -234,8 +234,8 @@
 	return nil, fault.New(fault.Canceled, fault.NotRun, "the caller went away in the queue")
 }
 
-// paceWeight is the share of the newest interval in the smoothed pace.
-const paceWeight = 0.1
+// releaseIntervalWeight is the share of the newest interval in the smoothed pace.
+const releaseIntervalWeight = 0.1
 
 // Release gives a place back and admits who waits.
 func (p *Place) Release() {
@@ -244,34 +244,34 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.inFlight--
-		if p.tries {
-			g.rest.trying = false
+		if p.probe {
+			g.rest.probing = false
 		}
-		g.measurePace()
+		g.updateReleaseInterval()
 		g.admitWaiting()
 		g.checkDrained()
 	})
 }
 
-func (g *Gate) measurePace() {
+func (g *Gate) updateReleaseInterval() {
 	now := time.Now()
-	if !g.lastFree.IsZero() {
-		interval := now.Sub(g.lastFree)
-		g.pace += time.Duration(paceWeight * float64(interval-g.pace))
+	if !g.lastRelease.IsZero() {
+		interval := now.Sub(g.lastRelease)
+		g.releaseInterval += time.Duration(releaseIntervalWeight * float64(interval-g.releaseInterval))
 	}
-	g.lastFree = now
+	g.lastRelease = now
 }
 
 // admitWaiting gives free places to waiters; g.mu is held.
 func (g *Gate) admitWaiting() {
-	for g.free() {
+	for g.hasRoom() {
 		w := g.queues.pop()
 		if w == nil {
 			return
 		}
-		w.place = g.take()
+		w.place = g.admitOne()
 		w.state = waiterAdmitted
-		close(w.admitted)
+		close(w.decided)
 	}
 }
 
@@ -288,7 +288,7 @@
 func (g *Gate) refuseWaiting(refusal *fault.Error) {
 	for w := g.queues.pop(); w != nil; w = g.queues.pop() {
 		w.state, w.refusal = waiterRefused, refusal
-		close(w.admitted)
+		close(w.decided)
 	}
 }
 
@@ -304,14 +304,14 @@
 	g.leaving = false
 	if g.drained {
 		g.drained = false
-		g.empty = make(chan struct{})
+		g.drainDone = make(chan struct{})
 	}
 }
 
 func (g *Gate) checkDrained() {
 	if g.leaving && !g.drained && g.inFlight == 0 {
 		g.drained = true
-		close(g.empty)
+		close(g.drainDone)
 	}
 }
 
@@ -319,7 +319,7 @@
 func (g *Gate) Drained() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.empty
+	return g.drainDone
 }
 
 // Own counts the requests in flight that this gate admitted.
@@ -336,7 +336,7 @@
 	return Load{
 		InFlight: g.inFlight + g.foreign,
 		Queued:   g.queues.len(),
-		Limit:    g.limit(),
+		Limit:    g.currentLimit(),
 		Leaving:  g.leaving,
 	}
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-func small() Options {
+func smallOptions() Options {
 	options := DefaultOptions()
 	options.Floor = 2
 	options.QueueCount = 8
@@ -27,9 +27,9 @@
 // The bound holds whatever is reported as the mean, late, stale or not at all:
 // a request is only admitted while the load is below max(floor, ceil(c x the
 // mean last reported within MeanAge)).
-func TestBoundHoldsWhateverTheMean(t *testing.T) {
+func TestAdmissionNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		options := small()
+		options := smallOptions()
 		g := NewGate(options)
 		var places []*Place
 		mean, reported := 0.0, false
@@ -89,15 +89,15 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(Limit(small(), tt.mean), tt.want)
+			is.New(t).Equal(Limit(smallOptions(), tt.mean), tt.want)
 		})
 	}
 }
 
 // What an engine runs without this process having admitted it counts too.
-func TestForeignLoadCounts(t *testing.T) {
+func TestForeignLoadCountsTowardsLimit(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(small())
+	g := NewGate(smallOptions())
 	g.SetForeign(2)
 	_, refusal := g.Admit(context.Background(), Ticket{})
 	is.Equal(refusal.Kind, fault.Overloaded)
@@ -107,7 +107,7 @@
 }
 
 // run lets waiters in one after another and returns their order.
-func run(t *testing.T, options Options, tickets []Ticket, hold time.Duration) []string {
+func admissionOrder(t *testing.T, options Options, tickets []Ticket, holdTime time.Duration) []string {
 	g := NewGate(options)
 	first, refusal := g.Admit(t.Context(), Ticket{})
 	is.New(t).True(refusal == nil)
@@ -127,7 +127,7 @@
 			mu.Lock()
 			order = append(order, ticket.Workspace)
 			mu.Unlock()
-			time.Sleep(hold)
+			time.Sleep(holdTime)
 			place.Release()
 		})
 		synctest.Wait()
@@ -137,10 +137,10 @@
 	return order
 }
 
-func TestOrderOfTheQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	urgent := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1} }
-	later := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1, Deferrable: true} }
-	heavy := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 2} }
+	deferrable := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1, Deferrable: true} }
+	doubleShare := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 2} }
 	tests := map[string]struct {
 		tickets []Ticket
 		want    []string
@@ -150,20 +150,20 @@
 			[]string{"surge", "calm", "surge", "surge"},
 		},
 		"urgent goes before deferrable": {
-			[]Ticket{later("report"), urgent("clinic"), urgent("clinic")},
+			[]Ticket{deferrable("report"), urgent("clinic"), urgent("clinic")},
 			[]string{"clinic", "clinic", "report"},
 		},
 		"shares weigh": {
-			[]Ticket{heavy("large"), heavy("large"), heavy("large"), urgent("small"), urgent("small")},
+			[]Ticket{doubleShare("large"), doubleShare("large"), doubleShare("large"), urgent("small"), urgent("small")},
 			[]string{"large", "large", "small", "large", "small"},
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				options := small()
+				options := smallOptions()
 				options.Floor = 2
-				is.New(t).Equal(run(t, options, tt.tickets, time.Millisecond), tt.want)
+				is.New(t).Equal(admissionOrder(t, options, tt.tickets, time.Millisecond), tt.want)
 			})
 		})
 	}
@@ -171,9 +171,9 @@
 
 // A deferrable request is served before urgent ones once its patience is out,
 // however many of these keep coming.
-func TestDeferrableNeverStarves(t *testing.T) {
+func TestDeferrableRequestsAreNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
@@ -212,10 +212,10 @@
 
 // A request that can't be served in time is told so at once, with the time to
 // come back worked out from the queue.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+func TestAdmitRefusesWaitBeyondDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		// One place comes free every two seconds.
@@ -257,7 +257,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				options := small()
+				options := smallOptions()
 				options.Floor = 1
 				g := NewGate(options)
 				place, _ := g.Admit(t.Context(), Ticket{})
@@ -277,10 +277,10 @@
 	}
 }
 
-func TestLeavingRefusesAndDrains(t *testing.T) {
+func TestLeaveRefusesAndDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
@@ -308,10 +308,10 @@
 }
 
 // A chat that is worth waiting for queues only as long as that.
-func TestHomeWait(t *testing.T) {
+func TestHomeWaitLimitsQueueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -6,7 +6,7 @@
 )
 
 // ranks is how many ranks of urgency there are; 0 is the most urgent.
-const ranks = 10
+const rankCount = 10
 
 // LimiterOptions bound the queue of one service.
 type LimiterOptions struct {
@@ -58,26 +58,26 @@
 
 	mu sync.Mutex
 	// lines hold those who wait, by rank.
-	lines [ranks]*class
+	queues [rankCount]*fairQueue
 	// waiting counts all who wait.
 	waiting int
 	// granted counts those who were admitted and are not yet counted at a
 	// target.
 	granted int
 	// offered and admitted are the faded counts of each rank.
-	offered  [ranks]decayed
-	admitted [ranks]decayed
+	offered  [rankCount]decayingCount
+	admitted [rankCount]decayingCount
 	// admissions is the faded count of all admissions.
-	admissions decayed
-	// lastReturn is when the last refused caller was asked to come back.
-	lastReturn time.Time
+	admissions decayingCount
+	// lastRetryAt is when the last refused caller was asked to come back.
+	lastRetryAt time.Time
 }
 
 // NewLimiter returns a limiter in which nobody waits.
 func NewLimiter(options LimiterOptions) *Limiter {
 	l := &Limiter{options: options}
-	for i := range l.lines {
-		l.lines[i] = newClass()
+	for i := range l.queues {
+		l.queues[i] = newFairQueue()
 	}
 	return l
 }
@@ -97,22 +97,22 @@
 func (l *Limiter) Offer(entry Entry, room int, now time.Time) (*Turn, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rank := min(max(entry.Rank, 0), ranks-1)
+	rank := min(max(entry.Rank, 0), rankCount-1)
 	l.offered[rank].add(1, now, l.options.HalfLife)
 	turn := &Turn{limiter: l, rank: rank, waiter: &waiter{
 		ticket:   Ticket{Workspace: entry.Workspace},
-		since:    now,
-		admitted: make(chan struct{}),
+		queuedAt:    now,
+		decided: make(chan struct{}),
 	}}
-	l.lines[rank].push(turn.waiter)
+	l.queues[rank].push(turn.waiter)
 	l.waiting++
 	l.admit(room, now)
 	if turn.waiter.state == waiterAdmitted {
 		return turn, 0
 	}
-	if l.waiting > l.options.MostWaiting || l.waitOf(turn, now) > entry.Patience {
+	if l.waiting > l.options.MostWaiting || l.estimateWait(turn, now) > entry.Patience {
 		l.remove(turn)
-		return nil, l.comeBack(entry.Left, now)
+		return nil, l.retryAfter(entry.Left, now)
 	}
 	return turn, 0
 }
@@ -137,7 +137,7 @@
 func (l *Limiter) ComeBack(left time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.comeBack(left, now)
+	return l.retryAfter(left, now)
 }
 
 // Admit admits those who wait while there is room.
@@ -151,13 +151,13 @@
 func (l *Limiter) admit(room int, now time.Time) {
 	for l.granted < room && l.waiting > 0 {
 		rank := l.nextRank(now)
-		first := l.lines[rank].take()
+		first := l.queues[rank].pop()
 		first.state = waiterAdmitted
 		l.waiting--
 		l.granted++
 		l.admitted[rank].add(1, now, l.options.HalfLife)
 		l.admissions.add(1, now, l.options.PaceHalfLife)
-		close(first.admitted)
+		close(first.decided)
 	}
 }
 
@@ -165,12 +165,12 @@
 // less than their least share, else the most urgent one; l.mu is held.
 func (l *Limiter) nextRank(now time.Time) int {
 	first := -1
-	least := l.options.LeastShare * l.meanShare(now)
-	for rank, line := range l.lines {
-		if line.count == 0 {
+	minShare := l.options.LeastShare * l.meanShare(now)
+	for rank, queue := range l.queues {
+		if queue.count == 0 {
 			continue
 		}
-		if l.shareOf(rank, now) < least {
+		if l.admittedShare(rank, now) < minShare {
 			return rank
 		}
 		if first < 0 {
@@ -180,22 +180,22 @@
 	return first
 }
 
-// shareOf is the part of a rank's offers that was admitted lately; l.mu is
+// admittedShare is the part of a rank's offers that was admitted lately; l.mu is
 // held.
-func (l *Limiter) shareOf(rank int, now time.Time) float64 {
-	offered := l.offered[rank].read(now, l.options.HalfLife)
+func (l *Limiter) admittedShare(rank int, now time.Time) float64 {
+	offered := l.offered[rank].valueAt(now, l.options.HalfLife)
 	if offered == 0 {
 		return 1
 	}
-	return l.admitted[rank].read(now, l.options.HalfLife) / offered
+	return l.admitted[rank].valueAt(now, l.options.HalfLife) / offered
 }
 
 // meanShare is the part of all offers that was admitted lately; l.mu is held.
 func (l *Limiter) meanShare(now time.Time) float64 {
 	offered, admitted := 0.0, 0.0
-	for rank := range ranks {
-		offered += l.offered[rank].read(now, l.options.HalfLife)
-		admitted += l.admitted[rank].read(now, l.options.HalfLife)
+	for rank := range rankCount {
+		offered += l.offered[rank].valueAt(now, l.options.HalfLife)
+		admitted += l.admitted[rank].valueAt(now, l.options.HalfLife)
 	}
 	if offered == 0 {
 		return 1
@@ -204,74 +204,74 @@
 }
 
 // pace is how many requests a second were admitted lately; l.mu is held.
-func (l *Limiter) pace(now time.Time) float64 {
-	return l.admissions.perSecond(now, l.options.PaceHalfLife)
+func (l *Limiter) admissionRate(now time.Time) float64 {
+	return l.admissions.rate(now, l.options.PaceHalfLife)
 }
 
 const (
-	// leastPace is the pace below which no time to come back is worked out, in
+	// minSpareRate is the pace below which no time to come back is worked out, in
 	// requests a second.
-	leastPace = 1.0
-	// leastKnown is how many admissions must have been counted lately for a
+	minSpareRate = 1.0
+	// minAdmissionsForEstimate is how many admissions must have been counted lately for a
 	// wait to be estimated.
-	leastKnown = 8.0
+	minAdmissionsForEstimate = 8.0
 )
 
-// waitOf estimates how long a request that has just come will wait; l.mu is
+// estimateWait estimates how long a request that has just come will wait; l.mu is
 // held. Where too little is known it is zero.
-func (l *Limiter) waitOf(turn *Turn, now time.Time) time.Duration {
-	if l.admissions.read(now, l.options.PaceHalfLife) < leastKnown {
+func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
+	if l.admissions.valueAt(now, l.options.PaceHalfLife) < minAdmissionsForEstimate {
 		return 0
 	}
-	ahead := l.lines[turn.rank].ahead(turn.waiter)
-	if l.shareOf(turn.rank, now) >= l.options.LeastShare*l.meanShare(now) {
+	ahead := l.queues[turn.rank].aheadOf(turn.waiter)
+	if l.admittedShare(turn.rank, now) >= l.options.LeastShare*l.meanShare(now) {
 		for rank := range turn.rank {
-			ahead += l.lines[rank].count
+			ahead += l.queues[rank].count
 		}
 	}
-	return time.Duration(float64(ahead+1) / l.pace(now) * float64(time.Second))
+	return time.Duration(float64(ahead+1) / l.admissionRate(now) * float64(time.Second))
 }
 
-// returnPart is the largest part of the time that a caller has left after
+// maxRetryFraction is the largest part of the time that a caller has left after
 // which it comes back, whatever it is asked.
-const returnPart = 1.0 / 3
+const maxRetryFraction = 1.0 / 3
 
 // spare is the part of the pace of admissions that is left for callers who come
 // back: none once half of the offers are refused, since those who come back
 // would only be refused again; l.mu is held.
-func (l *Limiter) spare(now time.Time) float64 {
-	return max(2*l.meanShare(now)-1, 0) * l.pace(now)
+func (l *Limiter) spareRate(now time.Time) float64 {
+	return max(2*l.meanShare(now)-1, 0) * l.admissionRate(now)
 }
 
-// comeBack is the time after which a refused caller is to come back: those
+// retryAfter is the time after which a refused caller is to come back: those
 // refused follow each other at the pace that is left for them; l.mu is held.
-func (l *Limiter) comeBack(left time.Duration, now time.Time) time.Duration {
-	most := max(time.Duration(returnPart*float64(left)), l.options.LeastReturn)
-	gap := most
-	if pace := l.spare(now); pace >= leastPace {
+func (l *Limiter) retryAfter(left time.Duration, now time.Time) time.Duration {
+	longest := max(time.Duration(maxRetryFraction*float64(left)), l.options.LeastReturn)
+	gap := longest
+	if pace := l.spareRate(now); pace >= minSpareRate {
 		gap = time.Duration(float64(time.Second) / pace)
 	}
 	earliest := now.Add(l.options.LeastReturn)
-	next := l.lastReturn.Add(gap)
+	next := l.lastRetryAt.Add(gap)
 	if next.Before(earliest) {
 		next = earliest
 	}
-	l.lastReturn = next
-	if latest := now.Add(most); next.After(latest) {
-		next, l.lastReturn = latest, latest
+	l.lastRetryAt = next
+	if latest := now.Add(longest); next.After(latest) {
+		next, l.lastRetryAt = latest, latest
 	}
 	return next.Sub(now)
 }
 
 // remove takes a turn out of the queue; l.mu is held.
 func (l *Limiter) remove(turn *Turn) {
-	l.lines[turn.rank].remove(turn.waiter)
+	l.queues[turn.rank].remove(turn.waiter)
 	l.waiting--
 }
 
 // Admitted is closed when the request has been admitted.
 func (t *Turn) Admitted() <-chan struct{} {
-	return t.waiter.admitted
+	return t.waiter.decided
 }
 
 // Begin notes that the request, which has been admitted, is now counted at a
@@ -296,5 +296,5 @@
 		return 0, false
 	}
 	l.remove(t)
-	return l.comeBack(left, now), true
+	return l.retryAfter(left, now), true
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -13,7 +13,7 @@
 
 var epoch = time.Unix(1000, 0)
 
-func admitted(turn *admission.Turn) bool {
+func isAdmitted(turn *admission.Turn) bool {
 	select {
 	case <-turn.Admitted():
 		return true
@@ -38,7 +38,7 @@
 		settle := func() {
 			var still []*admission.Turn
 			for _, turn := range waiting {
-				if admitted(turn) {
+				if isAdmitted(turn) {
 					turn.Begin()
 					busy++
 				} else {
@@ -105,7 +105,7 @@
 			}
 			for _, next := range tc.want {
 				limiter.Admit(1, epoch)
-				is.True(admitted(turns[next]))
+				is.True(isAdmitted(turns[next]))
 				turns[next].Begin()
 			}
 		})
@@ -138,7 +138,7 @@
 		var still []queued
 		for _, one := range waiting {
 			switch {
-			case admitted(one.turn):
+			case isAdmitted(one.turn):
 				one.turn.Begin()
 				room--
 				served[by(one.entry)]++
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -18,18 +18,18 @@
 // waiter is one queued request; the gate's lock guards it.
 type waiter struct {
 	ticket Ticket
-	since  time.Time
+	queuedAt  time.Time
 	state  waiterState
 	// place is set with waiterAdmitted, and refusal with waiterRefused.
 	place    *Place
 	refusal  *fault.Error
-	admitted chan struct{}
+	decided chan struct{}
 	element  *list.Element
-	lane     *lane
+	queue     *workspaceQueue
 }
 
 // lane is one workspace's queue within a class.
-type lane struct {
+type workspaceQueue struct {
 	workspace string
 	waiters   *list.List
 	// credit is what the workspace may still take in this round.
@@ -39,35 +39,35 @@
 }
 
 // class shares places among workspaces by deficit round robin.
-type class struct {
-	lanes map[string]*lane
-	round *list.List
+type fairQueue struct {
+	byWorkspace map[string]*workspaceQueue
+	rotation *list.List
 	count int
 }
 
-func newClass() *class {
-	return &class{lanes: make(map[string]*lane), round: list.New()}
+func newFairQueue() *fairQueue {
+	return &fairQueue{byWorkspace: make(map[string]*workspaceQueue), rotation: list.New()}
 }
 
-func (c *class) push(w *waiter) {
-	l, ok := c.lanes[w.ticket.Workspace]
+func (c *fairQueue) push(w *waiter) {
+	l, ok := c.byWorkspace[w.ticket.Workspace]
 	if !ok {
-		l = &lane{workspace: w.ticket.Workspace, waiters: list.New()}
-		l.element = c.round.PushBack(l)
-		c.lanes[l.workspace] = l
+		l = &workspaceQueue{workspace: w.ticket.Workspace, waiters: list.New()}
+		l.element = c.rotation.PushBack(l)
+		c.byWorkspace[l.workspace] = l
 	}
-	w.lane = l
+	w.queue = l
 	w.element = l.waiters.PushBack(w)
 	c.count++
 }
 
 // next is the waiter whose turn it is; nil when none waits.
-func (c *class) next() *waiter {
-	front := c.round.Front()
+func (c *fairQueue) front() *waiter {
+	front := c.rotation.Front()
 	if front == nil {
 		return nil
 	}
-	l := front.Value.(*lane)
+	l := front.Value.(*workspaceQueue)
 	first := l.waiters.Front().Value.(*waiter)
 	if l.credit == 0 {
 		l.credit = max(first.ticket.Share, 1)
@@ -76,36 +76,36 @@
 }
 
 // take removes the waiter whose turn it is.
-func (c *class) take() *waiter {
-	w := c.next()
+func (c *fairQueue) pop() *waiter {
+	w := c.front()
 	if w == nil {
 		return nil
 	}
-	l := w.lane
+	l := w.queue
 	l.credit--
 	c.remove(w)
 	if l.credit == 0 && l.waiters.Len() > 0 {
-		c.round.MoveToBack(l.element)
+		c.rotation.MoveToBack(l.element)
 	}
 	return w
 }
 
-func (c *class) remove(w *waiter) {
-	l := w.lane
+func (c *fairQueue) remove(w *waiter) {
+	l := w.queue
 	l.waiters.Remove(w.element)
 	c.count--
 	if l.waiters.Len() == 0 {
-		c.round.Remove(l.element)
-		delete(c.lanes, l.workspace)
+		c.rotation.Remove(l.element)
+		delete(c.byWorkspace, l.workspace)
 	}
 }
 
 // oldest is the waiter that has waited longest at the head of any lane.
-func (c *class) oldest() *waiter {
+func (c *fairQueue) oldest() *waiter {
 	var oldest *waiter
-	for element := c.round.Front(); element != nil; element = element.Next() {
-		w := element.Value.(*lane).waiters.Front().Value.(*waiter)
-		if oldest == nil || w.since.Before(oldest.since) {
+	for element := c.rotation.Front(); element != nil; element = element.Next() {
+		w := element.Value.(*workspaceQueue).waiters.Front().Value.(*waiter)
+		if oldest == nil || w.queuedAt.Before(oldest.queuedAt) {
 			oldest = w
 		}
 	}
@@ -115,20 +115,20 @@
 // queues are the two classes.
 type queues struct {
 	patience   time.Duration
-	urgent     *class
-	deferrable *class
+	urgent     *fairQueue
+	deferrable *fairQueue
 	bytes      int64
 }
 
 func newQueues(patience time.Duration) *queues {
-	return &queues{patience: patience, urgent: newClass(), deferrable: newClass()}
+	return &queues{patience: patience, urgent: newFairQueue(), deferrable: newFairQueue()}
 }
 
 func (q *queues) len() int {
 	return q.urgent.count + q.deferrable.count
 }
 
-func (q *queues) classOf(ticket Ticket) *class {
+func (q *queues) queueFor(ticket Ticket) *fairQueue {
 	if ticket.Deferrable {
 		return q.deferrable
 	}
@@ -136,8 +136,8 @@
 }
 
 func (q *queues) push(ticket Ticket) *waiter {
-	w := &waiter{ticket: ticket, since: time.Now(), admitted: make(chan struct{})}
-	q.classOf(ticket).push(w)
+	w := &waiter{ticket: ticket, queuedAt: time.Now(), decided: make(chan struct{})}
+	q.queueFor(ticket).push(w)
 	q.bytes += ticket.Bytes
 	return w
 }
@@ -145,11 +145,11 @@
 // pop takes the next waiter: urgent first, but a deferrable one that has run
 // out of patience goes before, so that it never starves.
 func (q *queues) pop() *waiter {
-	w := q.impatient()
+	w := q.overdueDeferrable()
 	if w != nil {
 		q.deferrable.remove(w)
-	} else if w = q.urgent.take(); w == nil {
-		w = q.deferrable.take()
+	} else if w = q.urgent.pop(); w == nil {
+		w = q.deferrable.pop()
 	}
 	if w != nil {
 		q.bytes -= w.ticket.Bytes
@@ -157,12 +157,12 @@
 	return w
 }
 
-func (q *queues) impatient() *waiter {
+func (q *queues) overdueDeferrable() *waiter {
 	if q.deferrable.count == 0 {
 		return nil
 	}
 	w := q.deferrable.oldest()
-	if time.Since(w.since) < q.patience {
+	if time.Since(w.queuedAt) < q.patience {
 		return nil
 	}
 	return w
@@ -172,7 +172,7 @@
 	if w.state != waiterQueued {
 		return
 	}
-	q.classOf(w.ticket).remove(w)
+	q.queueFor(w.ticket).remove(w)
 	q.bytes -= w.ticket.Bytes
 }
 
@@ -180,7 +180,7 @@
 // class at most as many rounds as its own lane is long, and all urgent ones
 // before a deferrable one.
 func (q *queues) ahead(ticket Ticket) int {
-	count := q.classOf(ticket).before(ticket, 0)
+	count := q.queueFor(ticket).countAhead(ticket, 0)
 	if ticket.Deferrable {
 		count += q.urgent.count
 	}
@@ -188,22 +188,22 @@
 }
 
 // ahead counts who is served before a waiter that has just been queued.
-func (c *class) ahead(w *waiter) int {
-	return c.before(w.ticket, 1)
+func (c *fairQueue) aheadOf(w *waiter) int {
+	return c.countAhead(w.ticket, 1)
 }
 
 // before counts who is served before a request of a workspace behind which no
 // other waits; queued is how many places of its lane are its own.
-func (c *class) before(ticket Ticket, queued int) int {
-	own := -queued
-	if l, ok := c.lanes[ticket.Workspace]; ok {
+func (c *fairQueue) countAhead(ticket Ticket, ownPlaces int) int {
+	own := -ownPlaces
+	if l, ok := c.byWorkspace[ticket.Workspace]; ok {
 		own += l.waiters.Len()
 	}
 	own = max(own, 0)
 	share := max(ticket.Share, 1)
 	rounds := own/share + 1
 	count := own
-	for name, l := range c.lanes {
+	for name, l := range c.byWorkspace {
 		if name == ticket.Workspace {
 			continue
 		}
--- a/internal/admission/rest.go
+++ b/internal/admission/rest.go
@@ -17,14 +17,14 @@
 	// since that it is over.
 	until time.Time
 	// trying says that the request which tries is under way.
-	trying bool
+	probing bool
 }
 
 // left is how much of the rest is left.
-func (r *rest) left() time.Duration { return max(r.until.Sub(clock.Check()), 0) }
+func (r *rest) remaining() time.Duration { return max(r.until.Sub(clock.Check()), 0) }
 
 // untried says whether a rest has ended, or will, that no answer has shown to be over.
-func (r *rest) untried() bool { return !r.until.IsZero() }
+func (r *rest) needsProbe() bool { return !r.until.IsZero() }
 
 // Rest has the gate refuse everything for a while, unless it does so for longer already.
 func (g *Gate) Rest(length time.Duration) {
@@ -43,13 +43,13 @@
 func (g *Gate) Answered() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.rest.untried() && g.rest.left() == 0 {
+	if g.rest.needsProbe() && g.rest.remaining() == 0 {
 		g.rest = rest{}
 		g.admitWaiting()
 	}
 }
 
 // errResting is the refusal of a request while the target rests for so much longer.
-func errResting(left time.Duration) *fault.Error {
-	return fault.New(fault.Overloaded, fault.NotRun, "the target has asked for rest").After(left)
+func errResting(remaining time.Duration) *fault.Error {
+	return fault.New(fault.Overloaded, fault.NotRun, "the target has asked for rest").After(remaining)
 }
--- a/internal/admission/rest_test.go
+++ b/internal/admission/rest_test.go
@@ -11,9 +11,9 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// TestAGateRests: it refuses what comes and what waits, with the time that is left; then one
+// TestRestRefusesThenProbes: it refuses what comes and what waits, with the time that is left; then one
 // request tries, and the others that wait follow its answer.
-func TestAGateRests(t *testing.T) {
+func TestRestRefusesThenProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
@@ -40,7 +40,7 @@
 		is.Equal(refusal.State, fault.NotRun)
 		is.Equal(refusal.RetryAfter, time.Second)
 		time.Sleep(time.Second)
-		try, refusal := g.Admit(t.Context(), Ticket{})
+		probe, refusal := g.Admit(t.Context(), Ticket{})
 		is.True(refusal == nil)
 		for range 2 {
 			go func() {
@@ -54,7 +54,7 @@
 		g.Answered()
 		synctest.Wait()
 		is.Equal(g.Load().Queued, 0)
-		try.Release()
+		probe.Release()
 		for _, place := range before[2:] {
 			place.Release()
 		}
@@ -62,21 +62,21 @@
 	})
 }
 
-// TestATryThatEndsWithoutAnAnswer: the next one tries.
-func TestATryThatEndsWithoutAnAnswer(t *testing.T) {
+// TestNextRequestProbesAfterUnansweredProbe: the next one tries.
+func TestNextRequestProbesAfterUnansweredProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
 		g.Rest(time.Second)
 		time.Sleep(time.Second)
 		for range 3 {
-			try, refusal := g.Admit(t.Context(), Ticket{})
+			probe, refusal := g.Admit(t.Context(), Ticket{})
 			is.True(refusal == nil)
-			short, cancel := context.WithTimeout(t.Context(), time.Second)
-			_, refusal = g.Admit(short, Ticket{Wait: true})
+			timeoutCtx, cancel := context.WithTimeout(t.Context(), time.Second)
+			_, refusal = g.Admit(timeoutCtx, Ticket{Wait: true})
 			is.True(refusal != nil)
 			cancel()
-			try.Release()
+			probe.Release()
 		}
 	})
 }
