--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -22,7 +22,7 @@
 	// Floor is the bound while the mean is low or not known.
 	Floor int
 	// Most bounds the load whatever the mean.
-	Most int
+	MaxInFlight int
 	// MeanAge is how long a reported mean is used.
 	MeanAge time.Duration
 	// QueueCount and QueueBytes bound what waits.
@@ -38,7 +38,7 @@
 	return Options{
 		Factor:     1.25,
 		Floor:      8,
-		Most:       256,
+		MaxInFlight:       256,
 		MeanAge:    10 * time.Second,
 		QueueCount: 512,
 		QueueBytes: 64 << 20,
@@ -104,7 +104,7 @@
 	// A hair is taken off so that 1.25 x 4 does not become 6 by rounding.
 	const epsilon = 1e-9
 	bound := int(math.Ceil(options.Factor*mean - epsilon))
-	return min(max(bound, options.Floor), options.Most)
+	return min(max(bound, options.Floor), options.MaxInFlight)
 }
 
 // SetMean reports the mean load of the target's pool.
@@ -323,7 +323,7 @@
 }
 
 // Own counts the requests in flight that this gate admitted.
-func (g *Gate) Own() int {
+func (g *Gate) OwnInFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -10,28 +10,28 @@
 
 // LimiterOptions bound the queue of one service.
 type LimiterOptions struct {
-	// LeastShare is the part of the service's mean share of admitted requests
+	// MinShare is the part of the service's mean share of admitted requests
 	// that every rank gets, however much is more urgent; from 0 to 1.
-	LeastShare float64
-	// MostWaiting bounds the queue, in requests.
-	MostWaiting int
+	MinShare float64
+	// MaxWaiting bounds the queue, in requests.
+	MaxWaiting int
 	// HalfLife is how fast past admissions and offers lose their weight in the
 	// shares of ranks, and PaceHalfLife in the pace of admissions.
 	HalfLife     time.Duration
 	PaceHalfLife time.Duration
-	// LeastReturn is the shortest time to come back after.
-	LeastReturn time.Duration
+	// MinRetryAfter is the shortest time to come back after.
+	MinRetryAfter time.Duration
 }
 
 // DefaultLimiterOptions are the bounds used unless settings say otherwise. The
 // figures come from the trials in docs/DECISIONS.md.
 func DefaultLimiterOptions() LimiterOptions {
 	return LimiterOptions{
-		LeastShare:   0.5,
-		MostWaiting:  256,
+		MinShare:   0.5,
+		MaxWaiting:  256,
 		HalfLife:     2 * time.Second,
 		PaceHalfLife: time.Second,
-		LeastReturn:  100 * time.Millisecond,
+		MinRetryAfter:  100 * time.Millisecond,
 	}
 }
 
@@ -110,7 +110,7 @@
 	if turn.waiter.state == waiterAdmitted {
 		return turn, 0
 	}
-	if l.waiting > l.options.MostWaiting || l.estimateWait(turn, now) > entry.Patience {
+	if l.waiting > l.options.MaxWaiting || l.estimateWait(turn, now) > entry.Patience {
 		l.remove(turn)
 		return nil, l.retryAfter(entry.Left, now)
 	}
@@ -126,15 +126,15 @@
 
 // Wants is how much room would be enough for all who wait or were admitted and
 // are not yet counted at a target.
-func (l *Limiter) Wants() int {
+func (l *Limiter) Demand() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting + l.granted
 }
 
-// ComeBack is the time after which a caller whose request was turned away is to
+// RetryAfter is the time after which a caller whose request was turned away is to
 // come back; left is how much of its own time is left, zero if unknown.
-func (l *Limiter) ComeBack(left time.Duration, now time.Time) time.Duration {
+func (l *Limiter) RetryAfter(left time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.retryAfter(left, now)
@@ -165,7 +165,7 @@
 // less than their least share, else the most urgent one; l.mu is held.
 func (l *Limiter) nextRank(now time.Time) int {
 	first := -1
-	minShare := l.options.LeastShare * l.meanShare(now)
+	minShare := l.options.MinShare * l.meanShare(now)
 	for rank, queue := range l.queues {
 		if queue.count == 0 {
 			continue
@@ -224,7 +224,7 @@
 		return 0
 	}
 	ahead := l.queues[turn.rank].aheadOf(turn.waiter)
-	if l.admittedShare(turn.rank, now) >= l.options.LeastShare*l.meanShare(now) {
+	if l.admittedShare(turn.rank, now) >= l.options.MinShare*l.meanShare(now) {
 		for rank := range turn.rank {
 			ahead += l.queues[rank].count
 		}
@@ -246,12 +246,12 @@
 // retryAfter is the time after which a refused caller is to come back: those
 // refused follow each other at the pace that is left for them; l.mu is held.
 func (l *Limiter) retryAfter(left time.Duration, now time.Time) time.Duration {
-	longest := max(time.Duration(maxRetryFraction*float64(left)), l.options.LeastReturn)
+	longest := max(time.Duration(maxRetryFraction*float64(left)), l.options.MinRetryAfter)
 	gap := longest
 	if pace := l.spareRate(now); pace >= minSpareRate {
 		gap = time.Duration(float64(time.Second) / pace)
 	}
-	earliest := now.Add(l.options.LeastReturn)
+	earliest := now.Add(l.options.MinRetryAfter)
 	next := l.lastRetryAt.Add(gap)
 	if next.Before(earliest) {
 		next = earliest
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -223,13 +223,13 @@
 	}
 	previous := time.Duration(0)
 	for range 40 {
-		after := limiter.ComeBack(6*time.Second, now)
+		after := limiter.RetryAfter(6*time.Second, now)
 		is.True(after > previous)
 		is.True(after <= 2*time.Second)
 		previous = after
 	}
 	for range 1000 {
-		is.True(limiter.ComeBack(6*time.Second, now) <= 2*time.Second)
+		is.True(limiter.RetryAfter(6*time.Second, now) <= 2*time.Second)
 	}
 }
 
--- a/internal/admission/rest_test.go
+++ b/internal/admission/rest_test.go
@@ -58,7 +58,7 @@
 		for _, place := range before[2:] {
 			place.Release()
 		}
-		is.Equal(g.Own(), 0)
+		is.Equal(g.OwnInFlight(), 0)
 	})
 }
 
--- a/internal/agent/tend.go
+++ b/internal/agent/tend.go
@@ -144,7 +144,7 @@
 		if err != nil {
 			continue
 		}
-		count := max(report.Running+report.Waiting-p.gate.Own(), 0)
+		count := max(report.Running+report.Waiting-p.gate.OwnInFlight(), 0)
 		if p.foreignKnown {
 			count = min(count, p.foreign)
 		}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -67,7 +67,7 @@
 	if c.gateway.Limiters == nil {
 		return retrySoon
 	}
-	return c.gateway.Limiters.Of(c.service).ComeBack(c.deadline.Sub(now), now)
+	return c.gateway.Limiters.Of(c.service).RetryAfter(c.deadline.Sub(now), now)
 }
 
 // comeBackToTarget is the same where no target was open at all.
--- a/internal/gateway/turn.go
+++ b/internal/gateway/turn.go
@@ -26,7 +26,7 @@
 	}
 	limiter := c.gateway.Limiters.Of(c.service)
 	began := clock.Now()
-	room := c.gateway.Balancer.Room(c.service, c.gateway.admitting(c.service, began), limiter.Wants()+1, began)
+	room := c.gateway.Balancer.Room(c.service, c.gateway.admitting(c.service, began), limiter.Demand()+1, began)
 	turn, comeBack := limiter.Offer(c.entry(began), room, began)
 	if turn == nil {
 		return fullRefusal(comeBack)
@@ -116,5 +116,5 @@
 		return
 	}
 	now := clock.Now()
-	limiter.Admit(g.Balancer.Room(service, g.admitting(service, now), limiter.Wants(), now), now)
+	limiter.Admit(g.Balancer.Room(service, g.admitting(service, now), limiter.Demand(), now), now)
 }
--- a/internal/gateway/turn_test.go
+++ b/internal/gateway/turn_test.go
@@ -113,7 +113,7 @@
 		left := w.serveAs(ctx, "/once/second")
 		is.True(left.aborted)
 		is.Equal(left.refusal, nil)
-		is.Equal(w.gateway.Limiters.Of("s").Wants(), 0)
+		is.Equal(w.gateway.Limiters.Of("s").Demand(), 0)
 		is.Equal(len(w.sender.sent), 1)
 		time.Sleep(time.Second)
 	})
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -212,7 +212,7 @@
 }
 
 func deadlineInQueue(w *world, is *is.I) {
-	w.gate.Most = 2
+	w.gate.MaxInFlight = 2
 	w.startAll(1, 0, 1)
 	r := w.routers["router-0"]
 	var wait sync.WaitGroup
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -152,7 +152,7 @@
 	options := admission.DefaultOptions()
 	options.Factor = or(s.Admission.Factor, options.Factor)
 	options.Floor = or(s.Admission.Floor, options.Floor)
-	options.Most = or(s.Admission.Most, options.Most)
+	options.MaxInFlight = or(s.Admission.Most, options.MaxInFlight)
 	options.QueueCount = or(s.Admission.QueueCount, options.QueueCount)
 	options.QueueBytes = or(s.Admission.QueueBytes, options.QueueBytes)
 	options.Patience = orTime(s.Admission.Patience, options.Patience)
