--- a/internal/admission/decay.go
+++ b/internal/admission/decay.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// decayed is a count that fades: after its half-life an event counts half.
+// decayingCount is an event count that decays exponentially: an event's weight halves with each
+// half-life.
 type decayingCount struct {
-	value float64
-	updatedAt    time.Time
-	// since is when the counting began.
+	value     float64
+	updatedAt time.Time
+	// start is the time of the first event counted.
 	start time.Time
 }
 
-// add counts an event.
+// add counts an event of the given weight.
 func (d *decayingCount) add(weight float64, now time.Time, halfLife time.Duration) {
 	if d.start.IsZero() {
 		d.start = now
@@ -24,7 +25,7 @@
 	}
 }
 
-// read is the faded count.
+// valueAt returns the decayed count at a time.
 func (d *decayingCount) valueAt(now time.Time, halfLife time.Duration) float64 {
 	if d.updatedAt.IsZero() || !now.After(d.updatedAt) {
 		return d.value
@@ -32,8 +33,8 @@
 	return d.value * math.Exp2(-now.Sub(d.updatedAt).Seconds()/halfLife.Seconds())
 }
 
-// rate is the rate of events that a faded count stands for. A counting
-// that has just begun has seen a part of its time only.
+// rate returns the rate of events per second that the decayed count corresponds to. It corrects
+// for a count that started recently and so has seen only part of its window.
 func (d *decayingCount) rate(now time.Time, halfLife time.Duration) float64 {
 	if d.start.IsZero() {
 		return 0
@@ -42,5 +43,5 @@
 	return d.valueAt(now, halfLife) * math.Ln2 / halfLife.Seconds() / weightSeen
 }
 
-// minRateWindow is the shortest time that a rate is worked out over.
+// minRateWindow is the shortest window over which a rate is computed.
 const minRateWindow = 100 * time.Millisecond
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,7 +1,7 @@
-// Package admission decides whether, when and in which order requests go to
-// targets. It does no I/O. Gate stands at one target's agent: it counts what it
-// admits exactly, so its bound holds whatever routers believe. Limiter stands
-// at a gateway before all targets of a service.
+// Package admission decides whether, when and in which order requests go to targets. It does no
+// I/O. Gate runs in the agent of one target. It counts the requests that it admits exactly, so its
+// limit holds whatever load the routers assume. Limiter runs in a gateway, in front of all targets
+// of a service.
 package admission
 
 import (
@@ -15,55 +15,54 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// Options are the gate's bounds.
+// Options are the limits of a Gate.
 type Options struct {
-	// Factor is c: no target holds more than ceil(c x mean) requests.
+	// Factor is the load factor c: no target holds more than ceil(c x mean) requests.
 	Factor float64
-	// Floor is the bound while the mean is low or not known.
+	// Floor is the limit while the mean is low or unknown.
 	Floor int
-	// Most bounds the load whatever the mean.
+	// MaxInFlight limits the load whatever the mean.
 	MaxInFlight int
-	// MeanAge is how long a reported mean is used.
+	// MeanAge is how long a reported mean remains valid.
 	MeanAge time.Duration
-	// QueueCount and QueueBytes bound what waits.
+	// QueueCount and QueueBytes limit the queued requests.
 	QueueCount int
 	QueueBytes int64
-	// Patience is how long a deferrable request waits before it counts as
-	// urgent.
+	// Patience is how long a deferrable request waits before it is served ahead of urgent ones.
 	Patience time.Duration
 }
 
-// DefaultOptions are the bounds used unless settings say otherwise.
+// DefaultOptions returns the limits used unless settings override them.
 func DefaultOptions() Options {
 	return Options{
-		Factor:     1.25,
-		Floor:      8,
-		MaxInFlight:       256,
-		MeanAge:    10 * time.Second,
-		QueueCount: 512,
-		QueueBytes: 64 << 20,
-		Patience:   10 * time.Second,
+		Factor:      1.25,
+		Floor:       8,
+		MaxInFlight: 256,
+		MeanAge:     10 * time.Second,
+		QueueCount:  512,
+		QueueBytes:  64 << 20,
+		Patience:    10 * time.Second,
 	}
 }
 
-// Ticket is one request at the gate.
+// Ticket describes one request that asks for admission.
 type Ticket struct {
 	Workspace string
-	// Share is the workspace's weight; at least 1.
+	// Share is the workspace's weight, at least 1.
 	Share int
-	// Deferrable requests come after urgent ones.
+	// Deferrable requests are served after urgent ones.
 	Deferrable bool
-	// Bytes is what the request holds in memory while it waits.
+	// Bytes is the memory that the request uses while it waits.
 	Bytes int64
-	// Wait says that the request may queue; else a full gate refuses it.
+	// Wait allows the request to queue; without it a full gate refuses the request.
 	Wait bool
-	// HomeWait lets a request queue without Wait if its turn is expected
-	// within this time, and refuses it when its turn has not come by then. It
-	// is what a wait here is worth to a chat whose prefix the target holds.
+	// HomeWait lets a request queue without Wait if it is expected to be admitted within this
+	// time, and refuses it once the time has passed. It is how long a wait is worthwhile for a
+	// chat whose prefix this target has cached.
 	HomeWait time.Duration
 }
 
-// Load is the gate's exact state.
+// Load is the gate's exact load.
 type Load struct {
 	InFlight int
 	Queued   int
@@ -77,37 +76,37 @@
 
 	mu       sync.Mutex
 	inFlight int
-	// foreign counts requests that run at the target without having been
-	// admitted by this process, such as those from before its restart.
+	// foreign counts requests that run at the target without having been admitted by this process,
+	// such as those admitted before it restarted.
 	foreign int
 	mean    float64
 	meanAt  time.Time
 	leaving bool
 	rest    rest
 	queues  *queues
-	// pace is the smoothed time between two places that come free.
-	releaseInterval     time.Duration
-	lastRelease time.Time
-	// empty is closed when the gate is leaving and nothing is in flight.
-	drainDone   chan struct{}
-	drained bool
+	// releaseInterval is the smoothed time between two releases.
+	releaseInterval time.Duration
+	lastRelease     time.Time
+	// drainDone is closed when the gate is leaving and nothing is in flight.
+	drainDone chan struct{}
+	drained   bool
 }
 
-// NewGate returns an open gate.
+// NewGate returns a gate that admits requests.
 func NewGate(options Options) *Gate {
 	return &Gate{options: options, queues: newQueues(options.Patience), drainDone: make(chan struct{})}
 }
 
-// Limit is the most requests that may be in flight: the larger of the floor
-// and ceil(factor x mean), where the mean is the pool's as last reported.
+// Limit returns the maximum number of requests in flight: the larger of the floor and ceil(factor
+// x mean), capped at MaxInFlight. The mean is that of the pool as last reported.
 func Limit(options Options, mean float64) int {
-	// A hair is taken off so that 1.25 x 4 does not become 6 by rounding.
+	// epsilon keeps rounding errors from raising 1.25 x 4 to 6.
 	const epsilon = 1e-9
 	bound := int(math.Ceil(options.Factor*mean - epsilon))
 	return min(max(bound, options.Floor), options.MaxInFlight)
 }
 
-// SetMean reports the mean load of the target's pool.
+// SetMean sets the mean load of the target's pool.
 func (g *Gate) SetMean(mean float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,7 +115,7 @@
 	g.admitWaiting()
 }
 
-// SetForeign reports how many requests run at the target unknown to the gate.
+// SetForeign sets how many requests run at the target without having been admitted by this gate.
 func (g *Gate) SetForeign(count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +123,7 @@
 	g.admitWaiting()
 }
 
-// limit is the bound now; a mean that is too old is not used.
+// currentLimit returns the limit that applies now; a mean older than MeanAge is ignored.
 func (g *Gate) currentLimit() int {
 	if time.Since(g.meanAt) > g.options.MeanAge {
 		return Limit(g.options, 0)
@@ -139,22 +138,23 @@
 	return g.inFlight+g.foreign < g.currentLimit()
 }
 
-// Place is one admitted request; Release gives it back.
+// Place is the slot of one admitted request; Release frees it.
 type Place struct {
 	gate *Gate
-	// tries says that the request is the first after a rest of the target.
+	// probe marks the first request after a backoff that the target asked for.
 	probe bool
 	once  sync.Once
 }
 
-// take admits one request; g.mu is held.
+// admitOne admits one request; g.mu is held.
 func (g *Gate) admitOne() *Place {
 	g.inFlight++
 	g.rest.probing = g.rest.needsProbe()
 	return &Place{gate: g, probe: g.rest.probing}
 }
 
-// Admit takes a place. A refusal means that the request was never admitted.
+// Admit admits a request, waiting for a free place if the ticket allows it. A refusal means that
+// the request was never admitted.
 func (g *Gate) Admit(ctx context.Context, ticket Ticket) (*Place, *fault.Error) {
 	g.mu.Lock()
 	if g.leaving {
@@ -182,35 +182,35 @@
 	return g.await(ctx, homeCtx, waiter)
 }
 
-// enqueue puts a request into its queue, or says when to come back.
+// enqueue adds a request to its queue, or refuses it with a time after which to retry.
 func (g *Gate) enqueue(ctx context.Context, ticket Ticket) (*waiter, *fault.Error) {
 	expected := g.estimate(ticket)
 	full := g.queues.len() >= g.options.QueueCount || g.queues.bytes+ticket.Bytes > g.options.QueueBytes
 	mayWait := ticket.Wait || ticket.HomeWait > 0 && expected <= ticket.HomeWait
 	if !mayWait || full {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.currentLimit()).After(expected)
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its limit of %d requests", g.currentLimit()).After(expected)
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Until(deadline) < expected {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the queue is longer than the request may wait").After(expected)
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the expected queue time exceeds the request's deadline").After(expected)
 	}
 	return g.queues.push(ticket), nil
 }
 
 const (
-	// minRetryAfter and maxRetryAfter bound the time to come back.
+	// minRetryAfter and maxRetryAfter limit the time after which a refused caller retries.
 	minRetryAfter = 250 * time.Millisecond
-	maxRetryAfter  = 60 * time.Second
+	maxRetryAfter = 60 * time.Second
 )
 
-// estimate is the time until a request that queues now would be admitted.
+// estimate returns the expected time until a request that is queued now would be admitted.
 func (g *Gate) estimate(ticket Ticket) time.Duration {
 	ahead := g.queues.ahead(ticket)
 	wait := g.releaseInterval * time.Duration(ahead+1)
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// await waits for the place, for leaving, or for the end of bounded, which is
-// the request's own context or a shorter one.
+// await waits until the request is admitted or refused, or until waitCtx ends. waitCtx is the
+// request's own context or one with a shorter deadline.
 func (g *Gate) await(ctx, waitCtx context.Context, w *waiter) (*Place, *fault.Error) {
 	select {
 	case <-w.decided:
@@ -226,18 +226,18 @@
 	}
 	g.queues.remove(w)
 	if ctx.Err() == nil {
-		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its bound of %d", g.currentLimit()).After(g.estimate(w.ticket))
+		return nil, fault.New(fault.Overloaded, fault.NotRun, "the target is at its limit of %d requests", g.currentLimit()).After(g.estimate(w.ticket))
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return nil, fault.New(fault.Deadline, fault.NotRun, "the time ran out in the queue").After(g.estimate(w.ticket))
+		return nil, fault.New(fault.Deadline, fault.NotRun, "the request's deadline expired in the queue").After(g.estimate(w.ticket))
 	}
-	return nil, fault.New(fault.Canceled, fault.NotRun, "the caller went away in the queue")
+	return nil, fault.New(fault.Canceled, fault.NotRun, "the caller canceled the request in the queue")
 }
 
-// releaseIntervalWeight is the share of the newest interval in the smoothed pace.
+// releaseIntervalWeight is the weight of the latest interval in the smoothed one.
 const releaseIntervalWeight = 0.1
 
-// Release gives a place back and admits who waits.
+// Release frees the place and admits queued requests.
 func (p *Place) Release() {
 	p.once.Do(func() {
 		g := p.gate
@@ -262,7 +262,7 @@
 	g.lastRelease = now
 }
 
-// admitWaiting gives free places to waiters; g.mu is held.
+// admitWaiting admits queued requests while there is room; g.mu is held.
 func (g *Gate) admitWaiting() {
 	for g.hasRoom() {
 		w := g.queues.pop()
@@ -275,7 +275,7 @@
 	}
 }
 
-// Leave refuses all that is new and all that waits; what is in flight goes on.
+// Leave refuses new and queued requests; requests in flight continue.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -284,7 +284,7 @@
 	g.checkDrained()
 }
 
-// refuseWaiting refuses all that waits; g.mu is held.
+// refuseWaiting refuses all queued requests; g.mu is held.
 func (g *Gate) refuseWaiting(refusal *fault.Error) {
 	for w := g.queues.pop(); w != nil; w = g.queues.pop() {
 		w.state, w.refusal = waiterRefused, refusal
@@ -292,12 +292,12 @@
 	}
 }
 
-// errLeaving is the refusal of a request while the target is leaving.
+// errLeaving returns the refusal of a request while the target is leaving.
 func errLeaving() *fault.Error {
 	return fault.New(fault.Leaving, fault.NotRun, "the target is leaving")
 }
 
-// Return opens a gate again whose target is no longer leaving.
+// Return reopens a gate whose target is no longer leaving.
 func (g *Gate) Return() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -315,21 +315,21 @@
 	}
 }
 
-// Drained is closed when the gate is leaving and nothing is in flight.
+// Drained returns a channel that is closed when the gate is leaving and nothing is in flight.
 func (g *Gate) Drained() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.drainDone
 }
 
-// Own counts the requests in flight that this gate admitted.
+// OwnInFlight returns the number of requests in flight that this gate admitted.
 func (g *Gate) OwnInFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
 }
 
-// Load is the state now.
+// Load returns the current load.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -24,9 +24,9 @@
 	return options
 }
 
-// The bound holds whatever is reported as the mean, late, stale or not at all:
-// a request is only admitted while the load is below max(floor, ceil(c x the
-// mean last reported within MeanAge)).
+// The limit holds whatever mean is reported, also when reports are late, stale or missing: a
+// request is only admitted while the load is below max(floor, ceil(c x the mean last reported
+// within MeanAge)).
 func TestAdmissionNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		options := smallOptions()
@@ -58,7 +58,7 @@
 					rt.Fatalf("%d in flight, the bound is %d", len(places), bound)
 				}
 				if refusal != nil && (refusal.State != fault.NotRun || refusal.RetryAfter == 0) {
-					rt.Fatalf("refused without saying that it did not run and when to come back: %v", refusal)
+					rt.Fatalf("refused without state NotRun or without a time to retry: %v", refusal)
 				}
 			},
 			"release": func(rt *rapid.T) {
@@ -67,12 +67,12 @@
 				}
 				i := rapid.IntRange(0, len(places)-1).Draw(rt, "place")
 				places[i].Release()
-				places[i].Release() // twice counts once
+				places[i].Release() // a second Release has no effect
 				places = append(places[:i], places[i+1:]...)
 			},
 		})
 		if got := g.Load().InFlight; got != len(places) {
-			rt.Fatalf("the gate counts %d, there are %d", got, len(places))
+			rt.Fatalf("the gate counts %d in flight, want %d", got, len(places))
 		}
 	})
 }
@@ -82,10 +82,10 @@
 		mean float64
 		want int
 	}{
-		"idle pool keeps the floor":    {0, 2},
-		"exact multiple is not raised": {4, 5},
-		"fraction is rounded up":       {4.1, 6},
-		"most is never passed":         {10_000, 256},
+		"idle pool uses the floor":         {0, 2},
+		"exact multiple is not rounded up": {4, 5},
+		"fraction is rounded up":           {4.1, 6},
+		"maximum is not exceeded":          {10_000, 256},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// What an engine runs without this process having admitted it counts too.
+// Requests that an engine runs without this process having admitted them count towards the limit.
 func TestForeignLoadCountsTowardsLimit(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(smallOptions())
@@ -106,7 +106,8 @@
 	is.True(refusal == nil)
 }
 
-// run lets waiters in one after another and returns their order.
+// admissionOrder queues the tickets, admits them one after another and returns the order of their
+// workspaces.
 func admissionOrder(t *testing.T, options Options, tickets []Ticket, holdTime time.Duration) []string {
 	g := NewGate(options)
 	first, refusal := g.Admit(t.Context(), Ticket{})
@@ -145,7 +146,7 @@
 		tickets []Ticket
 		want    []string
 	}{
-		"a surge queues behind itself": {
+		"a workspace's burst queues behind itself": {
 			[]Ticket{urgent("surge"), urgent("surge"), urgent("surge"), urgent("calm")},
 			[]string{"surge", "calm", "surge", "surge"},
 		},
@@ -153,7 +154,7 @@
 			[]Ticket{deferrable("report"), urgent("clinic"), urgent("clinic")},
 			[]string{"clinic", "clinic", "report"},
 		},
-		"shares weigh": {
+		"places are divided by share": {
 			[]Ticket{doubleShare("large"), doubleShare("large"), doubleShare("large"), urgent("small"), urgent("small")},
 			[]string{"large", "large", "small", "large", "small"},
 		},
@@ -169,8 +170,8 @@
 	}
 }
 
-// A deferrable request is served before urgent ones once its patience is out,
-// however many of these keep coming.
+// A deferrable request is served before urgent ones once its patience is over, however many of
+// these keep arriving.
 func TestDeferrableRequestsAreNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		options := smallOptions()
@@ -210,15 +211,15 @@
 	})
 }
 
-// A request that can't be served in time is told so at once, with the time to
-// come back worked out from the queue.
+// A request that can't be admitted before its deadline is refused at once, with a time to retry
+// that is computed from the queue.
 func TestAdmitRefusesWaitBeyondDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
-		// One place comes free every two seconds.
+		// One place is released every two seconds.
 		for range 50 {
 			place, _ := g.Admit(t.Context(), Ticket{})
 			time.Sleep(2 * time.Second)
@@ -269,7 +270,7 @@
 				is.Equal(g.Load().Queued, tt.fits)
 				cancel()
 				synctest.Wait()
-				is.Equal(g.Load().Queued, 0) // who goes away leaves nothing behind
+				is.Equal(g.Load().Queued, 0) // canceled requests leave the queue
 				place.Release()
 				is.Equal(g.Load().InFlight, 0)
 			})
@@ -307,7 +308,7 @@
 	})
 }
 
-// A chat that is worth waiting for queues only as long as that.
+// A request with HomeWait queues at most that long.
 func TestHomeWaitLimitsQueueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,75 +5,73 @@
 	"time"
 )
 
-// ranks is how many ranks of urgency there are; 0 is the most urgent.
+// rankCount is the number of priority ranks; 0 is the most urgent.
 const rankCount = 10
 
-// LimiterOptions bound the queue of one service.
+// LimiterOptions are the limits of a service's queue.
 type LimiterOptions struct {
-	// MinShare is the part of the service's mean share of admitted requests
-	// that every rank gets, however much is more urgent; from 0 to 1.
+	// MinShare is the part of the service's mean admitted share that every rank gets at least,
+	// however many more urgent requests there are; from 0 to 1.
 	MinShare float64
-	// MaxWaiting bounds the queue, in requests.
+	// MaxWaiting limits the queue, in requests.
 	MaxWaiting int
-	// HalfLife is how fast past admissions and offers lose their weight in the
-	// shares of ranks, and PaceHalfLife in the pace of admissions.
+	// HalfLife is the half-life of past offers and admissions in the shares of ranks, and
+	// PaceHalfLife that of admissions in the admission rate.
 	HalfLife     time.Duration
 	PaceHalfLife time.Duration
-	// MinRetryAfter is the shortest time to come back after.
+	// MinRetryAfter is the shortest time after which a refused caller retries.
 	MinRetryAfter time.Duration
 }
 
-// DefaultLimiterOptions are the bounds used unless settings say otherwise. The
-// figures come from the trials in docs/DECISIONS.md.
+// DefaultLimiterOptions returns the limits used unless settings override them. The values come
+// from the trials in docs/DECISIONS.md.
 func DefaultLimiterOptions() LimiterOptions {
 	return LimiterOptions{
-		MinShare:   0.5,
-		MaxWaiting:  256,
-		HalfLife:     2 * time.Second,
-		PaceHalfLife: time.Second,
-		MinRetryAfter:  100 * time.Millisecond,
+		MinShare:      0.5,
+		MaxWaiting:    256,
+		HalfLife:      2 * time.Second,
+		PaceHalfLife:  time.Second,
+		MinRetryAfter: 100 * time.Millisecond,
 	}
 }
 
-// Entry is a request that asks to be admitted to a service.
+// Entry describes a request that asks for admission to a service.
 type Entry struct {
 	Workspace string
-	// Rank is the urgency, 0 first, below 10.
+	// Rank is the priority, below 10; 0 is served first.
 	Rank int
 	// Patience is how long the request may wait in the queue.
 	Patience time.Duration
-	// Left is how much of the caller's own time is left; zero if unknown.
+	// Left is the time until the caller's deadline; zero if unknown.
 	Left time.Duration
 }
 
-// Limiter is a gateway's queue before all targets of one service. A request is
-// admitted while the targets have room. Otherwise the most urgent waits ahead
-// of the less urgent, workspaces of the same rank take turns, and whoever would
-// wait longer than its patience is refused with a time to come back.
+// Limiter is a gateway's queue in front of all targets of one service. A request is admitted while
+// the targets have room. Otherwise requests wait: more urgent ones are served first, workspaces of
+// the same rank take turns, and a request that would wait longer than its patience is refused with
+// a time after which to retry.
 //
-// It does no I/O: the clock and the targets' room are handed in. It is safe
-// for concurrent use.
+// It does no I/O: callers pass in the time and the targets' room. It is safe for concurrent use.
 type Limiter struct {
 	options LimiterOptions
 
 	mu sync.Mutex
-	// lines hold those who wait, by rank.
+	// queues hold the waiting requests by rank.
 	queues [rankCount]*fairQueue
-	// waiting counts all who wait.
+	// waiting counts the requests in all queues.
 	waiting int
-	// granted counts those who were admitted and are not yet counted at a
-	// target.
+	// granted counts the requests that were admitted and are not yet counted at a target.
 	granted int
-	// offered and admitted are the faded counts of each rank.
+	// offered and admitted are the decayed counts of each rank.
 	offered  [rankCount]decayingCount
 	admitted [rankCount]decayingCount
-	// admissions is the faded count of all admissions.
+	// admissions is the decayed count of all admissions.
 	admissions decayingCount
-	// lastRetryAt is when the last refused caller was asked to come back.
+	// lastRetryAt is the latest time at which a refused caller was asked to retry.
 	lastRetryAt time.Time
 }
 
-// NewLimiter returns a limiter in which nobody waits.
+// NewLimiter returns a limiter with an empty queue.
 func NewLimiter(options LimiterOptions) *Limiter {
 	l := &Limiter{options: options}
 	for i := range l.queues {
@@ -82,18 +80,18 @@
 	return l
 }
 
-// Turn is a request's place in the queue, or its admission.
+// Turn is a request in the queue, or one that has been admitted.
 type Turn struct {
 	limiter *Limiter
 	waiter  *waiter
 	rank    int
-	// begun says that the admission has been used or given back.
+	// begun is set once the admission has been used or given back.
 	begun bool
 }
 
-// Offer asks for a request to be admitted. room is how many more requests the
-// service's targets can take now, this one not counted. The turn is nil if the
-// request is refused; its caller may then come back after the time returned.
+// Offer asks for a request to be admitted. room is how many more requests the service's targets
+// can take now, not counting this one. If the request is refused, the turn is nil and the caller
+// may retry after the returned time.
 func (l *Limiter) Offer(entry Entry, room int, now time.Time) (*Turn, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,8 +99,8 @@
 	l.offered[rank].add(1, now, l.options.HalfLife)
 	turn := &Turn{limiter: l, rank: rank, waiter: &waiter{
 		ticket:   Ticket{Workspace: entry.Workspace},
-		queuedAt:    now,
-		decided: make(chan struct{}),
+		queuedAt: now,
+		decided:  make(chan struct{}),
 	}}
 	l.queues[rank].push(turn.waiter)
 	l.waiting++
@@ -117,14 +115,14 @@
 	return turn, 0
 }
 
-// Waiting counts the requests in the queue.
+// Waiting returns the number of requests in the queue.
 func (l *Limiter) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting
 }
 
-// Wants is how much room would be enough for all who wait or were admitted and
+// Demand returns how much room would suffice for all requests that wait, or that were admitted and
 // are not yet counted at a target.
 func (l *Limiter) Demand() int {
 	l.mu.Lock()
@@ -132,22 +130,22 @@
 	return l.waiting + l.granted
 }
 
-// RetryAfter is the time after which a caller whose request was turned away is to
-// come back; left is how much of its own time is left, zero if unknown.
+// RetryAfter returns the time after which a caller whose request was refused should retry. left is
+// the time until the caller's deadline, zero if unknown.
 func (l *Limiter) RetryAfter(left time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.retryAfter(left, now)
 }
 
-// Admit admits those who wait while there is room.
+// Admit admits queued requests while there is room.
 func (l *Limiter) Admit(room int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admit(room, now)
 }
 
-// admit gives room to those who wait, in order; l.mu is held.
+// admit admits queued requests in order while there is room; l.mu is held.
 func (l *Limiter) admit(room int, now time.Time) {
 	for l.granted < room && l.waiting > 0 {
 		rank := l.nextRank(now)
@@ -161,8 +159,8 @@
 	}
 }
 
-// nextRank is the rank whose turn it is: the most urgent one of those that get
-// less than their least share, else the most urgent one; l.mu is held.
+// nextRank returns the rank to serve next: the most urgent rank whose admitted share is below the
+// minimum, or else the most urgent one with a waiting request; l.mu is held.
 func (l *Limiter) nextRank(now time.Time) int {
 	first := -1
 	minShare := l.options.MinShare * l.meanShare(now)
@@ -180,8 +178,7 @@
 	return first
 }
 
-// admittedShare is the part of a rank's offers that was admitted lately; l.mu is
-// held.
+// admittedShare returns the recently admitted part of a rank's offers; l.mu is held.
 func (l *Limiter) admittedShare(rank int, now time.Time) float64 {
 	offered := l.offered[rank].valueAt(now, l.options.HalfLife)
 	if offered == 0 {
@@ -190,7 +187,7 @@
 	return l.admitted[rank].valueAt(now, l.options.HalfLife) / offered
 }
 
-// meanShare is the part of all offers that was admitted lately; l.mu is held.
+// meanShare returns the recently admitted part of all offers; l.mu is held.
 func (l *Limiter) meanShare(now time.Time) float64 {
 	offered, admitted := 0.0, 0.0
 	for rank := range rankCount {
@@ -203,22 +200,21 @@
 	return admitted / offered
 }
 
-// pace is how many requests a second were admitted lately; l.mu is held.
+// admissionRate returns the recent admissions per second; l.mu is held.
 func (l *Limiter) admissionRate(now time.Time) float64 {
 	return l.admissions.rate(now, l.options.PaceHalfLife)
 }
 
 const (
-	// minSpareRate is the pace below which no time to come back is worked out, in
-	// requests a second.
+	// minSpareRate is the spare rate, in requests per second, below which no time to retry is
+	// computed from it.
 	minSpareRate = 1.0
-	// minAdmissionsForEstimate is how many admissions must have been counted lately for a
-	// wait to be estimated.
+	// minAdmissionsForEstimate is how many recent admissions are needed to estimate a wait.
 	minAdmissionsForEstimate = 8.0
 )
 
-// estimateWait estimates how long a request that has just come will wait; l.mu is
-// held. Where too little is known it is zero.
+// estimateWait estimates how long a newly queued request will wait; it returns zero if there were
+// too few admissions to tell. l.mu is held.
 func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
 	if l.admissions.valueAt(now, l.options.PaceHalfLife) < minAdmissionsForEstimate {
 		return 0
@@ -232,19 +228,19 @@
 	return time.Duration(float64(ahead+1) / l.admissionRate(now) * float64(time.Second))
 }
 
-// maxRetryFraction is the largest part of the time that a caller has left after
-// which it comes back, whatever it is asked.
+// maxRetryFraction is the largest part of a caller's remaining time after which it is asked to
+// retry; a caller asked to wait longer comes back by itself.
 const maxRetryFraction = 1.0 / 3
 
-// spare is the part of the pace of admissions that is left for callers who come
-// back: none once half of the offers are refused, since those who come back
-// would only be refused again; l.mu is held.
+// spareRate returns the part of the admission rate that is available to callers that retry. It is
+// zero once half of the offers are refused, since retries would only be refused again. l.mu is
+// held.
 func (l *Limiter) spareRate(now time.Time) float64 {
 	return max(2*l.meanShare(now)-1, 0) * l.admissionRate(now)
 }
 
-// retryAfter is the time after which a refused caller is to come back: those
-// refused follow each other at the pace that is left for them; l.mu is held.
+// retryAfter returns the time after which a refused caller should retry. Successive refused
+// callers are spaced out at the spare rate; l.mu is held.
 func (l *Limiter) retryAfter(left time.Duration, now time.Time) time.Duration {
 	longest := max(time.Duration(maxRetryFraction*float64(left)), l.options.MinRetryAfter)
 	gap := longest
@@ -263,19 +259,18 @@
 	return next.Sub(now)
 }
 
-// remove takes a turn out of the queue; l.mu is held.
+// remove takes a request out of the queue; l.mu is held.
 func (l *Limiter) remove(turn *Turn) {
 	l.queues[turn.rank].remove(turn.waiter)
 	l.waiting--
 }
 
-// Admitted is closed when the request has been admitted.
+// Admitted returns a channel that is closed when the request has been admitted.
 func (t *Turn) Admitted() <-chan struct{} {
 	return t.waiter.decided
 }
 
-// Begin notes that the request, which has been admitted, is now counted at a
-// target, or is given up.
+// Begin records that the admitted request is now counted at a target, or has been given up.
 func (t *Turn) Begin() {
 	t.limiter.mu.Lock()
 	defer t.limiter.mu.Unlock()
@@ -285,9 +280,8 @@
 	}
 }
 
-// Leave takes a request out of the queue. It returns false if the request has
-// been admitted meanwhile. Otherwise its caller may come back after the time
-// returned.
+// Leave takes a request out of the queue and returns the time after which its caller may retry. It
+// returns false if the request has been admitted in the meantime.
 func (t *Turn) Leave(left time.Duration, now time.Time) (time.Duration, bool) {
 	l := t.limiter
 	l.mu.Lock()
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -26,12 +26,12 @@
 	return admission.Entry{Workspace: workspace, Rank: rank, Patience: time.Second, Left: 9 * time.Second}
 }
 
-// TestRefusedOnlyWhenFull: nobody is refused or waits while there is room, and
-// no more are admitted than there is room for.
-func TestRefusedOnlyWhenFull(t *testing.T) {
+// No request is refused or waits while there is room, and no more requests are admitted than there
+// is room for.
+func TestLimiterRefusesOnlyWhenFull(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := admission.NewLimiter(admission.DefaultLimiterOptions())
-		most := rapid.IntRange(1, 8).Draw(t, "places")
+		capacity := rapid.IntRange(1, 8).Draw(t, "places")
 		now := epoch
 		busy := 0
 		var waiting []*admission.Turn
@@ -52,29 +52,29 @@
 			switch {
 			case busy > 0 && rapid.IntRange(0, 2).Draw(t, "end") == 0:
 				busy--
-				limiter.Admit(most-busy, now)
+				limiter.Admit(capacity-busy, now)
 			case len(waiting) > 0 && rapid.IntRange(0, 5).Draw(t, "leave") == 0:
 				after, left := waiting[0].Leave(9*time.Second, now)
 				if !left || after <= 0 || after > 3*time.Second {
-					t.Fatalf("leaving the queue: left %v, come back after %s", left, after)
+					t.Fatalf("Leave: left %v, retry after %s", left, after)
 				}
 				waiting = waiting[1:]
 			default:
 				workspace := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "workspace"))
-				turn, after := limiter.Offer(entry(workspace, rapid.IntRange(0, 3).Draw(t, "rank")), most-busy, now)
-				if turn == nil && (busy < most || after <= 0 || after > 3*time.Second) {
-					t.Fatalf("refused with %d of %d busy, to come back after %s", busy, most, after)
+				turn, after := limiter.Offer(entry(workspace, rapid.IntRange(0, 3).Draw(t, "rank")), capacity-busy, now)
+				if turn == nil && (busy < capacity || after <= 0 || after > 3*time.Second) {
+					t.Fatalf("refused with %d of %d busy, retry after %s", busy, capacity, after)
 				}
 				if turn != nil {
 					waiting = append(waiting, turn)
 				}
 			}
 			settle()
-			if busy > most {
-				t.Fatalf("%d admitted, room for %d", busy, most)
+			if busy > capacity {
+				t.Fatalf("%d admitted, room for %d", busy, capacity)
 			}
-			if busy < most && len(waiting) > 0 {
-				t.Fatalf("%d wait while %d of %d are busy", len(waiting), busy, most)
+			if busy < capacity && len(waiting) > 0 {
+				t.Fatalf("%d wait while %d of %d are busy", len(waiting), busy, capacity)
 			}
 			if limiter.Waiting() != len(waiting) {
 				t.Fatalf("%d wait, the limiter counts %d", len(waiting), limiter.Waiting())
@@ -83,15 +83,15 @@
 	})
 }
 
-func TestOrderOfTurns(t *testing.T) {
+func TestLimiterQueueOrder(t *testing.T) {
 	cases := map[string]struct {
 		entries []admission.Entry
 		want    []int
 	}{
-		"the more urgent first":       {[]admission.Entry{entry("a", 3), entry("a", 0), entry("a", 1)}, []int{1, 2, 0}},
-		"first come, first served":    {[]admission.Entry{entry("a", 1), entry("a", 1), entry("a", 1)}, []int{0, 1, 2}},
-		"workspaces take turns":       {[]admission.Entry{entry("a", 1), entry("a", 1), entry("a", 1), entry("b", 1)}, []int{0, 3, 1, 2}},
-		"ranks beyond the last count": {[]admission.Entry{entry("a", 99), entry("a", 9), entry("a", -1)}, []int{2, 0, 1}},
+		"more urgent requests first":     {[]admission.Entry{entry("a", 3), entry("a", 0), entry("a", 1)}, []int{1, 2, 0}},
+		"first come, first served":       {[]admission.Entry{entry("a", 1), entry("a", 1), entry("a", 1)}, []int{0, 1, 2}},
+		"workspaces take turns":          {[]admission.Entry{entry("a", 1), entry("a", 1), entry("a", 1), entry("b", 1)}, []int{0, 3, 1, 2}},
+		"out of range ranks are clamped": {[]admission.Entry{entry("a", 99), entry("a", 9), entry("a", -1)}, []int{2, 0, 1}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 			var turns []*admission.Turn
 			for _, entry := range tc.entries {
 				turn, _ := limiter.Offer(entry, 0, epoch)
-				is.True(turn != nil) // nothing is known of the pace: it may wait
+				is.True(turn != nil) // the admission rate is unknown, so it may wait
 				turns = append(turns, turn)
 			}
 			for _, next := range tc.want {
@@ -112,8 +112,8 @@
 	}
 }
 
-// overload offers requests of several ranks and workspaces at three times the
-// pace that a service bears, for some seconds, and counts by rank or workspace.
+// overload offers requests of several ranks and workspaces at three times the rate that the
+// service can take, for 6 s, and counts them by the key that by returns.
 func overload(offer func(step int) admission.Entry, by func(admission.Entry) string) (offered, served map[string]int) {
 	limiter := admission.NewLimiter(admission.DefaultLimiterOptions())
 	offered, served = make(map[string]int), make(map[string]int)
@@ -153,9 +153,9 @@
 	return offered, served
 }
 
-// TestNoRankStarves: under three times what the service bears the urgent are
-// served first, and the least urgent get their least share all the same.
-func TestNoRankStarves(t *testing.T) {
+// At three times the load that the service can take, urgent requests are served first, and the
+// least urgent ranks still get their minimum share.
+func TestLowRanksAreNotStarved(t *testing.T) {
 	is := is.New(t)
 	rankOf := func(e admission.Entry) string { return fmt.Sprint(e.Rank) }
 	offered, served := overload(func(step int) admission.Entry {
@@ -163,16 +163,15 @@
 	}, rankOf)
 	share := func(rank string) float64 { return float64(served[rank]) / float64(offered[rank]) }
 	mean := float64(served["0"]+served["1"]+served["2"]) / 6000
-	is.True(mean > 0.32)           // all that the service bears is used
-	is.True(share("0") > 1.5*mean) // the urgent come first
+	is.True(mean > 0.32)           // the full capacity is used
+	is.True(share("0") > 1.5*mean) // urgent requests are served first
 	is.True(share("1") > 0.4*mean)
 	is.True(share("2") > 0.4*mean)
 	is.True(share("0") > share("1") && share("0") > share("2"))
 }
 
-// TestASurgingWorkspaceWaitsBehindItself: one that sends nine of ten requests
-// takes nothing from the nine others.
-func TestASurgingWorkspaceWaitsBehindItself(t *testing.T) {
+// A workspace that sends nine of ten requests takes no capacity from the nine others.
+func TestBurstOfOneWorkspaceDoesNotDelayOthers(t *testing.T) {
 	is := is.New(t)
 	offered, served := overload(func(step int) admission.Entry {
 		workspace := "loud"
@@ -188,13 +187,12 @@
 	}
 }
 
-// TestWhoWouldWaitTooLongIsRefusedAtOnce: the estimate at entry keeps requests
-// from waiting in vain.
-func TestWhoWouldWaitTooLongIsRefusedAtOnce(t *testing.T) {
+// The wait estimated at entry is beyond the request's patience, so that it doesn't queue in vain.
+func TestOfferRefusesWaitBeyondPatience(t *testing.T) {
 	is := is.New(t)
 	limiter := admission.NewLimiter(admission.DefaultLimiterOptions())
 	now := epoch
-	for range 200 { // ten a second
+	for range 200 { // ten per second
 		now = now.Add(100 * time.Millisecond)
 		turn, _ := limiter.Offer(entry("a", 1), 1, now)
 		turn.Begin()
@@ -203,16 +201,16 @@
 	first, _ := limiter.Offer(patient, 0, now)
 	second, _ := limiter.Offer(patient, 0, now)
 	third, after := limiter.Offer(patient, 0, now)
-	is.True(first != nil && second != nil) // a tenth and two tenths of a second
-	is.True(third == nil)                  // three tenths
+	is.True(first != nil && second != nil) // expected waits of 0.1 s and 0.2 s
+	is.True(third == nil)                  // expected wait of 0.3 s
 	is.True(after >= 100*time.Millisecond && after <= time.Second)
 	urgent, _ := limiter.Offer(admission.Entry{Workspace: "a", Patience: 150 * time.Millisecond}, 0, now)
-	is.True(urgent != nil) // goes before the two
+	is.True(urgent != nil) // is served before the other two
 }
 
-// TestReturnsAreSpread: those refused are not asked back all at once, nor later
-// than they would come by themselves.
-func TestReturnsAreSpread(t *testing.T) {
+// Refused callers are asked to retry at different times, and no later than they would by
+// themselves.
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	limiter := admission.NewLimiter(admission.DefaultLimiterOptions())
 	now := epoch
@@ -233,7 +231,7 @@
 	}
 }
 
-// BenchmarkOffer has a request wait in a queue of some length, and leave it.
+// BenchmarkOffer measures a request that joins a queue of the given length and leaves it.
 func BenchmarkOffer(b *testing.B) {
 	for _, waiting := range []int{0, 200} {
 		b.Run(fmt.Sprint(waiting), func(b *testing.B) {
--- a/internal/admission/limiters.go
+++ b/internal/admission/limiters.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Limiters are a gateway's limiters, one for each service.
+// Limiters holds a gateway's limiters, one for each service.
 type Limiters struct {
 	options LimiterOptions
 
@@ -13,13 +13,12 @@
 	byService map[string]*Limiter
 }
 
-// NewLimiters returns a set in which each limiter is made when it is first
-// asked for.
+// NewLimiters returns a set that creates each limiter on first use.
 func NewLimiters(options LimiterOptions) *Limiters {
 	return &Limiters{options: options, byService: make(map[string]*Limiter)}
 }
 
-// Of is the limiter of a service.
+// Of returns the limiter of a service.
 func (l *Limiters) Of(service string) *Limiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,7 +30,7 @@
 	return known
 }
 
-// Each calls a function for each service that has a limiter.
+// Each calls visit for each service that has a limiter.
 func (l *Limiters) Each(visit func(service string, limiter *Limiter)) {
 	l.mu.Lock()
 	known := maps.Clone(l.byService)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,34 +15,34 @@
 	waiterRefused
 )
 
-// waiter is one queued request; the gate's lock guards it.
+// waiter is one queued request. The lock of the gate or limiter that owns it guards it.
 type waiter struct {
-	ticket Ticket
-	queuedAt  time.Time
-	state  waiterState
-	// place is set with waiterAdmitted, and refusal with waiterRefused.
-	place    *Place
-	refusal  *fault.Error
+	ticket   Ticket
+	queuedAt time.Time
+	state    waiterState
+	// place is set in state waiterAdmitted, and refusal in state waiterRefused.
+	place   *Place
+	refusal *fault.Error
 	decided chan struct{}
-	element  *list.Element
-	queue     *workspaceQueue
+	element *list.Element
+	queue   *workspaceQueue
 }
 
-// lane is one workspace's queue within a class.
+// workspaceQueue is the queue of one workspace within a fairQueue.
 type workspaceQueue struct {
 	workspace string
 	waiters   *list.List
-	// credit is what the workspace may still take in this round.
+	// credit is how many requests the workspace may still have admitted in this round.
 	credit int
-	// element is the lane's place in the round; nil when it is empty.
+	// element is the queue's position in the rotation; nil when the queue is empty.
 	element *list.Element
 }
 
-// class shares places among workspaces by deficit round robin.
+// fairQueue shares places among workspaces by deficit round robin.
 type fairQueue struct {
 	byWorkspace map[string]*workspaceQueue
-	rotation *list.List
-	count int
+	rotation    *list.List
+	count       int
 }
 
 func newFairQueue() *fairQueue {
@@ -61,7 +61,7 @@
 	c.count++
 }
 
-// next is the waiter whose turn it is; nil when none waits.
+// front returns the waiter to serve next, or nil if there is none.
 func (c *fairQueue) front() *waiter {
 	front := c.rotation.Front()
 	if front == nil {
@@ -75,7 +75,7 @@
 	return first
 }
 
-// take removes the waiter whose turn it is.
+// pop removes and returns the waiter to serve next.
 func (c *fairQueue) pop() *waiter {
 	w := c.front()
 	if w == nil {
@@ -100,7 +100,7 @@
 	}
 }
 
-// oldest is the waiter that has waited longest at the head of any lane.
+// oldest returns the longest waiting of the first waiters of all workspaces.
 func (c *fairQueue) oldest() *waiter {
 	var oldest *waiter
 	for element := c.rotation.Front(); element != nil; element = element.Next() {
@@ -112,7 +112,7 @@
 	return oldest
 }
 
-// queues are the two classes.
+// queues holds the urgent and the deferrable requests.
 type queues struct {
 	patience   time.Duration
 	urgent     *fairQueue
@@ -142,8 +142,8 @@
 	return w
 }
 
-// pop takes the next waiter: urgent first, but a deferrable one that has run
-// out of patience goes before, so that it never starves.
+// pop removes and returns the next waiter. Urgent ones go first, except that a deferrable one that
+// has waited for the patience time goes before them, so that it is never starved.
 func (q *queues) pop() *waiter {
 	w := q.overdueDeferrable()
 	if w != nil {
@@ -157,6 +157,7 @@
 	return w
 }
 
+// overdueDeferrable returns the oldest deferrable waiter if it has waited for the patience time.
 func (q *queues) overdueDeferrable() *waiter {
 	if q.deferrable.count == 0 {
 		return nil
@@ -176,9 +177,9 @@
 	q.bytes -= w.ticket.Bytes
 }
 
-// ahead counts who would be served before a request that queues now: in its
-// class at most as many rounds as its own lane is long, and all urgent ones
-// before a deferrable one.
+// ahead returns how many waiters would be served before a request that is queued now: those of its
+// class, for at most as many rounds as its workspace's own queue is long, and before a deferrable
+// request all urgent ones.
 func (q *queues) ahead(ticket Ticket) int {
 	count := q.queueFor(ticket).countAhead(ticket, 0)
 	if ticket.Deferrable {
@@ -187,13 +188,13 @@
 	return count
 }
 
-// ahead counts who is served before a waiter that has just been queued.
+// aheadOf returns how many waiters are served before one that has just been queued.
 func (c *fairQueue) aheadOf(w *waiter) int {
 	return c.countAhead(w.ticket, 1)
 }
 
-// before counts who is served before a request of a workspace behind which no
-// other waits; queued is how many places of its lane are its own.
+// countAhead returns how many waiters are served before the last request of a workspace. ownPlaces
+// is how many places of the workspace's queue belong to that request itself.
 func (c *fairQueue) countAhead(ticket Ticket, ownPlaces int) int {
 	own := -ownPlaces
 	if l, ok := c.byWorkspace[ticket.Workspace]; ok {
--- a/internal/admission/rest.go
+++ b/internal/admission/rest.go
@@ -7,26 +7,28 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// A target that turns a request away may ask for rest. Until its end the gate refuses what comes
-// and what waits, with the time that is left. Then one request tries, and others follow its
-// answer.
+// A target that refuses a request may ask the gate to back off for a time (a rest). Until then the
+// gate refuses new and queued requests, with the time that remains as the time to retry. After
+// that it admits one request as a probe, and the others only once the target has answered without
+// asking for rest.
 
-// rest is what the target has asked for.
+// rest is the state of the backoff that the target asked for.
 type rest struct {
-	// until is the end of the longest rest asked for; zero if none was, or an answer has shown
-	// since that it is over.
+	// until is the end of the longest rest asked for; zero if there was none, or if an answer has
+	// since shown that it is over.
 	until time.Time
-	// trying says that the request which tries is under way.
+	// probing is set while the probe is in flight.
 	probing bool
 }
 
-// left is how much of the rest is left.
+// remaining returns how much of the rest remains.
 func (r *rest) remaining() time.Duration { return max(r.until.Sub(clock.Check()), 0) }
 
-// untried says whether a rest has ended, or will, that no answer has shown to be over.
+// needsProbe reports whether there is a rest, current or past, that no answer has shown to be
+// over.
 func (r *rest) needsProbe() bool { return !r.until.IsZero() }
 
-// Rest has the gate refuse everything for a while, unless it does so for longer already.
+// Rest makes the gate refuse everything for the given time, unless it already does so for longer.
 func (g *Gate) Rest(length time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,8 +40,8 @@
 	g.refuseWaiting(errResting(length))
 }
 
-// Answered notes that the target has answered without a wish for rest: one that is over needs no
-// try any more.
+// Answered records that the target has answered without asking for rest. If its rest has ended, no
+// probe is needed any more.
 func (g *Gate) Answered() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,7 +51,7 @@
 	}
 }
 
-// errResting is the refusal of a request while the target rests for so much longer.
+// errResting returns the refusal of a request while the target rests.
 func errResting(remaining time.Duration) *fault.Error {
-	return fault.New(fault.Overloaded, fault.NotRun, "the target has asked for rest").After(remaining)
+	return fault.New(fault.Overloaded, fault.NotRun, "the target asked clients to back off").After(remaining)
 }
--- a/internal/admission/rest_test.go
+++ b/internal/admission/rest_test.go
@@ -11,8 +11,8 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// TestRestRefusesThenProbes: it refuses what comes and what waits, with the time that is left; then one
-// request tries, and the others that wait follow its answer.
+// During a rest the gate refuses new and queued requests, with the time that remains. After it one
+// request probes the target, and the other queued ones wait for its answer.
 func TestRestRefusesThenProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -31,8 +31,8 @@
 		synctest.Wait()
 		g.Rest(3 * time.Second)
 		is.Equal((<-waiting).RetryAfter, 3*time.Second)
-		g.Rest(time.Second) // the longest holds
-		g.Answered()        // what was under way before says nothing
+		g.Rest(time.Second) // the longest rest applies
+		g.Answered()        // an answer to an earlier request doesn't end the rest
 		before[0].Release()
 		time.Sleep(2 * time.Second)
 		_, refusal := g.Admit(t.Context(), Ticket{Wait: true})
@@ -62,7 +62,7 @@
 	})
 }
 
-// TestNextRequestProbesAfterUnansweredProbe: the next one tries.
+// If a probe ends without an answer, the next request probes the target.
 func TestNextRequestProbesAfterUnansweredProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
