--- a/internal/agent/keeper.go
+++ b/internal/agent/keeper.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	k.guard.Sending(plan.Base, plan.Takes)
+	k.guard.BeginChange(plan.Base, plan.TakesOver)
 	k.markStale()
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -210,7 +210,7 @@
 	}
 	plan.Table.Version = version
 	k.guard.Apply(plan.Table)
-	for _, why := range plan.Why {
+	for _, why := range plan.Reasons {
 		k.log.Info("slots", "service", k.service, "version", version, "change", why)
 	}
 	k.tellTable(ctx, version)
@@ -237,7 +237,7 @@
 
 func (k *keeper) thawAll(plan once.Plan) {
 	for _, numbers := range plan.Moves {
-		k.guard.Thaw(numbers)
+		k.guard.Unfreeze(numbers)
 	}
 }
 
@@ -276,12 +276,12 @@
 
 // situation gathers what a plan needs; leases are read only for owners that
 // are gone together with their witness.
-func (k *keeper) situation(ctx context.Context) (once.Situation, error) {
-	situation := once.Situation{
+func (k *keeper) situation(ctx context.Context) (once.PlanInput, error) {
+	situation := once.PlanInput{
 		Peers:      k.peers(),
 		DataCenter: k.agent.options.DataCenter,
 		Leases:     make(map[string]once.LongLease),
-		MostMoves:  movesPerRound,
+		MaxMoves:   movesPerRound,
 	}
 	live := make(map[once.Holder]bool)
 	for _, peer := range situation.Peers {
@@ -298,7 +298,7 @@
 		}
 		lease, err := k.agent.lease.read(ctx, agent)
 		if err != nil {
-			return once.Situation{}, err
+			return once.PlanInput{}, err
 		}
 		situation.Leases[agent] = lease
 	}
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -48,7 +48,7 @@
 		return
 	}
 	owner := k.guard.OwnerOf(record.Key)
-	message := k.guard.Outcome(record)
+	message := k.guard.ExportOutcome(record)
 	_, err := k.ask(context.Background(), owner, &wire.Open{Kind: &wire.Open_HandOver{HandOver: message}})
 	if err != nil {
 		k.log.Warn("outcome not passed on to the slot's new owner", "service", k.service, "owner", owner, "error", err)
--- a/internal/agent/promise.go
+++ b/internal/agent/promise.go
@@ -40,7 +40,7 @@
 	promise := reply.GetPromise()
 	k.compareClocks(witness.Agent, sentAt, promise.GetWallMs())
 	if promise.GetGranted() {
-		k.guard.Promised(witness, sentAt)
+		k.guard.PromiseReceived(witness, sentAt)
 	}
 	if promise.GetTableVersion() > table.Version {
 		k.markStale()
@@ -82,7 +82,7 @@
 		if promise.GetTableVersion() > k.guard.Table().Version {
 			k.catchUp()
 		}
-		reply.Granted = k.guard.GivePromise(owner, witness)
+		reply.Granted = k.guard.GrantPromise(owner, witness)
 		reply.TableVersion = k.guard.Table().Version
 	}
 	_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Promise{Promise: reply}})
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -208,7 +208,7 @@
 	case state == once.Closed:
 		answer.refuse(fault.New(fault.KeyClosed, fault.NotRun, "the key was closed before it ran; use a new key"))
 	case state == once.Reopened:
-		answer.refuse(whyReopened(w.record.Why))
+		answer.refuse(whyReopened(w.record.Cause))
 	default:
 		answer.refuse(fault.New(fault.KeyInDoubt, fault.Unknown, "the request was sent to the service and its outcome is lost"))
 	}
--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -94,7 +94,7 @@
 			g.Apply(table)
 			data, _ := table.Encode()
 			for b.Loop() {
-				g.Plan(Situation{Peers: peers})
+				g.Plan(PlanInput{Peers: peers})
 			}
 			b.ReportMetric(float64(len(data)), "table-bytes")
 		})
--- a/internal/once/guard.go
+++ b/internal/once/guard.go
@@ -56,7 +56,7 @@
 
 // NewGuard returns the guard of one service at one agent.
 func NewGuard(options Options, clock Clock) *Guard {
-	options.Keep = max(options.Keep, options.Back)
+	options.Keep = max(options.Keep, options.MaxKeyAge)
 	return &Guard{
 		options:  options,
 		clock:    clock,
@@ -114,7 +114,7 @@
 )
 
 // Begun is the answer to Begin.
-type Begun struct {
+type BeginResult struct {
 	// Run says that the caller must run the request now and call End.
 	Run bool
 	// Record is the key's record: to be ended if Run, else to be waited for.
@@ -123,7 +123,7 @@
 
 // Begin decides about a key seen in a request. A refusal with run state
 // NotRun means that the key is closed for ever.
-func (g *Guard) Begin(fullKey string, at time.Time, print uint64) (Begun, *fault.Error) {
+func (g *Guard) Begin(fullKey string, at time.Time, print uint64) (BeginResult, *fault.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// The wall clock is read before the lease is checked: a pause between
@@ -131,24 +131,24 @@
 	wall := g.wall()
 	slot, refusal := g.slotFor(fullKey)
 	if refusal != nil {
-		return Begun{}, refusal
+		return BeginResult{}, refusal
 	}
 	if g.mutation == wallAfterLease {
 		wall = g.wall()
 	}
 	if record, ok := slot.records.byKey[fullKey]; ok {
-		if record.Print != print && record.State != Closed {
-			return Begun{}, fault.New(fault.KeyConflict, fault.Unknown, "this key belongs to another request")
+		if record.Fingerprint != print && record.State != Closed {
+			return BeginResult{}, fault.New(fault.KeyConflict, fault.Unknown, "this key belongs to another request")
 		}
-		return Begun{Record: record}, nil
+		return BeginResult{Record: record}, nil
 	}
 	if refusal := g.mayAdmit(slot, at, wall); refusal != nil {
-		return Begun{}, refusal
+		return BeginResult{}, refusal
 	}
-	record := &Record{Key: fullKey, At: at, Print: print, State: Running}
+	record := &Record{Key: fullKey, At: at, Fingerprint: print, State: Running}
 	slot.records.add(record)
 	g.count++
-	return Begun{Run: true, Record: record}, nil
+	return BeginResult{Run: true, Record: record}, nil
 }
 
 // wall reads the wall clock; it never goes back.
@@ -203,11 +203,11 @@
 	if g.mutation != skipFence && !at.After(slot.start.Add(g.options.Fence())) {
 		return fault.New(fault.KeyInDoubt, fault.Unknown, "the key is from before this owner's time and may have run under the one before")
 	}
-	if g.mutation != skipAhead && at.After(wall.Add(g.options.Ahead)) {
+	if g.mutation != skipAhead && at.After(wall.Add(g.options.MaxAhead)) {
 		return fault.New(fault.BadRequest, fault.Unknown, "the key's time is %v ahead of this host's clock", at.Sub(wall).Round(time.Millisecond))
 	}
-	if g.mutation != skipBack && at.Before(wall.Add(-g.options.Back)) {
-		return fault.New(fault.KeyInDoubt, fault.Unknown, "the key is older than %v and its record may be forgotten", g.options.Back)
+	if g.mutation != skipBack && at.Before(wall.Add(-g.options.MaxKeyAge)) {
+		return fault.New(fault.KeyInDoubt, fault.Unknown, "the key is older than %v and its record may be forgotten", g.options.MaxKeyAge)
 	}
 	if g.count >= g.options.MaxRecords {
 		g.forget(wall)
@@ -244,7 +244,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	defer close(record.ended)
-	record.Why = why
+	record.Cause = why
 	slot, ok := g.owned[SlotOf(record.Key, len(g.table.Slots))]
 	if !ok || slot.records.byKey[record.Key] != record {
 		record.State = Closed
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -27,7 +27,7 @@
 
 // Thaw takes up frozen slots again, after a hand-over was given up and no
 // change of the table is open. It reports false while one is.
-func (g *Guard) Thaw(numbers []int) bool {
+func (g *Guard) Unfreeze(numbers []int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.sentOn != nil {
@@ -80,12 +80,12 @@
 		State: uint32(state),
 		Head:  record.Outcome.Head,
 		Body:  record.Outcome.Body,
-		Print: record.Print,
+		Print: record.Fingerprint,
 	}
 }
 
 // Outcome writes one ended run for the successor that has its slot now.
-func (g *Guard) Outcome(record *Record) *wire.HandOver {
+func (g *Guard) ExportOutcome(record *Record) *wire.HandOver {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	number := SlotOf(record.Key, len(g.table.Slots))
@@ -142,10 +142,10 @@
 
 func importRecord(message *wire.KeyRecord) *Record {
 	return &Record{
-		Key:     message.GetKey(),
-		At:      time.UnixMilli(message.GetAtMs()),
-		Print:   message.GetPrint(),
-		State:   State(message.GetState()),
-		Outcome: Outcome{Head: message.GetHead(), Body: message.GetBody()},
+		Key:         message.GetKey(),
+		At:          time.UnixMilli(message.GetAtMs()),
+		Fingerprint: message.GetPrint(),
+		State:       State(message.GetState()),
+		Outcome:     Outcome{Head: message.GetHead(), Body: message.GetBody()},
 	}
 }
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -191,7 +191,7 @@
 // Promised takes in a promise whose request was sent at a boot time. It is
 // ignored while a change of the table that this agent has sent is unsettled,
 // because the witness may no longer be the one whose word counts.
-func (g *Guard) Promised(witness Holder, sentAt time.Duration) {
+func (g *Guard) PromiseReceived(witness Holder, sentAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.sentOn != nil && g.mutation != skipUnsettled {
@@ -201,10 +201,10 @@
 	g.promises[witness] = max(g.promises[witness], until)
 }
 
-// GivePromise answers an owner's request as its witness. It is refused when
+// GrantPromise answers an owner's request as its witness. It is refused when
 // this agent is not the owner's witness by the table it holds, and once a
 // take-over has been sent.
-func (g *Guard) GivePromise(owner, witness Holder) bool {
+func (g *Guard) GrantPromise(owner, witness Holder) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if witness != g.self {
@@ -221,7 +221,7 @@
 // the owners that it takes over. Until a table later than the one it changes
 // has been read, the change may still take effect: promises are neither used
 // nor given to these owners.
-func (g *Guard) Sending(base uint64, takes []Holder) {
+func (g *Guard) BeginChange(base uint64, takes []Holder) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sentOn = &base
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -116,7 +116,7 @@
 func modelOptions() Options {
 	options := DefaultOptions()
 	options.Service = "topup"
-	options.Back = 20 * time.Second
+	options.MaxKeyAge = 20 * time.Second
 	options.Keep = 20 * time.Second
 	options.LongLease = 40 * time.Second
 	return options
@@ -244,7 +244,7 @@
 	for _, witness := range p.guard.Witnesses() {
 		promise := &modelPromise{owner: p, witness: witness, sentAt: p.guard.BootNow()}
 		if w.deliverPromise(promise); promise.granted {
-			p.guard.Promised(witness, promise.sentAt)
+			p.guard.PromiseReceived(witness, promise.sentAt)
 		}
 	}
 }
@@ -330,7 +330,7 @@
 			peers = append(peers, Peer{Holder: host.current().guard.self, Leaving: w.choose.Pick(6, "leaving") == 0})
 		}
 	}
-	plan, ok := p.guard.Plan(Situation{Peers: peers, Leases: w.leases, MostMoves: modelSlots})
+	plan, ok := p.guard.Plan(PlanInput{Peers: peers, Leases: w.leases, MaxMoves: modelSlots})
 	if !ok {
 		return
 	}
@@ -341,8 +341,8 @@
 			w.deliverImport(successor, message)
 		}
 	}
-	p.guard.Sending(plan.Base, plan.Takes)
-	w.say("%s sends table on %d: %v", p.name(), plan.Base, plan.Why)
+	p.guard.BeginChange(plan.Base, plan.TakesOver)
+	w.say("%s sends table on %d: %v", p.name(), plan.Base, plan.Reasons)
 	w.writes = append(w.writes, &modelWrite{process: p, base: plan.Base, table: plan.Table})
 }
 
@@ -406,7 +406,7 @@
 	if promise.granted || w.choose.Pick(8, "lost") == 0 {
 		w.promises = append(w.promises[:i], w.promises[i+1:]...)
 		if promise.granted {
-			promise.owner.guard.Promised(promise.witness, promise.sentAt)
+			promise.owner.guard.PromiseReceived(promise.witness, promise.sentAt)
 		}
 		return
 	}
@@ -417,7 +417,7 @@
 	for _, host := range w.hosts {
 		for _, p := range host.processes {
 			if p.guard.self == promise.witness && (!w.nested || p != w.busy) {
-				promise.granted = p.guard.GivePromise(promise.owner.guard.self, promise.witness)
+				promise.granted = p.guard.GrantPromise(promise.owner.guard.self, promise.witness)
 			}
 		}
 	}
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -28,9 +28,9 @@
 	Agent       string
 	Incarnation string
 	// Ahead is how far a key's time may be ahead of the owner's wall clock.
-	Ahead time.Duration
+	MaxAhead time.Duration
 	// Back is how old a key may be when it is first seen.
-	Back time.Duration
+	MaxKeyAge time.Duration
 	// Keep is how long an outcome can be asked for; never below Back.
 	Keep time.Duration
 	// ClockError bounds each host's wall clock against true time.
@@ -49,8 +49,8 @@
 // DefaultOptions are the times used unless settings say otherwise.
 func DefaultOptions() Options {
 	return Options{
-		Ahead:      2 * time.Second,
-		Back:       15 * time.Minute,
+		MaxAhead:   2 * time.Second,
+		MaxKeyAge:  15 * time.Minute,
 		Keep:       time.Hour,
 		ClockError: time.Second,
 		Promise:    3 * time.Second,
@@ -74,7 +74,7 @@
 
 // Fence is the span after an epoch's start in which keys are in doubt.
 func (o *Options) Fence() time.Duration {
-	return o.Ahead + 2*o.ClockError
+	return o.MaxAhead + 2*o.ClockError
 }
 
 // Clock reads the host's clocks.
--- a/internal/once/plan.go
+++ b/internal/once/plan.go
@@ -16,7 +16,7 @@
 }
 
 // Situation is what a plan is made from besides the table.
-type Situation struct {
+type PlanInput struct {
 	// Peers are the live agents of the service, this one included.
 	Peers []Peer
 	// DataCenter is this agent's own.
@@ -24,8 +24,8 @@
 	// Leases are the long leases of owners that are not live, by agent; an
 	// agent that never wrote one has no entry.
 	Leases map[string]LongLease
-	// MostMoves bounds the slots handed over in one plan.
-	MostMoves int
+	// MaxMoves bounds the slots handed over in one plan.
+	MaxMoves int
 }
 
 // Plan is the change of the table that this agent wants now.
@@ -34,17 +34,17 @@
 	Base  uint64
 	Table Table
 	// Takes names the owners whose slots are taken over as their witness.
-	Takes []Holder
+	TakesOver []Holder
 	// Moves are the slots to hand over first, by successor.
 	Moves map[Holder][]int
 	// Why has one line for each change, for the log.
-	Why []string
+	Reasons []string
 }
 
 // planner gathers one plan.
 type planner struct {
 	guard     *Guard
-	situation Situation
+	situation PlanInput
 	plan      Plan
 	live      map[Holder]bool
 	// names are the live agents that may own slots.
@@ -55,7 +55,7 @@
 
 // Plan says what this agent wants to change in the table; false when nothing.
 // The caller freezes and exports Moves, calls Sending and only then writes.
-func (g *Guard) Plan(situation Situation) (Plan, bool) {
+func (g *Guard) Plan(situation PlanInput) (Plan, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.table.Slots) == 0 {
@@ -66,10 +66,10 @@
 	p.claim()
 	p.renewWitnesses()
 	p.move()
-	return p.plan, len(p.plan.Why) > 0
+	return p.plan, len(p.plan.Reasons) > 0
 }
 
-func newPlanner(g *Guard, situation Situation) *planner {
+func newPlanner(g *Guard, situation PlanInput) *planner {
 	p := &planner{
 		guard:     g,
 		situation: situation,
@@ -91,7 +91,7 @@
 }
 
 func (p *planner) say(format string, args ...any) {
-	p.plan.Why = append(p.plan.Why, fmt.Sprintf(format, args...))
+	p.plan.Reasons = append(p.plan.Reasons, fmt.Sprintf(format, args...))
 }
 
 // own gives a slot to this agent in a new line of owners. A slot that nobody
@@ -118,7 +118,7 @@
 				taken++
 			}
 		}
-		p.plan.Takes = append(p.plan.Takes, owner)
+		p.plan.TakesOver = append(p.plan.TakesOver, owner)
 		p.say("take over %d slots of %s as its witness", taken, owner.Agent)
 	}
 }
@@ -210,7 +210,7 @@
 		if row.Owner != p.guard.self || p.guard.isLost(number, row) || successor == p.guard.self || successor == (Holder{}) {
 			continue
 		}
-		if moved == p.situation.MostMoves {
+		if moved == p.situation.MaxMoves {
 			break
 		}
 		moved++
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -40,12 +40,12 @@
 	// At is the key's own time.
 	At time.Time
 	// Print is a hash of the request; a repeat must match it.
-	Print uint64
-	State State
+	Fingerprint uint64
+	State       State
 	// Outcome is set when State is Done.
 	Outcome Outcome
 	// Why is set when State is Reopened.
-	Why *fault.Error
+	Cause *fault.Error
 	// ended is closed when State leaves Running.
 	ended chan struct{}
 	// place is the record's element in its slot's order.
--- a/internal/once/story_test.go
+++ b/internal/once/story_test.go
@@ -49,7 +49,7 @@
 	promise := &modelPromise{owner: c.owner, witness: c.witness.guard.self, sentAt: c.owner.guard.BootNow()}
 	c.deliverPromise(promise)
 	if promise.granted {
-		c.owner.guard.Promised(promise.witness, promise.sentAt)
+		c.owner.guard.PromiseReceived(promise.witness, promise.sentAt)
 	}
 }
 
@@ -59,11 +59,11 @@
 	for _, other := range live {
 		peers = append(peers, Peer{Holder: other.guard.self})
 	}
-	plan, ok := p.guard.Plan(Situation{Peers: peers, Leases: c.leases})
+	plan, ok := p.guard.Plan(PlanInput{Peers: peers, Leases: c.leases})
 	if !ok {
 		return
 	}
-	p.guard.Sending(plan.Base, plan.Takes)
+	p.guard.BeginChange(plan.Base, plan.TakesOver)
 	if plan.Base == c.store.Version {
 		c.store = plan.Table
 		c.store.Version++
@@ -146,8 +146,8 @@
 		"an owner whose long lease ran out renews it while a claim is under way": {skipLapse, func(c *cast) {
 			c.pass(60 * time.Second)
 			c.leaseUp(c.spare)
-			claimed, _ := c.spare.guard.Plan(Situation{Peers: []Peer{{Holder: c.spare.guard.self}}, Leases: c.leases})
-			c.spare.guard.Sending(claimed.Base, nil)
+			claimed, _ := c.spare.guard.Plan(PlanInput{Peers: []Peer{{Holder: c.spare.guard.self}}, Leases: c.leases})
+			c.spare.guard.BeginChange(claimed.Base, nil)
 			c.leaseUp(c.owner)
 			c.store = claimed.Table
 			c.store.Version++
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -184,8 +184,8 @@
 		c.say("operator_key_hash", s.OperatorKeyHash, "found %d characters; want the hex SHA-256 of the key, %d characters", len(s.OperatorKeyHash), hashLength)
 	}
 	options := s.OnceOptions()
-	if options.Keep < options.Back {
-		c.say("once.keep", "", "found %v, below once.back of %v; a record must be kept as long as its key may be admitted", options.Keep, options.Back)
+	if options.Keep < options.MaxKeyAge {
+		c.say("once.keep", "", "found %v, below once.back of %v; a record must be kept as long as its key may be admitted", options.Keep, options.MaxKeyAge)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -173,8 +173,8 @@
 func (s *Settings) OnceOptions() once.Options {
 	options := once.DefaultOptions()
 	options.ClockError = orTime(s.Once.ClockError, options.ClockError)
-	options.Ahead = orTime(s.Once.Ahead, options.Ahead)
-	options.Back = orTime(s.Once.Back, options.Back)
+	options.MaxAhead = orTime(s.Once.Ahead, options.MaxAhead)
+	options.MaxKeyAge = orTime(s.Once.Back, options.MaxKeyAge)
 	options.Keep = orTime(s.Once.Keep, options.Keep)
 	options.Promise = orTime(s.Once.Promise, options.Promise)
 	options.LongLease = orTime(s.Once.LongLease, options.LongLease)
