--- a/internal/once/bench_test.go
+++ b/internal/once/bench_test.go
@@ -11,17 +11,17 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-type stillClock struct{}
+type fixedClock struct{}
 
-func (stillClock) Wall() time.Time     { return modelStart.Add(time.Minute) }
-func (stillClock) Boot() time.Duration { return time.Minute }
+func (fixedClock) Wall() time.Time     { return modelStart.Add(time.Minute) }
+func (fixedClock) Boot() time.Duration { return time.Minute }
 
-// soloGuard owns all slots by its long lease alone.
-func soloGuard() *Guard {
+// soleOwnerGuard returns a guard that owns all slots by its long lease alone, without a witness.
+func soleOwnerGuard() *Guard {
 	options := DefaultOptions()
 	options.Agent, options.Incarnation = "a", "1"
 	options.MaxRecords = 1 << 20
-	g := NewGuard(options, stillClock{})
+	g := NewGuard(options, fixedClock{})
 	g.SetLongLease(time.Minute)
 	table := NewTable(64)
 	table.Version = 1
@@ -35,13 +35,13 @@
 	return g
 }
 
-// BenchmarkRecordMemory is the memory of a recorded key with a small outcome.
+// BenchmarkRecordMemory measures the memory of a recorded key with a small outcome.
 func BenchmarkRecordMemory(b *testing.B) {
 	for _, n := range []int{10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			for b.Loop() {
-				g := soloGuard()
+				g := soleOwnerGuard()
 				runtime.GC()
 				runtime.ReadMemStats(&before)
 				for range n {
@@ -70,19 +70,19 @@
 	g.End(begun.Record, Done, outcome)
 }
 
-// BenchmarkBeginEnd is the guard's work for one keyed request.
+// BenchmarkBeginEnd measures the guard's work for one keyed request.
 func BenchmarkBeginEnd(b *testing.B) {
-	g := soloGuard()
+	g := soleOwnerGuard()
 	for b.Loop() {
 		runKey(b, g)
 	}
 }
 
-// BenchmarkPlan is a keeper's round with nothing to do.
+// BenchmarkPlan measures planning when nothing is to be changed.
 func BenchmarkPlan(b *testing.B) {
 	for _, slots := range []int{64, 1024, 4096} {
 		b.Run(fmt.Sprint(slots), func(b *testing.B) {
-			g := soloGuard()
+			g := soleOwnerGuard()
 			table := NewTable(slots)
 			table.Version = 2
 			holder := Holder{Agent: "a", Incarnation: "1"}
--- a/internal/once/handover.go
+++ b/internal/once/handover.go
@@ -6,15 +6,15 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// handed is what a successor holds of a slot before the table names it.
-type handed struct {
+// importedSlot holds what a successor has received of a slot before the table names it as owner.
+type importedSlot struct {
 	epoch   uint64
 	start   time.Time
 	records *records
 }
 
-// Freeze stops decisions in slots that are to be handed over. They thaw only
-// when a later table still names this agent, see Thaw.
+// Freeze stops decisions in slots that are to be handed over. They resume only when a later
+// table still names this agent as owner, see Unfreeze.
 func (g *Guard) Freeze(numbers []int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,12 +25,12 @@
 	}
 }
 
-// Thaw takes up frozen slots again, after a hand-over was given up and no
-// change of the table is open. It reports false while one is.
+// Unfreeze resumes frozen slots after a handover was abandoned. It returns false, and does
+// nothing, while a change of the table is open.
 func (g *Guard) Unfreeze(numbers []int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.sentOn != nil {
+	if g.openChangeBase != nil {
 		return false
 	}
 	for _, number := range numbers {
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Export writes the records of frozen slots for a successor. A key that is
-// still running goes as in doubt; Outcomes brings its end later.
+// Export returns the records of frozen slots for a successor. A key that is still running is
+// exported as in doubt; ExportOutcome sends its outcome later.
 func (g *Guard) Export(numbers []int) *wire.HandOver {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// Outcome writes one ended run for the successor that has its slot now.
+// ExportOutcome returns the outcome of a finished run for the successor that now owns its slot.
 func (g *Guard) ExportOutcome(record *Record) *wire.HandOver {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,22 +96,22 @@
 	}
 }
 
-// Import takes in records from an owner that hands over, or the outcome of a
-// run that ended after its slot had come here.
+// Import accepts records from an owner that hands slots over, or the outcome of a run that ended
+// after its slot was handed over.
 func (g *Guard) Import(message *wire.HandOver) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, slot := range message.GetSlots() {
 		number := int(slot.GetSlot())
 		if slot.GetEpoch() == 0 {
-			g.settleDoubts(number, slot)
+			g.resolveInDoubt(number, slot)
 			continue
 		}
 		imported := newRecords()
 		for _, record := range slot.GetRecords() {
 			imported.add(importRecord(record))
 		}
-		g.imports[number] = handed{
+		g.imports[number] = importedSlot{
 			epoch:   slot.GetEpoch(),
 			start:   time.UnixMilli(slot.GetStartMs()),
 			records: imported,
@@ -119,18 +119,18 @@
 	}
 }
 
-// settleDoubts turns keys in doubt into what became of them.
-func (g *Guard) settleDoubts(number int, slot *wire.SlotRecords) {
-	var held *records
+// resolveInDoubt replaces keys in doubt by their outcomes.
+func (g *Guard) resolveInDoubt(number int, slot *wire.SlotRecords) {
+	var existing *records
 	if owned, ok := g.owned[number]; ok {
-		held = owned.records
-	} else if waiting, ok := g.imports[number]; ok {
-		held = waiting.records
+		existing = owned.records
+	} else if slot, ok := g.imports[number]; ok {
+		existing = slot.records
 	} else {
 		return
 	}
 	for _, message := range slot.GetRecords() {
-		record, ok := held.byKey[message.GetKey()]
+		record, ok := existing.byKey[message.GetKey()]
 		if !ok || record.State != InDoubt {
 			continue
 		}
--- a/internal/once/bootclock.go
+++ b/internal/once/hostclock.go
@@ -9,12 +9,12 @@
 // HostClock reads the clocks of the host that the process runs on.
 type HostClock struct{}
 
-// Wall is the time of day.
+// Wall returns the time of day.
 func (HostClock) Wall() time.Time {
 	return time.Now()
 }
 
-// Boot is the time since the host started, suspensions included.
+// Boot returns the time since the host started, including suspended time.
 func (HostClock) Boot() time.Duration {
 	return clock.Boot()
 }
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Table returns the table as last applied.
+// Table returns a copy of the table that was last applied.
 func (g *Guard) Table() Table {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Clone()
 }
 
-// Apply takes in the table as read from the store, or as written by this
-// agent and confirmed. An older one is ignored.
+// Apply applies a table that was read from the store, or that this agent wrote and the store
+// confirmed. An older one is ignored.
 func (g *Guard) Apply(table Table) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -22,44 +22,44 @@
 		return
 	}
 	g.table = table.Clone()
-	if g.sentOn != nil && table.Version > *g.sentOn {
-		g.sentOn = nil
-		clear(g.taking)
+	if g.openChangeBase != nil && table.Version > *g.openChangeBase {
+		g.openChangeBase = nil
+		clear(g.takingOver)
 	}
-	g.applyOwned()
+	g.applyOwnership()
 	g.applyWitness()
 }
 
-// applyOwned begins the slots that have come and ends those that have gone.
-func (g *Guard) applyOwned() {
+// applyOwnership starts the slots that this agent now owns and drops those that it no longer owns.
+func (g *Guard) applyOwnership() {
 	for number, row := range g.table.Slots {
 		slot, have := g.owned[number]
 		mine := g.sameHolder(row.Owner, g.self)
 		switch {
 		case !mine && have:
-			g.count -= slot.records.order.Len()
+			g.recordCount -= slot.records.order.Len()
 			delete(g.owned, number)
-		case mine && (!have || slot.epoch != row.Epoch) && !g.isLost(number, row):
-			g.begin(number, row)
+		case mine && (!have || slot.epoch != row.Epoch) && !g.gaveUp(number, row):
+			g.beginEpoch(number, row)
 		}
 	}
 }
 
-// isLost says whether this agent gave up its right to a row's epoch.
-func (g *Guard) isLost(number int, row Slot) bool {
-	epoch, ok := g.lost[number]
+// gaveUp reports whether this agent gave up its right to a row's epoch.
+func (g *Guard) gaveUp(number int, row Slot) bool {
+	epoch, ok := g.lostEpochs[number]
 	return ok && epoch == row.Epoch
 }
 
-// firstEpoch is that of a slot's first owner ever.
+// firstEpoch is the epoch of a slot's first owner.
 const firstEpoch = 1
 
-// begin takes up a slot. Records handed over for this very epoch are used and
-// the old start holds; without them, nothing from before now can be vouched
-// for, whatever start the row names.
-func (g *Guard) begin(number int, row Slot) {
+// beginEpoch starts a slot. If the records for exactly this epoch were handed over, they are used
+// and the previous start remains. Without them this agent can't vouch for any key from before now,
+// whatever start the row states.
+func (g *Guard) beginEpoch(number int, row Slot) {
 	if old, ok := g.owned[number]; ok {
-		g.count -= old.records.order.Len()
+		g.recordCount -= old.records.order.Len()
 	}
 	slot := &ownedSlot{epoch: row.Epoch, records: newRecords()}
 	handed, ok := g.imports[number]
@@ -71,9 +71,9 @@
 	if ok && handed.epoch+1 == row.Epoch && handed.start.UnixMilli() == row.StartMS {
 		slot.start = handed.start
 		slot.records = handed.records
-		g.count += handed.records.order.Len()
+		g.recordCount += handed.records.order.Len()
 	} else {
-		slot.start = later(time.UnixMilli(row.StartMS), g.wall())
+		slot.start = laterTime(time.UnixMilli(row.StartMS), g.wall())
 	}
 	if g.mutation == skipImportCheck {
 		slot.start = time.UnixMilli(row.StartMS)
@@ -81,14 +81,14 @@
 	g.owned[number] = slot
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-// sameHolder compares holders; the incarnation counts.
+// sameHolder reports whether two holders are equal, incarnation included.
 func (g *Guard) sameHolder(a, b Holder) bool {
 	if g.mutation == skipIncarnation {
 		return a.Agent == b.Agent
@@ -96,9 +96,9 @@
 	return a == b
 }
 
-// applyWitness notes since when this agent is the witness of each owner. A row
-// that newly names it restarts the owner's time: until a promise's length has
-// passed, the owner may still rest on the word of the witness before.
+// applyWitness records since when this agent has been the witness of each owner. A row that newly
+// names this agent restarts the owner's time: until a promise's duration has passed, the owner may
+// still hold a promise of the previous witness.
 func (g *Guard) applyWitness() {
 	now := g.clock.Boot()
 	rows := make(map[int]Holder)
@@ -110,61 +110,60 @@
 		rows[number] = row.Owner
 		owners[row.Owner] = true
 		if before, ok := g.witnessed[number]; !ok || before != row.Owner {
-			g.since[row.Owner] = now
+			g.witnessSince[row.Owner] = now
 		}
 	}
 	g.witnessed = rows
-	for owner := range g.since {
+	for owner := range g.witnessSince {
 		if !owners[owner] {
-			delete(g.since, owner)
+			delete(g.witnessSince, owner)
 		}
 	}
 }
 
-// SetLongLease notes a long lease whose renewal was sent at a boot time and
-// has now been confirmed by the store. If the lease before had run out by then,
-// another agent may have seen it over and be taking the slots: this agent
-// gives them up and has to take them again through the table.
+// SetLongLease records that the store has confirmed a long lease whose renewal was sent at the
+// given boot time. If the previous lease had expired by then, another agent may have seen that and
+// be taking the slots. In that case this agent gives them up and must claim them again through the
+// table.
 func (g *Guard) SetLongLease(sentAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	lapsed := g.longUntil != 0 && g.clock.Boot() >= g.longUntil
-	if lapsed && g.mutation != skipLapse {
-		g.giveUp()
+	expired := g.longLeaseUntil != 0 && g.clock.Boot() >= g.longLeaseUntil
+	if expired && g.mutation != skipLapse {
+		g.dropOwned()
 	}
-	g.longUntil = max(g.longUntil, sentAt+shorter(g.options.LongLease))
+	g.longLeaseUntil = max(g.longLeaseUntil, sentAt+minusDrift(g.options.LongLease))
 }
 
-// GiveUp drops all owned slots until the table names this agent anew.
+// GiveUp drops all owned slots until the table names this agent in a new epoch.
 func (g *Guard) GiveUp() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.giveUp()
+	g.dropOwned()
 }
 
-// giveUp drops all owned slots until the table names this agent anew.
-func (g *Guard) giveUp() {
+// dropOwned drops all owned slots until the table names this agent in a new epoch; g.mu is held.
+func (g *Guard) dropOwned() {
 	for number, slot := range g.owned {
-		g.lost[number] = slot.epoch
-		g.count -= slot.records.order.Len()
+		g.lostEpochs[number] = slot.epoch
+		g.recordCount -= slot.records.order.Len()
 		delete(g.owned, number)
 	}
 }
 
-// BootNow reads the boot clock, for the times of requests sent.
+// BootNow returns the boot clock's reading, to note when a request was sent.
 func (g *Guard) BootNow() time.Duration {
 	return g.clock.Boot()
 }
 
-// NewLongLease is the value to write for a long lease renewed now.
+// NewLongLease returns the value to write for a long lease that is renewed now.
 func (g *Guard) NewLongLease() LongLease {
 	until := g.clock.Wall().Add(g.options.LongLease)
 	return LongLease{Incarnation: g.self.Incarnation, UntilMS: until.UnixMilli()}
 }
 
-// leaseOver says whether another agent's long lease has surely ended; g.mu is
-// held.
-func (g *Guard) leaseOver(lease LongLease) bool {
+// leaseExpired reports whether another agent's long lease has certainly expired; g.mu is held.
+func (g *Guard) leaseExpired(lease LongLease) bool {
 	if g.mutation == skipLongLease {
 		return true
 	}
@@ -172,7 +171,7 @@
 	return g.clock.Wall().After(until.Add(2 * g.options.ClockError))
 }
 
-// Witnesses lists the witnesses whose promises this agent needs.
+// Witnesses returns the witnesses whose promises this agent needs.
 func (g *Guard) Witnesses() []Holder {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -188,69 +187,68 @@
 	return witnesses
 }
 
-// Promised takes in a promise whose request was sent at a boot time. It is
-// ignored while a change of the table that this agent has sent is unsettled,
-// because the witness may no longer be the one whose word counts.
+// PromiseReceived records a promise whose request was sent at the given boot time. It is ignored
+// while a change of the table that this agent sent is open, because the sender may no longer be
+// the witness.
 func (g *Guard) PromiseReceived(witness Holder, sentAt time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.sentOn != nil && g.mutation != skipUnsettled {
+	if g.openChangeBase != nil && g.mutation != skipUnsettled {
 		return
 	}
-	until := sentAt + shorter(g.options.Promise)
-	g.promises[witness] = max(g.promises[witness], until)
+	until := sentAt + minusDrift(g.options.Promise)
+	g.promisesReceived[witness] = max(g.promisesReceived[witness], until)
 }
 
-// GrantPromise answers an owner's request as its witness. It is refused when
-// this agent is not the owner's witness by the table it holds, and once a
-// take-over has been sent.
+// GrantPromise answers an owner's request to its witness. It refuses if this agent is not the
+// owner's witness by the table it holds, or once this agent has sent a change that takes over from
+// the owner.
 func (g *Guard) GrantPromise(owner, witness Holder) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if witness != g.self {
 		return false
 	}
-	if _, ok := g.since[owner]; !ok || g.taking[owner] {
+	if _, ok := g.witnessSince[owner]; !ok || g.takingOver[owner] {
 		return false
 	}
-	g.given[owner] = g.clock.Boot() + longer(g.options.Promise)
+	g.promisesGiven[owner] = g.clock.Boot() + plusDrift(g.options.Promise)
 	return true
 }
 
-// Sending must be called before a changed table is sent to the store, with
-// the owners that it takes over. Until a table later than the one it changes
-// has been read, the change may still take effect: promises are neither used
-// nor given to these owners.
+// BeginChange must be called before a changed table is sent to the store, with the owners from
+// whom it takes slots over. Until a table later than the base version has been read, the change
+// may still take effect, so that promises are neither used nor granted to these owners.
 func (g *Guard) BeginChange(base uint64, takes []Holder) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.sentOn = &base
+	g.openChangeBase = &base
 	for _, owner := range takes {
-		g.taking[owner] = true
+		g.takingOver[owner] = true
 	}
 }
 
-// lapsed lists the owners whose slots this agent, as their witness, may take
-// over: all promises given have run out, also those that a witness before it
-// may have given. g.mu is held.
-func (g *Guard) lapsed() []Holder {
+// expiredOwners returns the owners whose slots this agent may take over as their witness: all
+// promises granted to them have expired, including those that a previous witness may have granted.
+// g.mu is held.
+func (g *Guard) expiredOwners() []Holder {
 	now := g.clock.Boot()
-	var lapsed []Holder
-	for owner, since := range g.since {
-		free := now > g.given[owner]+grace || g.mutation == skipWitnessWait
-		waited := now > since+longer(g.options.Promise)+grace || g.mutation == skipSince
-		if free && waited {
-			lapsed = append(lapsed, owner)
+	var expired []Holder
+	for owner, since := range g.witnessSince {
+		promiseEnded := now > g.promisesGiven[owner]+renewalGrace || g.mutation == skipWitnessWait
+		witnessedLongEnough := now > since+plusDrift(g.options.Promise)+renewalGrace || g.mutation == skipSince
+		if promiseEnded && witnessedLongEnough {
+			expired = append(expired, owner)
 		}
 	}
-	slices.SortFunc(lapsed, compareHolders)
-	return lapsed
+	slices.SortFunc(expired, compareHolders)
+	return expired
 }
 
 func compareHolders(a, b Holder) int {
 	return cmp.Or(cmp.Compare(a.Agent, b.Agent), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
-// grace gives an owner a little time beyond its promise to renew it, so that
-// a late message does not cost a change of owner.
-const grace = time.Second
+// renewalGrace gives an owner some time beyond the end of its promise to renew it, so that a late
+// message does not cause a change of owner.
+const renewalGrace = time.Second
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -7,43 +7,43 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// chooser picks among n possibilities; rapid or a seeded source stands behind.
+// chooser picks one of n possibilities, from rapid or from a seeded random source.
 type chooser interface {
 	Pick(n int, label string) int
 }
 
-// world is the model: hosts with wrong clocks, a store whose answers are lost
-// or late, messages that are late or lost, processes that pause anywhere.
+// world is the model: hosts with wrong clocks, a store whose answers are lost or late, messages
+// that are late or lost, and processes that pause at any point.
 type world struct {
 	choose   chooser
 	options  Options
 	mutation mutation
 	now      time.Duration
 	hosts    []*modelHost
-	// store is the table's newest version and leases are by agent.
+	// store is the latest version of the table, and leases holds the long leases by agent.
 	store    Table
 	leases   map[string]LongLease
 	writes   []*modelWrite
 	promises []*modelPromise
 	runs     []modelRun
 	keys     []modelKey
-	// log is what the target did, by key.
-	log map[string]int
-	// notRun are keys of which a caller was told that they did not run.
-	notRun map[string]bool
-	busy   *modelProcess
-	nested bool
-	trace  []string
+	// runCounts holds how often the target ran each key.
+	runCounts map[string]int
+	// notRun holds the keys that a caller was told did not run.
+	notRun   map[string]bool
+	deciding *modelProcess
+	nested   bool
+	trace    []string
 }
 
 type modelHost struct {
 	name string
-	// wrong is the error of the wall clock.
-	wrong time.Duration
-	// bootOrigin is where the boot clock began; another on each host.
+	// clockError is the error of the wall clock.
+	clockError time.Duration
+	// bootOrigin is the start of the boot clock; it differs between hosts.
 	bootOrigin time.Duration
-	// processes are all incarnations; the last is current, the others are
-	// paused and may wake.
+	// processes are all incarnations. The last one is current; the others are paused and may
+	// resume.
 	processes []*modelProcess
 }
 
@@ -51,7 +51,7 @@
 	world *world
 	host  *modelHost
 	guard *Guard
-	// onWall, when set, runs before each reading of the wall clock.
+	// onWall, if set, runs before each reading of the wall clock.
 	onWall func()
 }
 
@@ -80,30 +80,30 @@
 
 var modelStart = time.UnixMilli(1_700_000_000_000)
 
-// Wall is the host's wrong clock; a pause may come right before it is read.
+// Wall returns the host's wrong clock. The process may pause right before it is read.
 func (p *modelProcess) Wall() time.Time {
 	p.pause()
 	if p.onWall != nil {
 		p.onWall()
 	}
-	return modelStart.Add(p.world.now + p.host.wrong)
+	return modelStart.Add(p.world.now + p.host.clockError)
 }
 
-// Boot counts true time, from another origin on each host.
+// Boot returns true time, with a different origin on each host.
 func (p *modelProcess) Boot() time.Duration {
 	p.pause()
 	return p.world.now + p.host.bootOrigin
 }
 
-// pause lets other processes act while this one stands inside a decision.
+// pause lets other processes act while this one is in the middle of a decision.
 func (p *modelProcess) pause() {
 	w := p.world
-	if w.busy != p || w.nested || w.choose.Pick(12, "pause") != 0 {
+	if w.deciding != p || w.nested || w.choose.Pick(12, "pause") != 0 {
 		return
 	}
 	w.nested = true
 	defer func() { w.nested = false }()
-	w.say("%s pauses inside a decision", p.name())
+	w.tracef("%s pauses during a decision", p.name())
 	for range 14 {
 		w.action()
 	}
@@ -129,34 +129,34 @@
 
 func newWorld(choose chooser, mutation mutation) *world {
 	w := &world{
-		choose:   choose,
-		options:  modelOptions(),
-		mutation: mutation,
-		leases:   make(map[string]LongLease),
-		log:      make(map[string]int),
-		notRun:   make(map[string]bool),
+		choose:    choose,
+		options:   modelOptions(),
+		mutation:  mutation,
+		leases:    make(map[string]LongLease),
+		runCounts: make(map[string]int),
+		notRun:    make(map[string]bool),
 	}
 	w.store = NewTable(modelSlots)
 	w.store.Version = 1
 	for i := range modelHosts {
 		span := int64(2 * w.options.ClockError / time.Millisecond)
-		off := time.Duration(choose.Pick(int(span)+1, "clock error")) * time.Millisecond
-		host := &modelHost{name: fmt.Sprintf("h%d", i), wrong: off - w.options.ClockError, bootOrigin: time.Duration(i+1) * time.Hour}
+		offset := time.Duration(choose.Pick(int(span)+1, "clock error")) * time.Millisecond
+		host := &modelHost{name: fmt.Sprintf("h%d", i), clockError: offset - w.options.ClockError, bootOrigin: time.Duration(i+1) * time.Hour}
 		w.hosts = append(w.hosts, host)
 		w.start(host)
 	}
 	for _, host := range w.hosts {
 		p := host.current()
-		w.leaseUp(p)
+		w.renewLease(p)
 		p.guard.Apply(w.store)
 		w.plan(p)
-		w.settleWrite(0, true)
+		w.resolveWrite(0, true)
 		p.guard.Apply(w.store)
 	}
 	return w
 }
 
-func (w *world) say(format string, args ...any) {
+func (w *world) tracef(format string, args ...any) {
 	line := fmt.Sprintf("%8.3fs ", w.now.Seconds()) + fmt.Sprintf(format, args...)
 	w.trace = append(w.trace, line)
 }
@@ -173,11 +173,10 @@
 	p.guard = NewGuard(options, p)
 	p.guard.mutation = w.mutation
 	host.processes = append(host.processes, p)
-	w.say("%s starts", p.name())
+	w.tracef("%s starts", p.name())
 }
 
-// anyProcess picks a process; mostly a current one, now and then one that was
-// thought dead.
+// anyProcess picks a process: mostly a current one, sometimes an old one that was assumed dead.
 func (w *world) anyProcess() *modelProcess {
 	host := w.hosts[w.choose.Pick(len(w.hosts), "host")]
 	p := host.current()
@@ -187,25 +186,27 @@
 	return p
 }
 
-func (w *world) freeProcess() *modelProcess {
+// idleProcess picks a process like anyProcess, or returns nil if that one is in the middle of a
+// decision.
+func (w *world) idleProcess() *modelProcess {
 	p := w.anyProcess()
-	if w.nested && p == w.busy {
+	if w.nested && p == w.deciding {
 		return nil
 	}
 	return p
 }
 
-// action is one step of the world.
+// action performs one random step of the model.
 func (w *world) action() {
-	p := w.freeProcess()
+	p := w.idleProcess()
 	if p == nil {
 		return
 	}
 	switch w.choose.Pick(30, "action") {
 	case 0, 1, 2:
-		w.pass(time.Duration(w.choose.Pick(1500, "ms")) * time.Millisecond)
+		w.advance(time.Duration(w.choose.Pick(1500, "ms")) * time.Millisecond)
 	case 3:
-		w.pass(time.Duration(1+w.choose.Pick(6, "s")) * time.Second)
+		w.advance(time.Duration(1+w.choose.Pick(6, "s")) * time.Second)
 	case 4, 5, 6:
 		w.newKey()
 		w.submit(p, w.keys[len(w.keys)-1])
@@ -224,23 +225,23 @@
 	case 15:
 		w.plan(p)
 	case 16, 17:
-		w.settleWrite(w.choose.Pick(max(1, len(w.writes)), "write"), w.choose.Pick(4, "kept") != 0)
+		w.resolveWrite(w.choose.Pick(max(1, len(w.writes)), "write"), w.choose.Pick(4, "kept") != 0)
 	case 18, 19:
-		w.askPromises(p)
+		w.requestPromises(p)
 	case 20:
-		w.stepPromise()
+		w.advancePromise()
 	case 21:
-		w.rare(p)
+		w.rareEvent(p)
 	default:
-		w.healthy(p)
+		w.healthyRound(p)
 	}
 }
 
-// healthy is a round in which nothing goes wrong for one process.
-func (w *world) healthy(p *modelProcess) {
-	w.pass(time.Duration(w.choose.Pick(800, "round")) * time.Millisecond)
+// healthyRound is a round of one process in which nothing goes wrong.
+func (w *world) healthyRound(p *modelProcess) {
+	w.advance(time.Duration(w.choose.Pick(800, "round")) * time.Millisecond)
 	p.guard.Apply(w.store)
-	w.leaseUp(p)
+	w.renewLease(p)
 	for _, witness := range p.guard.Witnesses() {
 		promise := &modelPromise{owner: p, witness: witness, sentAt: p.guard.BootNow()}
 		if w.deliverPromise(promise); promise.granted {
@@ -249,21 +250,22 @@
 	}
 }
 
-func (w *world) rare(p *modelProcess) {
+// rareEvent restarts a process, renews a lease, drops old records or lets all long leases expire.
+func (w *world) rareEvent(p *modelProcess) {
 	switch w.choose.Pick(4, "rare") {
 	case 0:
 		w.start(p.host)
-		w.leaseUp(p.host.current())
+		w.renewLease(p.host.current())
 	case 1:
-		w.leaseUp(p)
+		w.renewLease(p)
 	case 2:
 		p.guard.Forget()
 	case 3:
-		w.pass(w.options.LongLease)
+		w.advance(w.options.LongLease)
 	}
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *world) advance(d time.Duration) {
 	w.now += d
 }
 
@@ -273,24 +275,24 @@
 	return w.keys[len(w.keys)-1-back]
 }
 
-// newKey makes a key whose time may be wrong by up to 8 s either way.
+// newKey adds a key whose time is wrong by up to 8 s in either direction.
 func (w *world) newKey() {
-	wrong := time.Duration(w.choose.Pick(16_000, "key time")-8_000) * time.Millisecond
+	offset := time.Duration(w.choose.Pick(16_000, "key time")-8_000) * time.Millisecond
 	name := fmt.Sprintf("w/k%d", len(w.keys))
-	w.keys = append(w.keys, modelKey{name: name, at: modelStart.Add(w.now + wrong)})
+	w.keys = append(w.keys, modelKey{name: name, at: modelStart.Add(w.now + offset)})
 }
 
 func (w *world) submit(p *modelProcess, key modelKey) {
-	outer := w.busy
+	outer := w.deciding
 	if !w.nested {
-		w.busy = p
+		w.deciding = p
 	}
 	begun, refusal := p.guard.Begin(key.name, key.at, 1)
-	w.busy = outer
+	w.deciding = outer
 	if refusal != nil || !begun.Run {
 		return
 	}
-	w.say("%s admits %s", p.name(), key.name)
+	w.tracef("%s admits %s", p.name(), key.name)
 	w.runs = append(w.runs, modelRun{process: p, record: begun.Record})
 }
 
@@ -301,7 +303,7 @@
 	}
 	if state, _ := p.guard.Snapshot(record); state == Closed {
 		w.notRun[key.name] = true
-		w.say("%s says %s did not run", p.name(), key.name)
+		w.tracef("%s reports %s as not run", p.name(), key.name)
 	}
 }
 
@@ -311,20 +313,20 @@
 	}
 	i := w.choose.Pick(len(w.runs), "run")
 	run := w.runs[i]
-	if w.nested && run.process == w.busy {
+	if w.nested && run.process == w.deciding {
 		return
 	}
 	w.runs = append(w.runs[:i], w.runs[i+1:]...)
-	w.log[run.record.Key]++
-	w.say("target runs %s for %s", run.record.Key, run.process.name())
+	w.runCounts[run.record.Key]++
+	w.tracef("target runs %s for %s", run.record.Key, run.process.name())
 	run.process.guard.End(run.record, Done, Outcome{})
 }
 
-// plan does what the agent's loop does, up to the write; the write itself and
-// its answer come later, or never.
+// plan does what the agent's loop does up to the write. The write and its answer come later, or
+// never.
 func (w *world) plan(p *modelProcess) {
 	peers := make([]Peer, 0, len(w.hosts))
-	// A process only knows which incarnations were live a while ago.
+	// A process only knows which incarnations were live some time ago.
 	for _, host := range w.hosts {
 		if host == p.host || w.choose.Pick(4, "seen") != 0 {
 			peers = append(peers, Peer{Holder: host.current().guard.self, Leaving: w.choose.Pick(6, "leaving") == 0})
@@ -342,39 +344,39 @@
 		}
 	}
 	p.guard.BeginChange(plan.Base, plan.TakesOver)
-	w.say("%s sends table on %d: %v", p.name(), plan.Base, plan.Reasons)
+	w.tracef("%s sends a table based on version %d: %v", p.name(), plan.Base, plan.Reasons)
 	w.writes = append(w.writes, &modelWrite{process: p, base: plan.Base, table: plan.Table})
 }
 
 func (w *world) deliverImport(to Holder, message *wire.HandOver) {
 	for _, host := range w.hosts {
 		for _, p := range host.processes {
-			if p.guard.self == to && (!w.nested || p != w.busy) {
+			if p.guard.self == to && (!w.nested || p != w.deciding) {
 				p.guard.Import(message)
 			}
 		}
 	}
 }
 
-// settleWrite lets one write reach the store, or drops it; its answer is
-// never used: agents learn by reading.
-func (w *world) settleWrite(i int, kept bool) {
+// resolveWrite lets one write reach the store, or drops it. The answer is never used: agents learn
+// of changes by reading.
+func (w *world) resolveWrite(i int, stored bool) {
 	if len(w.writes) == 0 {
 		return
 	}
 	write := w.writes[i]
 	w.writes = append(w.writes[:i], w.writes[i+1:]...)
-	if !kept || write.base != w.store.Version {
+	if !stored || write.base != w.store.Version {
 		return
 	}
 	version := w.store.Version + 1
 	w.store = write.table.Clone()
 	w.store.Version = version
-	w.say("store takes version %d", version)
+	w.tracef("the store is at version %d", version)
 }
 
-func (w *world) leaseUp(p *modelProcess) {
-	if w.nested && p == w.busy {
+func (w *world) renewLease(p *modelProcess) {
+	if w.nested && p == w.deciding {
 		return
 	}
 	sent := p.guard.BootNow()
@@ -382,25 +384,25 @@
 	p.guard.SetLongLease(sent)
 }
 
-func (w *world) askPromises(p *modelProcess) {
+func (w *world) requestPromises(p *modelProcess) {
 	for _, witness := range p.guard.Witnesses() {
 		w.promises = append(w.promises, &modelPromise{owner: p, witness: witness, sentAt: p.guard.BootNow()})
 	}
 	for range len(w.promises) {
 		if w.choose.Pick(3, "at once") != 0 {
-			w.stepPromise()
+			w.advancePromise()
 		}
 	}
 }
 
-// stepPromise moves one promise on: to the witness, then back, or loses it.
-func (w *world) stepPromise() {
+// advancePromise moves one promise on: to the witness, then back to the owner, or loses it.
+func (w *world) advancePromise() {
 	if len(w.promises) == 0 {
 		return
 	}
 	i := w.choose.Pick(len(w.promises), "promise")
 	promise := w.promises[i]
-	if w.nested && promise.owner == w.busy {
+	if w.nested && promise.owner == w.deciding {
 		return
 	}
 	if promise.granted || w.choose.Pick(8, "lost") == 0 {
@@ -416,28 +418,28 @@
 func (w *world) deliverPromise(promise *modelPromise) {
 	for _, host := range w.hosts {
 		for _, p := range host.processes {
-			if p.guard.self == promise.witness && (!w.nested || p != w.busy) {
+			if p.guard.self == promise.witness && (!w.nested || p != w.deciding) {
 				promise.granted = p.guard.GrantPromise(promise.owner.guard.self, promise.witness)
 			}
 		}
 	}
 }
 
-// violation names what must never be seen; empty when all holds.
+// violation describes a broken guarantee; empty if there is none.
 func (w *world) violation() string {
-	for key, count := range w.log {
+	for key, count := range w.runCounts {
 		if count > 1 {
 			return fmt.Sprintf("key %s ran %d times", key, count)
 		}
 		if w.notRun[key] {
-			return fmt.Sprintf("key %s ran although a caller was told that it did not", key)
+			return fmt.Sprintf("key %s ran after a caller was told that it did not", key)
 		}
 	}
 	return ""
 }
 
-// play runs the world for a number of steps and ends all open runs.
-func play(choose chooser, mutation mutation, steps int) (*world, string) {
+// runModel runs a model for a number of steps and then ends all open runs.
+func runModel(choose chooser, mutation mutation, steps int) (*world, string) {
 	w := newWorld(choose, mutation)
 	for range steps {
 		w.action()
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -31,38 +31,38 @@
 
 const modelSteps = 250
 
-func TestAtMostOnceHolds(t *testing.T) {
+// No key runs twice, and no key runs that was reported as not run.
+func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w, broken := play(rapidChooser{rt}, noMutation, modelSteps)
+		w, broken := runModel(rapidChooser{rt}, noMutation, modelSteps)
 		if broken != "" {
 			rt.Fatalf("%s\n%s", broken, strings.Join(w.trace, "\n"))
 		}
 	})
 }
 
-// TestAtMostOnceHoldsSeeded covers many more worlds than rapid can draw.
-func TestAtMostOnceHoldsSeeded(t *testing.T) {
+// Runs many more models than rapid can draw in the same time.
+func TestAtMostOnceManySeeds(t *testing.T) {
 	worlds := 4000
 	if testing.Short() {
 		worlds = 400
 	}
 	ran, settled := 0, 0
 	for seed := range worlds {
-		w, broken := play(newSeeded(uint64(seed)), noMutation, modelSteps)
+		w, broken := runModel(newSeeded(uint64(seed)), noMutation, modelSteps)
 		if broken != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, broken, strings.Join(w.trace, "\n"))
 		}
-		ran += len(w.log)
+		ran += len(w.runCounts)
 		settled += len(w.notRun)
 	}
 	is := is.New(t)
-	is.True(ran > worlds)       // the worlds must not be idle
-	is.True(settled > worlds/8) // nor without settled keys
-	t.Logf("%d worlds, %d keys ran, %d settled as not run", worlds, ran, settled)
+	is.True(ran > worlds)       // the models must run keys
+	is.True(settled > worlds/8) // and settle some as not run
+	t.Logf("%d models, %d keys ran, %d settled as not run", worlds, ran, settled)
 }
 
-// TestEachGuardIsNeeded takes out one guard at a time; a world must be found
-// in which a promise is then broken.
+// Each check is disabled in turn; some model must then break a guarantee.
 func TestEachGuardIsNeeded(t *testing.T) {
 	tests := map[string]mutation{
 		"promise":      skipPromise,
@@ -75,17 +75,17 @@
 		"incarnation":  skipIncarnation,
 		"long lease":   skipLongLease,
 	}
-	const mostWorlds = 6000
+	const maxWorlds = 6000
 	for name, guard := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(mostWorlds) {
-				if _, broken := play(newSeeded(seed), guard, modelSteps); broken != "" {
+			for seed := range uint64(maxWorlds) {
+				if _, broken := runModel(newSeeded(seed), guard, modelSteps); broken != "" {
 					t.Logf("seed %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Fatalf("no world of %d shows that this guard is needed", mostWorlds)
+			t.Fatalf("none of %d models fails without this check", maxWorlds)
 		})
 	}
 }
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -8,38 +8,38 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// State is what became of a key.
+// State is the state of a key.
 type State uint32
 
-// The states of a key; an absent record means that it was never admitted.
+// The states of a key. A key without a record was never admitted.
 const (
-	// Running: admitted, and its run has not ended.
+	// Running means that the key was admitted and its run has not ended.
 	Running State = iota + 1
-	// Done: it ran and the outcome is known.
+	// Done means that the key ran and its outcome is known.
 	Done
-	// InDoubt: it was sent to the target and the outcome is lost.
+	// InDoubt means that the request was sent to the target and its outcome is lost.
 	InDoubt
-	// Closed: it never ran and never will.
+	// Closed means that the key never ran and never will.
 	Closed
-	// Reopened: this run was given up before it reached the target, and the
-	// key is open again. Only waiters see it.
+	// Reopened means that this run was abandoned before it reached the target and that the key may
+	// run again. Only waiters see it.
 	Reopened
 )
 
-// Outcome is the recorded answer of a run.
+// Outcome is the recorded response of a run.
 type Outcome struct {
 	Head *wire.Head
 	Body []byte
-	// Trimmed says that the body was too large to keep.
+	// Trimmed means that the body was too large to keep.
 	Trimmed bool
 }
 
-// Record is what an owner remembers of one key.
+// Record is what an owner keeps of one key.
 type Record struct {
 	Key string
 	// At is the key's own time.
 	At time.Time
-	// Print is a hash of the request; a repeat must match it.
+	// Fingerprint is a hash of the request; a repeated request must match it.
 	Fingerprint uint64
 	State       State
 	// Outcome is set when State is Done.
@@ -48,11 +48,11 @@
 	Cause *fault.Error
 	// ended is closed when State leaves Running.
 	ended chan struct{}
-	// place is the record's element in its slot's order.
-	place *list.Element
+	// element is the record's element in the order of its slot's records.
+	element *list.Element
 }
 
-// records holds one slot's records, oldest first seen first.
+// records holds one slot's records in the order in which they were first seen.
 type records struct {
 	byKey map[string]*Record
 	order *list.List
@@ -66,7 +66,7 @@
 
 func (r *records) add(record *Record) {
 	record.ended = make(chan struct{})
-	record.place = r.order.PushBack(record)
+	record.element = r.order.PushBack(record)
 	r.byKey[record.Key] = record
 	if record.State == Running {
 		r.running++
@@ -75,7 +75,7 @@
 	close(record.ended)
 }
 
-func (r *records) end(record *Record, state State, outcome Outcome) {
+func (r *records) finish(record *Record, state State, outcome Outcome) {
 	record.State = state
 	record.Outcome = outcome
 	r.running--
@@ -83,14 +83,14 @@
 }
 
 func (r *records) remove(record *Record) {
-	r.order.Remove(record.place)
+	r.order.Remove(record.element)
 	delete(r.byKey, record.Key)
 }
 
-// forget drops records whose key can no longer be admitted and whose outcome
-// need not be kept; it returns how many went.
+// forget drops records whose key can no longer be admitted and whose outcome need not be kept. It
+// returns how many it dropped.
 func (r *records) forget(before time.Time) int {
-	gone := 0
+	removed := 0
 	for element := r.order.Front(); element != nil; {
 		next := element.Next()
 		record := element.Value.(*Record)
@@ -99,9 +99,9 @@
 		}
 		if record.State != Running {
 			r.remove(record)
-			gone++
+			removed++
 		}
 		element = next
 	}
-	return gone
+	return removed
 }
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Holder is one incarnation of an agent; the zero value is nobody.
+// Holder is one incarnation of an agent; the zero value means no holder.
 type Holder struct {
 	Agent       string `json:"agent,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
@@ -15,30 +15,30 @@
 // Slot is one row of the slot table.
 type Slot struct {
 	Owner Holder `json:"owner"`
-	// Witness is zero when the owner has none; the owner's right then rests
-	// on its long lease alone.
+	// Witness is zero when the owner has no witness; the owner's right then depends on its long
+	// lease alone.
 	Witness Holder `json:"witness"`
-	// Epoch rises with each change of owner.
+	// Epoch increases with each change of owner.
 	Epoch uint64 `json:"epoch"`
-	// StartMS is the wall time, in ms, at which the line of owners that
-	// share records began: keys not surely later are in doubt. It is zero in
-	// a line that began with the slot's first owner.
+	// StartMS is the wall time, in ms, from which the records of the slot are complete, because
+	// each owner since then passed them to the next. Keys that may be older are in doubt. It is
+	// zero if the records go back to the slot's first owner.
 	StartMS int64 `json:"start_ms"`
 }
 
-// Table is the slot table of one service, one value in the store.
+// Table is the slot table of one service, stored as one value.
 type Table struct {
-	// Version is the store's version of the value; zero when there is none.
+	// Version is the store's version of the value; zero if there is none.
 	Version uint64 `json:"-"`
 	Slots   []Slot `json:"slots"`
 }
 
-// NewTable returns a table of n slots that nobody owns.
+// NewTable returns a table of n slots without owners.
 func NewTable(n int) Table {
 	return Table{Slots: make([]Slot, n)}
 }
 
-// ParseTable reads a table as stored.
+// ParseTable decodes a table as stored.
 func ParseTable(data []byte, version uint64) (Table, error) {
 	var table Table
 	if err := json.Unmarshal(data, &table); err != nil {
@@ -51,20 +51,20 @@
 	return table, nil
 }
 
-// Encode writes the table as stored.
+// Encode encodes the table as stored.
 func (t *Table) Encode() ([]byte, error) {
 	data, err := json.Marshal(t)
 	return data, errors.Wrap(err, "write slot table")
 }
 
-// Clone copies the table.
+// Clone returns a copy of the table.
 func (t *Table) Clone() Table {
 	return Table{Version: t.Version, Slots: append([]Slot(nil), t.Slots...)}
 }
 
-// LongLease is what an agent writes in the store every few minutes.
+// LongLease is the value that an agent writes to the store every few minutes.
 type LongLease struct {
 	Incarnation string `json:"incarnation"`
-	// UntilMS is the holder's wall time, in ms, at which the lease ends.
+	// UntilMS is the time, in ms on the holder's wall clock, at which the lease ends.
 	UntilMS int64 `json:"until_ms"`
 }
