--- a/internal/crashstore/saver.go
+++ b/internal/crashstore/saver.go
@@ -37,14 +37,14 @@
 }
 
 // Turn is what a gateway is to save.
-type Turn int
+type Scope int
 
 const (
 	// Nothing where it hears all others, or hears another one that saves.
-	Nothing Turn = iota
+	Nothing Scope = iota
 	// Spread is what all gateways are to know: requests with several ends, and those that were
 	// cleared. The gateways that hear each other know of all of them.
-	Spread
+	OnlySuspicious
 	// All is every record: where only a few gateways hear each other, each has them.
 	All
 )
@@ -56,9 +56,9 @@
 	Table   *quarantine.Table
 	Store   Store
 	// Turn says what this process is to save now.
-	Turn func() Turn
+	Scope func() Scope
 	// Called is notified of each call to the store.
-	Called func(err error)
+	OnCall func(err error)
 }
 
 // Saver saves what is new while it is this process's turn. Another goroutine than its own
@@ -106,7 +106,7 @@
 	if s.options.Table.Empty() {
 		return
 	}
-	turn := s.options.Turn()
+	turn := s.options.Scope()
 	if turn == Nothing {
 		// With the next turn all is saved again: the store may have dropped it by then.
 		s.looked, s.saved, s.prints = 0, nil, nil
@@ -119,14 +119,14 @@
 	records := s.choose(turn)
 	data, err := quarantine.Encode(records)
 	if err != nil {
-		s.options.Called(err)
+		s.options.OnCall(err)
 		return
 	}
 	if !bytes.Equal(data, s.saved) {
 		callCtx, cancel := context.WithTimeout(ctx, saveTimeout)
 		defer cancel()
 		err = s.options.Store.SaveCrashes(callCtx, s.options.Gateway, data)
-		s.options.Called(err)
+		s.options.OnCall(err)
 	}
 	if err == nil {
 		s.looked, s.saved, s.prints = changes, data, printsOf(records)
@@ -135,7 +135,7 @@
 
 // choose gives the records that are to be saved. One that was saved stays among them: it may
 // have been cleared since.
-func (s *Saver) choose(turn Turn) []quarantine.Record {
+func (s *Saver) choose(turn Scope) []quarantine.Record {
 	records := slices.DeleteFunc(s.options.Table.Records(clock.Now()), func(record quarantine.Record) bool {
 		wanted := record.Suspicious() || turn == All && len(record.Lives) > 0
 		return !wanted && !s.prints[record.Print]
--- a/internal/crashstore/saver_test.go
+++ b/internal/crashstore/saver_test.go
@@ -38,7 +38,7 @@
 	saver *Saver
 	table *quarantine.Table
 	store *memoryStore
-	turn  Turn
+	turn  Scope
 	calls []error
 }
 
@@ -48,8 +48,8 @@
 		Gateway: "gateway",
 		Table:   w.table,
 		Store:   w.store,
-		Turn:    func() Turn { return w.turn },
-		Called:  func(err error) { w.calls = append(w.calls, err) },
+		Scope:   func() Scope { return w.turn },
+		OnCall:  func(err error) { w.calls = append(w.calls, err) },
 	})
 	return w
 }
@@ -71,11 +71,11 @@
 // TestWhatIsSaved: a process saves what its turn asks for, and nothing while all are heard.
 func TestWhatIsSaved(t *testing.T) {
 	cases := map[string]struct {
-		turn Turn
+		turn Scope
 		want map[quarantine.Fingerprint]int
 	}{
 		"all are heard":              {Nothing, map[quarantine.Fingerprint]int{}},
-		"many hear each other":       {Spread, map[quarantine.Fingerprint]int{twice: 2}},
+		"many hear each other":       {OnlySuspicious, map[quarantine.Fingerprint]int{twice: 2}},
 		"only a few hear each other": {All, map[quarantine.Fingerprint]int{once: 1, twice: 2}},
 	}
 	for name, test := range cases {
@@ -105,7 +105,7 @@
 func TestAClearIsSaved(t *testing.T) {
 	is := is.New(t)
 	w := newWorld()
-	w.turn = Spread
+	w.turn = OnlySuspicious
 	w.crash(twice, 1)
 	w.crash(twice, 2)
 	w.saver.save(t.Context())
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	w := newWorld()
 	w.crash(once, 1)
-	for _, turn := range []Turn{All, Nothing, All} {
+	for _, turn := range []Scope{All, Nothing, All} {
 		w.turn = turn
 		w.saver.save(t.Context())
 	}
--- a/internal/process/gateway_crashes.go
+++ b/internal/process/gateway_crashes.go
@@ -15,15 +15,15 @@
 		Gateway: p.settings.ID,
 		Table:   p.crashes.Table,
 		Store:   p.feed,
-		Turn:    p.crashTurn,
-		Called:  func(err error) { p.store.Called("crashes", err) },
+		Scope:   p.crashTurn,
+		OnCall:  func(err error) { p.store.Called("crashes", err) },
 	}))
 }
 
 // crashTurn is what this process is to save of crashes. A gateway that is not heard may be
 // cut off from this one alone. Of those that hear each other one saves: the first that asks
 // the store.
-func (p *GatewayProcess) crashTurn() crashstore.Turn {
+func (p *GatewayProcess) crashTurn() crashstore.Scope {
 	census := p.peers.Census()
 	switch {
 	case census.Silent == 0 || !p.peers.First():
@@ -32,5 +32,5 @@
 		// Each of so few keeps track of every request.
 		return crashstore.All
 	}
-	return crashstore.Spread
+	return crashstore.OnlySuspicious
 }
