--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,8 +1,8 @@
-// Package checkpoint keeps in the store what gateways that all begin anew
-// together need: where parts of prompts are cached, and the targets, whose own
-// entries may have lapsed while the store was away. The checkpoint is advice: a
-// wrong or old one costs reads or an attempt that its target turns away, never
-// a promise, so it is written without a condition and the last writer wins.
+// Package checkpoint saves in the store what gateways need when all of them restart at the same
+// time: where parts of prompts are cached, and the targets, whose own entries may have expired
+// while the store was unreachable. The checkpoint is only a hint. A wrong or old one costs reads,
+// or an attempt that its target refuses, but breaks no guarantee. It is therefore written
+// unconditionally and the last writer wins.
 package checkpoint
 
 import (
@@ -23,72 +23,73 @@
 )
 
 const (
-	// saveEvery is the time between two checkpoints, at least.
+	// saveEvery is the minimum time between two checkpoints.
 	saveEvery = 2500 * time.Millisecond
-	// oldest is how old a checkpoint gets while little of it has changed: less
-	// than littleChange of its placements, and none of its targets.
-	oldest       = 10 * time.Second
-	littleChange = 1.0 / 16
-	// saveTimeout bounds one call to the store.
+	// maxAge is how old a checkpoint may get while only minor changes are pending: less than
+	// minorChangeShare of its placements and none of its targets.
+	maxAge           = 10 * time.Second
+	minorChangeShare = 1.0 / 16
+	// saveTimeout limits one call to the store.
 	saveTimeout = 800 * time.Millisecond
-	// mostParts bounds the checkpoint: the parts used last.
-	mostParts = 8192
-	// mostHeldBack bounds it in requests that are held back, at 70 bytes each.
-	mostHeldBack = 256
+	// maxParts limits the checkpoint to the prompt parts that were used last.
+	maxParts = 8192
+	// maxHeldBack limits the held back requests in it, at 70 bytes each.
+	maxHeldBack = 256
 )
 
-// Store keeps the checkpoint.
+// Store stores the checkpoint.
 type Store interface {
-	// SaveCheckpoint replaces the checkpoint, and the number of gateways beside it, which a
-	// process can read without it.
+	// SaveCheckpoint replaces the checkpoint, and the number of gateways, which is stored beside
+	// it so that a process can read it on its own.
 	SaveCheckpoint(ctx context.Context, data []byte, gateways int) error
 }
 
-// Saver writes the checkpoint while this process is the one to do it.
+// Saver writes the checkpoint while this process is its writer.
 type Saver struct {
 	balancer *balance.Balancer
 	store    Store
-	// turn says whether this process is to write now.
-	turn   func() bool
-	called func(err error)
-	// HeldBack are the requests that are held back; nil is none. It is set before Start.
+	// isWriter reports whether this process is to write now.
+	isWriter func() bool
+	onCall   func(err error)
+	// HeldBack returns the requests that are held back; nil if there are none. It is set before
+	// Start.
 	HeldBack func() []quarantine.Record
 
 	last Content
-	// savedAt is when last was written.
+	// savedAt is when last was saved.
 	savedAt time.Time
 	cancel  context.CancelFunc
 	wait    sync.WaitGroup
 }
 
-// Content is what a checkpoint holds.
+// Content is the content of a checkpoint.
 type Content struct {
 	Placements []balance.Placement
-	// Targets took work when the checkpoint was written, in the order of their
-	// ids.
+	// Targets are those that took work when the checkpoint was written, ordered by ID.
 	Targets []balance.Target
-	// Gateways is how many gateways there were; zero if that is not known.
+	// Gateways is the number of gateways; zero if unknown.
 	Gateways int
-	// HeldBack are the requests that are held back since targets ended under them, at most
-	// mostHeldBack, those with the most ends first.
+	// HeldBack are the requests that are held back because targets crashed during them, at most
+	// maxHeldBack, those with the most crashes first.
 	HeldBack []quarantine.Record
 }
 
 func (c Content) equal(other Content) bool {
-	return slices.Equal(c.Placements, other.Placements) && c.alike(other)
+	return slices.Equal(c.Placements, other.Placements) && c.sameTargetsAndHeldBack(other)
 }
 
-// alike says whether the same targets work and the same requests are held back.
-func (c Content) alike(other Content) bool {
+// sameTargetsAndHeldBack reports whether both contents have the same targets and held back
+// requests.
+func (c Content) sameTargetsAndHeldBack(other Content) bool {
 	return slices.Equal(c.Targets, other.Targets) && slices.EqualFunc(c.HeldBack, other.HeldBack, quarantine.Record.Equal)
 }
 
-// NewSaver returns a saver that Start begins; called is told of each call.
-func NewSaver(balancer *balance.Balancer, store Store, turn func() bool, called func(err error)) *Saver {
-	return &Saver{balancer: balancer, store: store, turn: turn, called: called}
+// NewSaver returns a saver; Start starts it. onCall is called with the result of each call.
+func NewSaver(balancer *balance.Balancer, store Store, isWriter func() bool, onCall func(err error)) *Saver {
+	return &Saver{balancer: balancer, store: store, isWriter: isWriter, onCall: onCall}
 }
 
-// Start begins to write checkpoints.
+// Start starts writing checkpoints.
 func (s *Saver) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -100,50 +101,50 @@
 	return nil
 }
 
-// Close ends the writing and waits.
+// Close stops writing and waits for the end of a call in progress.
 func (s *Saver) Close() error {
 	s.cancel()
 	s.wait.Wait()
 	return nil
 }
 
-// save writes a checkpoint if there is something new and it is this process's
-// turn. A failed call is made up for by the next.
+// save writes a checkpoint if this process is the writer and there is something new. The next call
+// makes up for a failed one.
 func (s *Saver) save(ctx context.Context) {
-	if !s.turn() {
+	if !s.isWriter() {
 		return
 	}
-	content := Content{Placements: s.balancer.AllPlacements(mostParts), Targets: s.balancer.Working(), Gateways: s.balancer.Gateways().Count}
+	content := Content{Placements: s.balancer.AllPlacements(maxParts), Targets: s.balancer.Working(), Gateways: s.balancer.Gateways().Count}
 	if s.HeldBack != nil {
 		heldBack := s.HeldBack()
-		content.HeldBack = heldBack[:min(len(heldBack), mostHeldBack)]
+		content.HeldBack = heldBack[:min(len(heldBack), maxHeldBack)]
 	}
 	if len(content.Placements) == 0 && len(content.Targets) == 0 {
 		return
 	}
 	known := Content{Placements: sorted(content.Placements), Targets: content.Targets, HeldBack: content.HeldBack}
 	now := clock.Now()
-	if known.equal(s.last) || now.Sub(s.savedAt) < oldest && known.near(s.last) {
+	if known.equal(s.last) || now.Sub(s.savedAt) < maxAge && known.isMinorChange(s.last) {
 		return
 	}
 	data, err := Encode(content)
 	if err != nil {
-		s.called(err)
+		s.onCall(err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	err = s.store.SaveCheckpoint(ctx, data, content.Gateways)
-	s.called(err)
+	s.onCall(err)
 	if err == nil {
 		s.last, s.savedAt = known, now
 	}
 }
 
-// near says whether little of another content is new here: no target, and few
-// placements. Both are in order.
-func (c Content) near(other Content) bool {
-	if !c.alike(other) {
+// isMinorChange reports whether little is new compared with another content: no change of targets
+// or held back requests, and few new placements. Both contents are sorted.
+func (c Content) isMinorChange(other Content) bool {
+	if !c.sameTargetsAndHeldBack(other) {
 		return false
 	}
 	added := 0
@@ -152,17 +153,17 @@
 			added++
 		}
 	}
-	return float64(added) < littleChange*float64(len(other.Placements))
+	return float64(added) < minorChangeShare*float64(len(other.Placements))
 }
 
-// sorted are the placements in an order that does not hang on their use.
+// sorted returns the placements in an order that does not depend on their use.
 func sorted(placements []balance.Placement) []balance.Placement {
 	ordered := slices.Clone(placements)
 	slices.SortFunc(ordered, balance.ComparePlacements)
 	return ordered
 }
 
-// Encode writes the content as bytes.
+// Encode encodes the content.
 func Encode(content Content) ([]byte, error) {
 	message := &wire.PlacementCheckpoint{Gateways: uint32(min(max(content.Gateways, 0), math.MaxInt32))}
 	for _, target := range content.Targets {
@@ -186,7 +187,7 @@
 	return data, errors.Wrap(err, "encode checkpoint")
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes what Encode returned.
 func Decode(data []byte) (Content, error) {
 	message := new(wire.PlacementCheckpoint)
 	if err := proto.Unmarshal(data, message); err != nil {
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -12,11 +12,11 @@
 	"github.com/capersaddle/capersaddle/internal/balance"
 )
 
-// memoryStore keeps the last checkpoint, or fails.
+// memoryStore keeps the last checkpoint, or fails with err.
 type memoryStore struct {
 	data  []byte
 	saves int
-	// gateways is how many there were at the last one.
+	// gateways is the number of gateways saved last.
 	gateways int
 	err      error
 }
@@ -30,7 +30,7 @@
 	return m.err
 }
 
-func TestSaveAndLearn(t *testing.T) {
+func TestSaveAndDecode(t *testing.T) {
 	is := is.New(t)
 	balancer := balance.New(balance.DefaultOptions())
 	balancer.Put(balance.Target{ID: "t", Service: "s"}, time.Now())
@@ -39,11 +39,11 @@
 	turn, calls := false, 0
 	saver := NewSaver(balancer, store, func() bool { return turn }, func(error) { calls++ })
 	saver.save(t.Context())
-	is.Equal(store.saves, 0) // not this process's turn
+	is.Equal(store.saves, 0) // this process is not the writer
 	turn = true
 	balancer.Drop("t", time.Now())
 	saver.save(t.Context())
-	is.Equal(store.saves, 0) // nothing to keep
+	is.Equal(store.saves, 0) // nothing to save
 	balancer.Put(balance.Target{ID: "t", Service: "s", Address: "10.0.0.1:80", DataCenter: "a", Slots: 6}, time.Now())
 	balancer.Put(balance.Target{ID: "u", Service: "s", Leaving: true}, time.Now())
 	balancer.Confirm("t", balance.Query{Parts: []uint64{1 << 32, 2 << 32}})
@@ -57,21 +57,21 @@
 	is.Equal(store.gateways, 7)
 	other := balance.New(balance.DefaultOptions())
 	other.Learn(kept.Placements)
-	is.Equal(kept.Targets, []balance.Target{{ID: "t", Service: "s", Address: "10.0.0.1:80", DataCenter: "a", Slots: 6}}) // the one that leaves is not kept
+	is.Equal(kept.Targets, []balance.Target{{ID: "t", Service: "s", Address: "10.0.0.1:80", DataCenter: "a", Slots: 6}}) // a leaving target is not saved
 	is.Equal(len(other.AllPlacements(10)), 2)
 	balancer.Confirm("t", balance.Query{Parts: []uint64{3 << 32}})
-	store.err = errors.New("the store is away")
+	store.err = errors.New("store unreachable")
 	saver.save(t.Context())
 	store.err = nil
-	saver.save(t.Context()) // made up for
+	saver.save(t.Context()) // retries the failed save
 	kept, err = Decode(store.data)
 	is.NoErr(err)
 	is.Equal(len(kept.Placements), 3)
 }
 
-// TestALittleChangeWaits: a checkpoint is written again soon when much of it has
-// changed, or a target; else only when it has become old.
-func TestALittleChangeWaits(t *testing.T) {
+// A checkpoint is soon written again when much of it, or a target, has changed; otherwise only
+// once it is old.
+func TestMinorChangesAreDelayed(t *testing.T) {
 	parts := func(from, to uint64) balance.Query {
 		var query balance.Query
 		for part := from; part < to; part++ {
@@ -84,12 +84,12 @@
 		age    time.Duration
 		saves  int
 	}{
-		"a little":                   {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1005)) }, saveEvery, 1},
-		"a little, and long ago":     {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1005)) }, oldest, 2},
-		"nothing, however long ago":  {func(*balance.Balancer) {}, time.Hour, 1},
-		"much":                       {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1020)) }, saveEvery, 2},
-		"a target that takes work":   {func(b *balance.Balancer) { b.Put(balance.Target{ID: "u", Service: "s"}, time.Now()) }, saveEvery, 2},
-		"a target that stopped that": {func(b *balance.Balancer) { b.Put(balance.Target{ID: "t", Service: "s", Leaving: true}, time.Now()) }, saveEvery, 2},
+		"minor change":             {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1005)) }, saveEvery, 1},
+		"minor change, old":        {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1005)) }, maxAge, 2},
+		"no change, very old":      {func(*balance.Balancer) {}, time.Hour, 1},
+		"major change":             {func(b *balance.Balancer) { b.Confirm("t", parts(1000, 1020)) }, saveEvery, 2},
+		"target takes work":        {func(b *balance.Balancer) { b.Put(balance.Target{ID: "u", Service: "s"}, time.Now()) }, saveEvery, 2},
+		"target stops taking work": {func(b *balance.Balancer) { b.Put(balance.Target{ID: "t", Service: "s", Leaving: true}, time.Now()) }, saveEvery, 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/crashstore/saver.go
+++ b/internal/crashstore/saver.go
@@ -1,7 +1,7 @@
-// Package crashstore keeps in the platform's store what a gateway knows of requests under
-// which targets ended, for gateways that do not hear it. Gateways that are cut off from each
-// other may all reach the store and the targets; each would let as many targets end as
-// all of them together may.
+// Package crashstore saves in the platform's store what a gateway knows of requests during which
+// targets crashed, for gateways that it can't reach. Gateways that are partitioned from each other
+// may all reach the store and the targets. Without the store, each of them would allow as many
+// crashes per request as all of them together may.
 //
 // Source: docs/design/quarantine.md.
 package crashstore
@@ -19,67 +19,67 @@
 )
 
 const (
-	// saveEvery is the time between two looks at whether there is something to save: a fatal
-	// request that comes again within it ends one target more.
+	// saveEvery is the interval of checks for something to save. A fatal request that is repeated
+	// within it crashes one target more.
 	saveEvery = 300 * time.Millisecond
-	// saveTimeout bounds one call to the store.
+	// saveTimeout limits one call to the store.
 	saveTimeout = 800 * time.Millisecond
-	// mostRecords bounds what is saved, at 30 bytes each: a gateway alone has some hundred requests
-	// under way in a data centre that loses power.
-	mostRecords = 512
+	// maxRecords limits what is saved, at 30 bytes per record. A gateway on its own has some
+	// hundred requests in flight in a data centre that loses power.
+	maxRecords = 512
 )
 
-// Store keeps what a gateway saves.
+// Store stores the records of gateways.
 type Store interface {
-	// SaveCrashes replaces what the gateway has saved. The store drops it some minutes
-	// after the last time.
+	// SaveCrashes replaces the records that the gateway has saved. The store deletes them some
+	// minutes after the last call.
 	SaveCrashes(ctx context.Context, gateway string, data []byte) error
 }
 
-// Turn is what a gateway is to save.
+// Scope selects the records that a gateway saves.
 type Scope int
 
 const (
-	// Nothing where it hears all others, or hears another one that saves.
+	// Nothing applies where the gateway reaches all others, or reaches another one that saves.
 	Nothing Scope = iota
-	// Spread is what all gateways are to know: requests with several ends, and those that were
-	// cleared. The gateways that hear each other know of all of them.
+	// OnlySuspicious selects what all gateways must know: requests with several crashes, and those
+	// among them that were cleared since. Gateways that reach each other all have these records.
 	OnlySuspicious
-	// All is every record: where only a few gateways hear each other, each has them.
+	// All selects every record. It applies where only a few gateways reach each other, each of
+	// which has all of their records.
 	All
 )
 
-// Options are what the saver works with.
+// Options configure a Saver.
 type Options struct {
-	// Gateway names this process.
+	// Gateway is the name of this process.
 	Gateway string
 	Table   *quarantine.Table
 	Store   Store
-	// Turn says what this process is to save now.
+	// Scope returns what this process should save now.
 	Scope func() Scope
-	// Called is notified of each call to the store.
+	// OnCall is called with the result of each call to the store.
 	OnCall func(err error)
 }
 
-// Saver saves what is new while it is this process's turn. Another goroutine than its own
-// uses nothing of it.
+// Saver saves new records while its scope asks for it. Only its own goroutine uses its fields.
 type Saver struct {
 	options Options
-	// looked is the table's count of changes when what was to be saved was.
-	looked uint64
-	// saved is what the store has since, and prints are the requests in it.
-	saved  []byte
-	prints map[quarantine.Fingerprint]bool
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+	// checkedAt is the table's change counter when records were last selected.
+	checkedAt uint64
+	// saved is what the store has had since then, and savedFingerprints are the requests in it.
+	saved             []byte
+	savedFingerprints map[quarantine.Fingerprint]bool
+	cancel            context.CancelFunc
+	wait              sync.WaitGroup
 }
 
-// New returns a saver that Start begins.
+// New returns a saver; Start starts it.
 func New(options Options) *Saver {
 	return &Saver{options: options}
 }
 
-// Start begins to save.
+// Start starts saving.
 func (s *Saver) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Close ends the saving and waits.
+// Close stops saving and waits for the end of a call in progress.
 func (s *Saver) Close() error {
 	if s.cancel != nil {
 		s.cancel()
@@ -100,23 +100,23 @@
 	return nil
 }
 
-// save saves what is new, if it is this process's turn. A failed call is made up for by the
-// next look.
+// save saves new records according to the scope. A failed call is retried at the next check.
 func (s *Saver) save(ctx context.Context) {
 	if s.options.Table.Empty() {
 		return
 	}
-	turn := s.options.Scope()
-	if turn == Nothing {
-		// With the next turn all is saved again: the store may have dropped it by then.
-		s.looked, s.saved, s.prints = 0, nil, nil
+	scope := s.options.Scope()
+	if scope == Nothing {
+		// The store may have deleted the records by the next time, so all of them are saved again
+		// then.
+		s.checkedAt, s.saved, s.savedFingerprints = 0, nil, nil
 		return
 	}
 	changes := s.options.Table.Changes()
-	if changes == s.looked {
+	if changes == s.checkedAt {
 		return
 	}
-	records := s.choose(turn)
+	records := s.recordsToSave(scope)
 	data, err := quarantine.Encode(records)
 	if err != nil {
 		s.options.OnCall(err)
@@ -129,24 +129,24 @@
 		s.options.OnCall(err)
 	}
 	if err == nil {
-		s.looked, s.saved, s.prints = changes, data, printsOf(records)
+		s.checkedAt, s.saved, s.savedFingerprints = changes, data, fingerprintsOf(records)
 	}
 }
 
-// choose gives the records that are to be saved. One that was saved stays among them: it may
-// have been cleared since.
-func (s *Saver) choose(turn Scope) []quarantine.Record {
+// recordsToSave returns the records to save. A request that was saved before remains among them,
+// because it may have been cleared since.
+func (s *Saver) recordsToSave(scope Scope) []quarantine.Record {
 	records := slices.DeleteFunc(s.options.Table.Records(clock.Now()), func(record quarantine.Record) bool {
-		wanted := record.Suspicious() || turn == All && len(record.Lives) > 0
-		return !wanted && !s.prints[record.Print]
+		selected := record.Suspicious() || scope == All && len(record.Lives) > 0
+		return !selected && !s.savedFingerprints[record.Print]
 	})
-	return records[:min(len(records), mostRecords)]
+	return records[:min(len(records), maxRecords)]
 }
 
-func printsOf(records []quarantine.Record) map[quarantine.Fingerprint]bool {
-	prints := make(map[quarantine.Fingerprint]bool, len(records))
+func fingerprintsOf(records []quarantine.Record) map[quarantine.Fingerprint]bool {
+	fingerprints := make(map[quarantine.Fingerprint]bool, len(records))
 	for _, record := range records {
-		prints[record.Print] = true
+		fingerprints[record.Print] = true
 	}
-	return prints
+	return fingerprints
 }
--- a/internal/crashstore/saver_test.go
+++ b/internal/crashstore/saver_test.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	once, twice, other = quarantine.Fingerprint(1), quarantine.Fingerprint(2), quarantine.Fingerprint(3)
+	crashedOnce, crashedTwice, answered = quarantine.Fingerprint(1), quarantine.Fingerprint(2), quarantine.Fingerprint(3)
 )
 
-// memoryStore keeps what was saved last, or fails.
+// memoryStore keeps the records saved last, or fails with err.
 type memoryStore struct {
 	records []quarantine.Record
 	saves   int
@@ -33,34 +33,34 @@
 	return err
 }
 
-// world is a saver with its table and store.
-type world struct {
+// fixture is a saver with its table and store.
+type fixture struct {
 	saver *Saver
 	table *quarantine.Table
 	store *memoryStore
-	turn  Scope
+	scope Scope
 	calls []error
 }
 
-func newWorld() *world {
-	w := &world{table: quarantine.New(), store: new(memoryStore)}
+func newFixture() *fixture {
+	w := &fixture{table: quarantine.New(), store: new(memoryStore)}
 	w.saver = New(Options{
 		Gateway: "gateway",
 		Table:   w.table,
 		Store:   w.store,
-		Scope:   func() Scope { return w.turn },
+		Scope:   func() Scope { return w.scope },
 		OnCall:  func(err error) { w.calls = append(w.calls, err) },
 	})
 	return w
 }
 
-// crash has a life of a target end under a request.
-func (w *world) crash(print quarantine.Fingerprint, life quarantine.Life) {
-	w.table.Crashed(print, life, time.Now())
+// crash records the crash of a target's incarnation during a request.
+func (w *fixture) crash(fingerprint quarantine.Fingerprint, incarnation quarantine.Life) {
+	w.table.Crashed(fingerprint, incarnation, time.Now())
 }
 
-// saved are the requests that the store has, with their ends.
-func (w *world) saved() map[quarantine.Fingerprint]int {
+// saved returns the number of crashes of each request in the store.
+func (w *fixture) saved() map[quarantine.Fingerprint]int {
 	ends := make(map[quarantine.Fingerprint]int)
 	for _, record := range w.store.records {
 		ends[record.Print] = len(record.Lives)
@@ -68,90 +68,89 @@
 	return ends
 }
 
-// TestWhatIsSaved: a process saves what its turn asks for, and nothing while all are heard.
-func TestWhatIsSaved(t *testing.T) {
+// A process saves what its scope asks for, and nothing while it reaches all others.
+func TestSavedRecordsByMode(t *testing.T) {
 	cases := map[string]struct {
-		turn Scope
-		want map[quarantine.Fingerprint]int
+		scope Scope
+		want  map[quarantine.Fingerprint]int
 	}{
-		"all are heard":              {Nothing, map[quarantine.Fingerprint]int{}},
-		"many hear each other":       {OnlySuspicious, map[quarantine.Fingerprint]int{twice: 2}},
-		"only a few hear each other": {All, map[quarantine.Fingerprint]int{once: 1, twice: 2}},
+		"all reachable":        {Nothing, map[quarantine.Fingerprint]int{}},
+		"many reachable":       {OnlySuspicious, map[quarantine.Fingerprint]int{crashedTwice: 2}},
+		"only a few reachable": {All, map[quarantine.Fingerprint]int{crashedOnce: 1, crashedTwice: 2}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld()
-				w.crash(once, 1)
-				w.crash(twice, 1)
-				w.crash(twice, 2)
-				w.crash(other, 1)
-				w.table.Answered(other, time.Now())
-				w.turn = test.turn
+				w := newFixture()
+				w.crash(crashedOnce, 1)
+				w.crash(crashedTwice, 1)
+				w.crash(crashedTwice, 2)
+				w.crash(answered, 1)
+				w.table.Answered(answered, time.Now())
+				w.scope = test.scope
 				is.NoErr(w.saver.Start(t.Context()))
 				time.Sleep(10 * saveEvery)
 				is.NoErr(w.saver.Close())
 				is.Equal(w.saved(), test.want)
-				is.True(w.store.saves <= 1) // nothing was new after the first
+				is.True(w.store.saves <= 1) // there was nothing new after the first save
 				is.Equal(len(w.calls), w.store.saves)
 			})
 		})
 	}
 }
 
-// TestAClearIsSaved: who has read that ends are held against a request is to learn that it was
-// answered.
-func TestAClearIsSaved(t *testing.T) {
+// A gateway that has read the crashes of a request must learn that the request was answered since.
+func TestClearedRequestIsSaved(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.turn = OnlySuspicious
-	w.crash(twice, 1)
-	w.crash(twice, 2)
+	w := newFixture()
+	w.scope = OnlySuspicious
+	w.crash(crashedTwice, 1)
+	w.crash(crashedTwice, 2)
 	w.saver.save(t.Context())
-	w.table.Answered(twice, time.Now())
+	w.table.Answered(crashedTwice, time.Now())
 	w.saver.save(t.Context())
-	is.Equal(w.store.records, []quarantine.Record{{Print: twice, Epoch: 1}})
+	is.Equal(w.store.records, []quarantine.Record{{Print: crashedTwice, Epoch: 1}})
 }
 
-// TestAFailedSaveIsMadeUpFor by the next look.
-func TestAFailedSaveIsMadeUpFor(t *testing.T) {
+// A save that fails is made up for at the next check.
+func TestFailedSaveIsRetried(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.turn = All
-	w.crash(once, 1)
-	w.store.err = errors.New("the store is away")
+	w := newFixture()
+	w.scope = All
+	w.crash(crashedOnce, 1)
+	w.store.err = errors.New("store unreachable")
 	w.saver.save(t.Context())
 	is.Equal(w.calls, []error{w.store.err})
 	w.store.err = nil
 	w.saver.save(t.Context())
 	w.saver.save(t.Context())
-	is.Equal(w.saved(), map[quarantine.Fingerprint]int{once: 1})
+	is.Equal(w.saved(), map[quarantine.Fingerprint]int{crashedOnce: 1})
 	is.Equal(w.store.saves, 2)
 }
 
-// TestAnotherCutSavesAnew: the store may have dropped what was saved in the one before.
-func TestAnotherCutSavesAnew(t *testing.T) {
+// After a time without saving, everything is saved again, since the store may have deleted it.
+func TestReenabledSaverSavesAgain(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.crash(once, 1)
-	for _, turn := range []Scope{All, Nothing, All} {
-		w.turn = turn
+	w := newFixture()
+	w.crash(crashedOnce, 1)
+	for _, scope := range []Scope{All, Nothing, All} {
+		w.scope = scope
 		w.saver.save(t.Context())
 	}
 	is.Equal(w.store.saves, 2)
 }
 
-// TestSavedIsBounded: those with the most ends stay.
-func TestSavedIsBounded(t *testing.T) {
+// Of more records than the maximum, those with the most crashes are saved.
+func TestSavedRecordsAreLimited(t *testing.T) {
 	is := is.New(t)
-	w := newWorld()
-	w.turn = All
-	for print := range quarantine.Fingerprint(2 * mostRecords) {
-		w.crash(print, 1)
+	w := newFixture()
+	w.scope = All
+	for fingerprint := range quarantine.Fingerprint(2 * maxRecords) {
+		w.crash(fingerprint, 1)
 	}
-	w.crash(2*mostRecords-1, 2)
+	w.crash(2*maxRecords-1, 2)
 	w.saver.save(t.Context())
-	is.Equal(len(w.store.records), mostRecords)
-	is.Equal(w.saved()[2*mostRecords-1], 2)
+	is.Equal(len(w.store.records), maxRecords)
+	is.Equal(w.saved()[2*maxRecords-1], 2)
 }
