--- a/internal/config/command.go
+++ b/internal/config/command.go
@@ -17,8 +17,8 @@
 // Command is one change of the configuration, whole or not at all.
 type Command struct {
 	// ID names the command: sending it again under the same ID is safe.
-	ID  string `json:"id"`
-	Who string `json:"who,omitempty"`
+	ID       string `json:"id"`
+	Operator string `json:"who,omitempty"`
 	// IfRevision, when not zero, refuses the command at another revision.
 	IfRevision uint64 `json:"if_revision,omitempty"`
 	DryRun     bool   `json:"dry_run,omitempty"`
@@ -122,7 +122,7 @@
 	if command.DryRun {
 		return Result{Revision: manifest.Revision, DryRun: true}, nil
 	}
-	accepted := Accepted{ID: command.ID, Revision: manifest.Revision + 1, Who: command.Who, At: time.Now().UTC(), Names: command.names()}
+	accepted := Accepted{ID: command.ID, Revision: manifest.Revision + 1, Operator: command.Operator, At: time.Now().UTC(), Names: command.names()}
 	written, err := e.writeBuckets(ctx, command, changed)
 	if err != nil {
 		return Result{}, refusedOrAway(err)
@@ -285,7 +285,7 @@
 		}
 		written = append(written, bucket)
 	}
-	accepted := Accepted{ID: id, Revision: held + 1, Who: who, At: time.Now().UTC(), Names: []string{"*"}}
+	accepted := Accepted{ID: id, Revision: held + 1, Operator: who, At: time.Now().UTC(), Names: []string{"*"}}
 	result, err := e.swap(ctx, Command{ID: id}, manifest, base.next(accepted, written))
 	if errors.Is(err, errTryAgain) {
 		return Result{}, fault.New(fault.Conflict, fault.NotRun, "another command came first; look and try again")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -62,7 +62,7 @@
 			"pull": func(rt *rapid.T) {
 				from := rapid.IntRange(0, 2).Draw(rt, "from")
 				to := rapid.IntRange(0, 2).Draw(rt, "to")
-				delta := states[from].Since(states[to].Revision())
+				delta := states[from].DeltaSince(states[to].Revision())
 				if rapid.Bool().Draw(rt, "late") {
 					late = append(late, delta)
 					return
@@ -80,7 +80,7 @@
 			},
 		})
 		for i := range states {
-			_, err := states[i].Apply(states[0].Since(states[i].Revision()))
+			_, err := states[i].Apply(states[0].DeltaSince(states[i].Revision()))
 			if err != nil {
 				rt.Fatal(err)
 			}
@@ -283,7 +283,7 @@
 			_, _ = state.Apply(&wire.Delta{From: 1, To: 2, Documents: []*wire.Document{{Name: "workspace/customer-00001", Value: workspace(3), Revision: 2}}})
 			bytes := 0
 			for b.Loop() {
-				bytes = proto.Size(state.Since(1))
+				bytes = proto.Size(state.DeltaSince(1))
 			}
 			b.ReportMetric(float64(bytes), "delta-bytes")
 			b.ReportMetric(float64(proto.Size(whole)), "whole-bytes")
@@ -297,7 +297,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			state, _ := bigState(n)
 			for b.Loop() {
-				state.View().ByKey("3")
+				state.View().WorkspaceByKey("3")
 			}
 		})
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -38,8 +38,8 @@
 	Share int `json:"share,omitempty"`
 	// Deferrable makes its requests come after urgent ones.
 	Deferrable bool `json:"deferrable,omitempty"`
-	// MostInFlight bounds its requests at one router; zero for no bound.
-	MostInFlight int `json:"most_in_flight,omitempty"`
+	// MaxInFlight bounds its requests at one router; zero for no bound.
+	MaxInFlight int `json:"most_in_flight,omitempty"`
 }
 
 // Model is a model that may be asked for; its pool has the same name.
@@ -54,8 +54,8 @@
 	NotRepeatable []string `json:"not_repeatable,omitempty"`
 	// Slots is the size of its slot table; fixed once the table exists.
 	Slots int `json:"slots,omitempty"`
-	// MostBody bounds a request's body, in bytes; zero for the default.
-	MostBody int64 `json:"most_body,omitempty"`
+	// MaxBody bounds a request's body, in bytes; zero for the default.
+	MaxBody int64 `json:"most_body,omitempty"`
 }
 
 // Route lets one model name stand for another.
@@ -125,7 +125,7 @@
 			return errors.Newf("document %q: key hash %q is not a hex SHA-256 of %d characters", full, hash, hashLength)
 		}
 	}
-	if workspace.Share < 0 || workspace.MostInFlight < 0 {
+	if workspace.Share < 0 || workspace.MaxInFlight < 0 {
 		return errors.Newf("document %q: share and most_in_flight must not be negative", full)
 	}
 	return nil
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// StoreSeen says whether the store answered this process's last call.
-func (f *Follower) StoreSeen() bool {
+// StoreAnswered says whether the store answered this process's last call.
+func (f *Follower) StoreAnswered() bool {
 	return f.storeSeen.Load()
 }
 
--- a/internal/config/manifest.go
+++ b/internal/config/manifest.go
@@ -40,7 +40,7 @@
 type Accepted struct {
 	ID       string    `json:"id"`
 	Revision uint64    `json:"revision"`
-	Who      string    `json:"who"`
+	Operator string    `json:"who"`
 	At       time.Time `json:"at"`
 	// Names are the documents that it changed.
 	Names []string `json:"names"`
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -126,7 +126,7 @@
 }
 
 // Since is the delta for a peer that holds a revision.
-func (s *State) Since(have uint64) *wire.Delta {
+func (s *State) DeltaSince(have uint64) *wire.Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delta := &wire.Delta{From: have, To: s.view.Load().Revision}
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -85,9 +85,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ByKey finds the workspace of an API key. The look-up is by hash, so its time
+// WorkspaceByKey finds the workspace of an API key. The look-up is by hash, so its time
 // tells nothing about keys that exist.
-func (v *View) ByKey(key string) (string, Workspace, bool) {
+func (v *View) WorkspaceByKey(key string) (string, Workspace, bool) {
 	name, ok := v.byKeyHash[HashKey(key)]
 	if !ok {
 		return "", Workspace{}, false
--- a/internal/dev/stack.go
+++ b/internal/dev/stack.go
@@ -293,8 +293,8 @@
 		return config.Change{Name: name, Value: data}
 	}
 	_, err := editor.Do(ctx, config.Command{
-		ID:  uuid.NewString(),
-		Who: "dev",
+		ID:       uuid.NewString(),
+		Operator: "dev",
 		Changes: []config.Change{
 			document("workspace/"+Workspace, config.Workspace{KeyHashes: []string{config.HashKey(Key)}, Share: 1}),
 			document("model/"+Model, config.Model{OwnedBy: "volta"}),
--- a/internal/dev/story.go
+++ b/internal/dev/story.go
@@ -157,7 +157,7 @@
 
 // command sends an operators' command to the first router.
 func (t *storyteller) command(ctx context.Context, changes ...config.Change) (config.Result, error) {
-	data, err := json.Marshal(config.Command{ID: uuid.NewString(), Who: "story", Changes: changes})
+	data, err := json.Marshal(config.Command{ID: uuid.NewString(), Operator: "story", Changes: changes})
 	if err != nil {
 		return config.Result{}, err
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -136,7 +136,7 @@
 func (n *Node) handle(ctx context.Context, open *wire.Open, stream link.Stream) {
 	switch kind := open.GetKind().(type) {
 	case *wire.Open_Pull:
-		delta := n.Config.Since(kind.Pull.GetHave())
+		delta := n.Config.DeltaSince(kind.Pull.GetHave())
 		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: delta}})
 	case *wire.Open_Roster:
 		n.Members.Merge(kind.Roster.GetMembers())
--- a/internal/process/exec.go
+++ b/internal/process/exec.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return Executed{}, fault.New(fault.BadRequest, fault.NotRun, "%v", err)
 	}
-	command.ID, command.Who, command.DryRun, command.Force = script.ID, script.Who, script.DryRun, script.Force
+	command.ID, command.Operator, command.DryRun, command.Force = script.ID, script.Who, script.DryRun, script.Force
 	result, err := o.do(r, command)
 	if err != nil {
 		return Executed{}, err
--- a/internal/process/operators.go
+++ b/internal/process/operators.go
@@ -141,7 +141,7 @@
 		DataCenter:     o.settings.DataCenter,
 		Ready:          o.ready(),
 		ConfigRevision: o.node.Config.Revision(),
-		StoreSeen:      o.node.Follower.StoreSeen(),
+		StoreSeen:      o.node.Follower.StoreAnswered(),
 		Members:        len(o.node.Members.Roster()),
 	})
 }
@@ -226,7 +226,7 @@
 		return
 	}
 	result, err := o.do(r, command)
-	o.log.Info("command", "id", command.ID, "who", command.Who, "revision", result.Revision, "error", err)
+	o.log.Info("command", "id", command.ID, "who", command.Operator, "revision", result.Revision, "error", err)
 	if err != nil {
 		writeFault(w, err)
 		return
@@ -248,7 +248,7 @@
 		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the command needs an id"))
 		return
 	}
-	result, err := o.editor.Republish(r.Context(), command.ID, command.Who)
+	result, err := o.editor.Republish(r.Context(), command.ID, command.Operator)
 	if err != nil {
 		writeFault(w, err)
 		return
--- a/internal/process/query.go
+++ b/internal/process/query.go
@@ -214,7 +214,7 @@
 	}
 	for _, accepted := range history {
 		table.Rows = append(table.Rows, []string{
-			fmt.Sprint(accepted.Revision), accepted.At.Format(time.RFC3339), accepted.Who,
+			fmt.Sprint(accepted.Revision), accepted.At.Format(time.RFC3339), accepted.Operator,
 			strings.Join(accepted.Names, " "), accepted.ID, "store",
 		})
 	}
--- a/internal/router/http.go
+++ b/internal/router/http.go
@@ -118,9 +118,9 @@
 		leave()
 		return caller{}, nil, refusal
 	}
-	if !r.busy.enter(who.workspace, who.settings.MostInFlight) {
+	if !r.busy.enter(who.workspace, who.settings.MaxInFlight) {
 		leave()
-		return caller{}, nil, fault.New(fault.Overloaded, fault.NotRun, "the workspace has %d requests in flight here already", who.settings.MostInFlight).After(time.Second)
+		return caller{}, nil, fault.New(fault.Overloaded, fault.NotRun, "the workspace has %d requests in flight here already", who.settings.MaxInFlight).After(time.Second)
 	}
 	return who, func() {
 		r.busy.leave(who.workspace)
@@ -134,7 +134,7 @@
 		return caller{}, fault.New(fault.BadKey, fault.NotRun, "no API key; send 'Authorization: Bearer KEY'")
 	}
 	view := r.options.Config.View()
-	name, settings, ok := view.ByKey(key)
+	name, settings, ok := view.WorkspaceByKey(key)
 	if !ok {
 		return caller{}, fault.New(fault.BadKey, fault.NotRun, "the API key is not known")
 	}
--- a/internal/router/httpservice.go
+++ b/internal/router/httpservice.go
@@ -86,8 +86,8 @@
 		return serviceRequest{}, refusal
 	}
 	most := r.options.MostBody
-	if service.MostBody > 0 {
-		most = min(most, service.MostBody)
+	if service.MaxBody > 0 {
+		most = min(most, service.MaxBody)
 	}
 	body, refusal := readBody(w, req, most)
 	if refusal != nil {
--- a/internal/session/callers_test.go
+++ b/internal/session/callers_test.go
@@ -21,7 +21,7 @@
 
 // command sends an operators' command and says how it ended.
 func (w *world) command(p *process, who string, command config.Command) (config.Result, error) {
-	command.Who = who
+	command.Operator = who
 	ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
 	defer cancel()
 	result, err := p.editor.Do(ctx, command)
--- a/internal/session/world_test.go
+++ b/internal/session/world_test.go
@@ -181,7 +181,7 @@
 // handle serves what all roles share, then the role's own.
 func (p *process) handle(ctx context.Context, open *wire.Open, stream link.Stream) {
 	if pull := open.GetPull(); pull != nil {
-		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: p.state.Since(pull.GetHave())}})
+		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: p.state.DeltaSince(pull.GetHave())}})
 		return
 	}
 	if p.agent != nil {
--- a/pkg/cmd/config/history/history.go
+++ b/pkg/cmd/config/history/history.go
@@ -53,7 +53,7 @@
 	}
 	rows := make([][]string, 0, len(accepted))
 	for _, one := range accepted {
-		rows = append(rows, []string{fmt.Sprint(one.Revision), one.At.Format(time.RFC3339), one.Who, strings.Join(one.Names, " "), one.ID})
+		rows = append(rows, []string{fmt.Sprint(one.Revision), one.At.Format(time.RFC3339), one.Operator, strings.Join(one.Names, " "), one.ID})
 	}
 	return cmdutil.Table(opts.IO.Out, []string{"REVISION", "AT", "WHO", "CHANGED", "COMMAND"}, rows)
 }
--- a/pkg/cmdutil/change.go
+++ b/pkg/cmdutil/change.go
@@ -66,7 +66,7 @@
 	}
 	result, err := o.Client(o.Router).Command(ctx, config.Command{
 		ID:         o.ID,
-		Who:        o.Who,
+		Operator:   o.Who,
 		IfRevision: o.IfRevision,
 		DryRun:     o.DryRun,
 		Force:      o.Force,
--- a/pkg/cmdutil/client.go
+++ b/pkg/cmdutil/client.go
@@ -102,7 +102,7 @@
 // Republish writes the fleet's configuration to a store that was put back.
 func (c *Client) Republish(ctx context.Context, id, who string) (config.Result, error) {
 	var result config.Result
-	err := c.call(ctx, http.MethodPost, "/republish", config.Command{ID: id, Who: who}, &result)
+	err := c.call(ctx, http.MethodPost, "/republish", config.Command{ID: id, Operator: who}, &result)
 	return result, err
 }
 
