--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,12 +28,12 @@
 	return data
 }
 
-// Processes that pull from each other in any order, with deltas late and
-// doubled, never go back, and agree once all have pulled.
+// Processes pull from each other in any order, with deltas that arrive late or twice. Their
+// revisions never decrease, and all hold the same documents once all have pulled.
 func TestRevisionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		states := []*State{NewState(), NewState(), NewState()}
-		var late []*wire.Delta
+		var delayed []*wire.Delta
 		highest := make([]uint64, len(states))
 		check := func(i int) {
 			if have := states[i].Revision(); have < highest[i] {
@@ -50,7 +50,7 @@
 					document.Value = workspace(int(revision))
 				}
 				if states[0].Revision() != revision {
-					rt.Skip("the first has not the newest")
+					rt.Skip("the first process does not hold the latest revision")
 				}
 				revision++
 				_, err := states[0].Apply(&wire.Delta{From: revision - 1, To: revision, Documents: []*wire.Document{document}})
@@ -64,18 +64,18 @@
 				to := rapid.IntRange(0, 2).Draw(rt, "to")
 				delta := states[from].DeltaSince(states[to].Revision())
 				if rapid.Bool().Draw(rt, "late") {
-					late = append(late, delta)
+					delayed = append(delayed, delta)
 					return
 				}
 				_, _ = states[to].Apply(delta)
 				check(to)
 			},
 			"late": func(rt *rapid.T) {
-				if len(late) == 0 {
-					rt.Skip("nothing is late")
+				if len(delayed) == 0 {
+					rt.Skip("no delta is delayed")
 				}
 				to := rapid.IntRange(0, 2).Draw(rt, "to")
-				_, _ = states[to].Apply(late[rapid.IntRange(0, len(late)-1).Draw(rt, "which")])
+				_, _ = states[to].Apply(delayed[rapid.IntRange(0, len(delayed)-1).Draw(rt, "which")])
 				check(to)
 			},
 		})
@@ -88,13 +88,13 @@
 				continue
 			}
 			if got, want := fmt.Sprint(states[i].Documents()), fmt.Sprint(states[0].Documents()); got != want {
-				rt.Fatalf("process %d holds %s, the first %s", i, got, want)
+				rt.Fatalf("process %d holds %s, the first one %s", i, got, want)
 			}
 		}
 	})
 }
 
-// faultyStore loses answers as it is told.
+// faultyStore loses the answers of writes for which lose returns true.
 type faultyStore struct {
 	*fakestore.Store
 	lose func() bool
@@ -108,11 +108,11 @@
 	return version, err
 }
 
-// Whatever answers are lost, an accepted command took effect exactly once, a
-// refused one not at all, and an unsettled one is settled by sending it again.
-func TestLostAnswersAreSettled(t *testing.T) {
+// Whichever answers are lost, an accepted command took effect exactly once, a refused one not at
+// all, and sending an unsettled one again settles it.
+func TestCommandsWithLostStoreAnswers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		synctestRun(func() {
+		runInBubble(func() {
 			store := &faultyStore{Store: fakestore.New(), lose: func() bool { return rapid.IntRange(0, 2).Draw(rt, "lose") == 0 }}
 			editor := NewEditor(store, NewState())
 			accepted := 0
@@ -131,25 +131,25 @@
 				if err == nil {
 					accepted++
 					if result.Revision != uint64(accepted) {
-						rt.Fatalf("command %d is at revision %d, %d were accepted", i, result.Revision, accepted)
+						rt.Fatalf("command %d got revision %d after %d accepted commands", i, result.Revision, accepted)
 					}
 				}
 			}
 			manifest, err := editor.repository.manifest(context.Background())
 			if err != nil || int(manifest.Revision) != accepted {
-				rt.Fatalf("the store is at revision %d, %d were accepted: %v", manifest.Revision, accepted, err)
+				rt.Fatalf("the store is at revision %d after %d accepted commands: %v", manifest.Revision, accepted, err)
 			}
 		})
 	})
 }
 
-func synctestRun(work func()) {
+func runInBubble(work func()) {
 	synctest.Test(new(testing.T), func(*testing.T) { work() })
 }
 
-// Operators that race each other on many documents all end accepted or plainly
-// refused, and each accepted change is there.
-func TestRacingOperators(t *testing.T) {
+// Operators that change many documents at the same time are all accepted or refused, and each
+// accepted change is stored.
+func TestConcurrentOperators(t *testing.T) {
 	is := is.New(t)
 	store := fakestore.New()
 	const operators = 12
@@ -183,7 +183,7 @@
 	is.Equal(state.Revision(), uint64(operators))
 }
 
-func TestBadCommandsAreRefused(t *testing.T) {
+func TestInvalidCommandsAreRefused(t *testing.T) {
 	tests := map[string]struct {
 		command Command
 		kind    fault.Kind
@@ -208,8 +208,8 @@
 	}
 }
 
-// An id that was used for another command is refused, not taken for a repeat.
-func TestIDOfAnotherCommand(t *testing.T) {
+// A command with the ID of another command is refused rather than taken for a repeat.
+func TestReusedCommandIDIsRefused(t *testing.T) {
 	is := is.New(t)
 	editor := NewEditor(fakestore.New(), NewState())
 	first := Command{ID: "a", Changes: []Change{{Name: "model/m", Value: json.RawMessage(`{}`)}}}
@@ -222,7 +222,7 @@
 	is.Equal(fault.KindOf(err), fault.Conflict)
 }
 
-// A dry run changes nothing and says whether the command would be accepted.
+// A dry run changes nothing and reports whether the command would be accepted.
 func TestDryRun(t *testing.T) {
 	is := is.New(t)
 	store := fakestore.New()
@@ -247,8 +247,8 @@
 	})
 }
 
-// bigState holds n workspaces.
-func bigState(n int) (*State, *wire.Delta) {
+// stateWithWorkspaces returns a state with n workspaces.
+func stateWithWorkspaces(n int) (*State, *wire.Delta) {
 	delta := &wire.Delta{To: 1, Whole: true}
 	for i := range n {
 		value, _ := json.Marshal(Workspace{KeyHashes: []string{HashKey(fmt.Sprint(i)), HashKey(fmt.Sprint("b", i))}, Share: 1 + i%5})
@@ -261,11 +261,11 @@
 
 var configSizes = []int{10, 2500, 5000}
 
-// BenchmarkApply is one change coming into force.
+// BenchmarkApply measures applying one change.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			state, _ := bigState(n)
+			state, _ := stateWithWorkspaces(n)
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
@@ -275,11 +275,11 @@
 	}
 }
 
-// BenchmarkSince is a peer's answer to a pull of one change.
+// BenchmarkSince measures the answer to a peer's pull of one change.
 func BenchmarkSince(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			state, whole := bigState(n)
+			state, whole := stateWithWorkspaces(n)
 			_, _ = state.Apply(&wire.Delta{From: 1, To: 2, Documents: []*wire.Document{{Name: "workspace/customer-00001", Value: workspace(3), Revision: 2}}})
 			bytes := 0
 			for b.Loop() {
@@ -291,11 +291,11 @@
 	}
 }
 
-// BenchmarkByKey is the look-up of a caller's workspace.
+// BenchmarkByKey measures the lookup of a caller's workspace.
 func BenchmarkByKey(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			state, _ := bigState(n)
+			state, _ := stateWithWorkspaces(n)
 			for b.Loop() {
 				state.View().WorkspaceByKey("3")
 			}
@@ -303,7 +303,7 @@
 	}
 }
 
-// BenchmarkStateMemory is the memory of a configuration in force.
+// BenchmarkStateMemory measures the memory of a configuration.
 func BenchmarkStateMemory(b *testing.B) {
 	for _, n := range configSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -311,7 +311,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				state, _ := bigState(n)
+				state, _ := stateWithWorkspaces(n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(state)
@@ -321,7 +321,7 @@
 	}
 }
 
-// BenchmarkChangeCalls counts the store's calls for one accepted change.
+// BenchmarkChangeCalls measures the store calls for one accepted change.
 func BenchmarkChangeCalls(b *testing.B) {
 	store := fakestore.New()
 	editor := NewEditor(store, NewState())
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,6 +1,6 @@
-// Package config holds the operators' configuration: documents under one
-// rising revision, the commands that change them in the store, and their
-// spread from process to process. A process never applies a lower revision.
+// Package config holds the operators' configuration: documents under one increasing revision, the
+// commands that change them in the store, and their distribution between processes. A process
+// never applies a lower revision.
 package config
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kinds of documents; a document's name is kind/name.
+// The kinds of documents; a document's name is kind/name.
 const (
 	KindWorkspace = "workspace"
 	KindModel     = "model"
@@ -22,43 +22,43 @@
 
 // Document is one entry of the configuration.
 type Document struct {
-	// Name is kind/name.
+	// Name has the form kind/name.
 	Name string `json:"name"`
-	// Value is the entry's JSON; empty for one that was removed.
+	// Value is the entry's JSON; empty for a removed entry.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Revision is the one that last changed the entry.
+	// Revision is the revision that last changed the entry.
 	Revision uint64 `json:"revision"`
 }
 
 // Workspace is a customer.
 type Workspace struct {
-	// KeyHashes are hex SHA-256 hashes of its API keys.
+	// KeyHashes are hex-encoded SHA-256 hashes of the workspace's API keys.
 	KeyHashes []string `json:"key_hashes"`
-	// Share is its weight in fair sharing; at least 1.
+	// Share is the workspace's weight in fair queueing; at least 1.
 	Share int `json:"share,omitempty"`
-	// Deferrable makes its requests come after urgent ones.
+	// Deferrable makes the workspace's requests wait behind urgent ones.
 	Deferrable bool `json:"deferrable,omitempty"`
-	// MaxInFlight bounds its requests at one router; zero for no bound.
+	// MaxInFlight limits the workspace's requests in flight at one router; zero means no limit.
 	MaxInFlight int `json:"most_in_flight,omitempty"`
 }
 
-// Model is a model that may be asked for; its pool has the same name.
+// Model is a model that can be requested; its pool has the same name.
 type Model struct {
-	// OwnedBy is shown in the list of models.
+	// OwnedBy is shown in the model list.
 	OwnedBy string `json:"owned_by,omitempty"`
 }
 
 // Service is a plain service.
 type Service struct {
-	// NotRepeatable are path prefixes whose calls need an idempotency key.
+	// NotRepeatable lists path prefixes whose calls need an idempotency key.
 	NotRepeatable []string `json:"not_repeatable,omitempty"`
-	// Slots is the size of its slot table; fixed once the table exists.
+	// Slots is the size of the service's slot table; it can't change once the table exists.
 	Slots int `json:"slots,omitempty"`
-	// MaxBody bounds a request's body, in bytes; zero for the default.
+	// MaxBody limits a request's body, in bytes; zero means the default.
 	MaxBody int64 `json:"most_body,omitempty"`
 }
 
-// Route lets one model name stand for another.
+// Route makes a model name an alias of another model.
 type Route struct {
 	Model string `json:"model"`
 }
@@ -68,22 +68,22 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Placement says how many managed engines should hold the model of its name.
+// Placement is the number of managed engines that should hold the model of its name.
 type Placement struct {
 	Replicas int `json:"replicas"`
 }
 
-// SplitName cuts a document's name into kind and name.
+// SplitName splits a document's name into kind and name.
 func SplitName(full string) (kind, name string, err error) {
 	kind, name, ok := strings.Cut(full, "/")
 	if !ok || kind == "" || name == "" {
-		return "", "", errors.Newf("document name %q is not kind/name", full)
+		return "", "", errors.Newf("document name %q does not have the form kind/name", full)
 	}
 	return kind, name, nil
 }
 
-// CheckDocument reads a document as its kind; an unknown kind or field and a
-// value that makes no sense are errors that name the cure.
+// CheckDocument validates a document by its kind. An unknown kind or field and an invalid value
+// are errors, which say what is expected.
 func CheckDocument(full string, value json.RawMessage) error {
 	kind, _, err := SplitName(full)
 	if err != nil {
@@ -93,36 +93,36 @@
 	case KindWorkspace:
 		return checkWorkspace(full, value)
 	case KindModel:
-		return strict(full, value, new(Model))
+		return decodeStrict(full, value, new(Model))
 	case KindService:
 		return checkService(full, value)
 	case KindRoute:
-		return strict(full, value, new(Route))
+		return decodeStrict(full, value, new(Route))
 	case KindMark:
-		return strict(full, value, new(Mark))
+		return decodeStrict(full, value, new(Mark))
 	case KindPlacement:
 		return checkPlacement(full, value)
 	}
-	return errors.Newf("document %q: unknown kind %q; known are workspace, model, service, route, mark, placement", full, kind)
+	return errors.Newf("document %q: unknown kind %q; want workspace, model, service, route, mark or placement", full, kind)
 }
 
-func strict(full string, value json.RawMessage, into any) error {
+func decodeStrict(full string, value json.RawMessage, into any) error {
 	decoder := json.NewDecoder(strings.NewReader(string(value)))
 	decoder.DisallowUnknownFields()
 	return errors.Wrapf(decoder.Decode(into), "document %q", full)
 }
 
-// hashLength is the length of a hex SHA-256 hash.
+// hashLength is the length of a hex-encoded SHA-256 hash.
 const hashLength = 64
 
 func checkWorkspace(full string, value json.RawMessage) error {
 	var workspace Workspace
-	if err := strict(full, value, &workspace); err != nil {
+	if err := decodeStrict(full, value, &workspace); err != nil {
 		return err
 	}
 	for _, hash := range workspace.KeyHashes {
 		if len(hash) != hashLength {
-			return errors.Newf("document %q: key hash %q is not a hex SHA-256 of %d characters", full, hash, hashLength)
+			return errors.Newf("document %q: key hash %q is not a hex-encoded SHA-256 hash of %d characters", full, hash, hashLength)
 		}
 	}
 	if workspace.Share < 0 || workspace.MaxInFlight < 0 {
@@ -131,23 +131,23 @@
 	return nil
 }
 
-// mostSlots keeps a slot table well under a megabyte.
-const mostSlots = 4096
+// maxSlots keeps a slot table well below a megabyte.
+const maxSlots = 4096
 
 func checkService(full string, value json.RawMessage) error {
 	var service Service
-	if err := strict(full, value, &service); err != nil {
+	if err := decodeStrict(full, value, &service); err != nil {
 		return err
 	}
-	if service.Slots < 0 || service.Slots > mostSlots {
-		return errors.Newf("document %q: slots is %d; want 0 to %d", full, service.Slots, mostSlots)
+	if service.Slots < 0 || service.Slots > maxSlots {
+		return errors.Newf("document %q: slots is %d; want 0 to %d", full, service.Slots, maxSlots)
 	}
 	return nil
 }
 
 func checkPlacement(full string, value json.RawMessage) error {
 	var placement Placement
-	if err := strict(full, value, &placement); err != nil {
+	if err := decodeStrict(full, value, &placement); err != nil {
 		return err
 	}
 	if placement.Replicas < 0 {
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -15,54 +15,52 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Peers is what the follower needs of other processes.
+// Peers is what the follower needs from other processes.
 type Peers interface {
-	// Ahead gives the link address of a live peer that says it holds a
-	// revision above the given one.
+	// Ahead returns the link address of a live peer that reports a revision above the given one.
 	Ahead(revision uint64) (address string, ok bool)
-	// Pull asks a peer for the changes after a revision.
+	// Pull requests from a peer the changes since a revision.
 	Pull(ctx context.Context, address string, have uint64) (*wire.Delta, error)
-	// Watcher says whether this process is among the few that watch the
-	// store now.
+	// Watcher reports whether this process is one of the few that watch the store now.
 	Watcher() bool
 }
 
 const (
-	// pullEvery is how often peers' revisions are looked at.
-	pullEvery = 200 * time.Millisecond
-	// watchFor bounds one waiting watch.
-	watchFor = 60 * time.Second
-	// watchPause and mostPause bound the wait after a failed watch.
-	watchPause = time.Second
-	mostPause  = 30 * time.Second
-	// pullTimeout bounds one pull from a peer.
+	// pullInterval is how often the peers' revisions are checked.
+	pullInterval = 200 * time.Millisecond
+	// watchTimeout limits one watch call.
+	watchTimeout = 60 * time.Second
+	// minWatchPause and maxWatchPause limit the wait after a failed watch.
+	minWatchPause = time.Second
+	maxWatchPause = 30 * time.Second
+	// pullTimeout limits one pull from a peer.
 	pullTimeout = 2 * time.Second
 )
 
-// Follower keeps a process's configuration at the newest revision it can
-// learn of, from peers and, on a few processes, from the store.
+// Follower keeps a process's configuration at the latest revision that it can get from peers and,
+// in a few processes, from the store.
 type Follower struct {
 	state      *State
 	repository repository
 	peers      Peers
 	log        *log.Logger
-	// mu is held while the store's configuration is loaded.
+	// mu is held while the configuration is loaded from the store.
 	mu sync.Mutex
-	// known is the manifest whose buckets the state holds; nil if unknown.
-	known *Manifest
-	// storeSeen says whether the store answered the last call.
-	storeSeen atomic.Bool
+	// loaded is the manifest whose buckets the state holds; nil if unknown.
+	loaded *Manifest
+	// storeAnswered records whether the store answered the last call.
+	storeAnswered atomic.Bool
 
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 }
 
-// NewFollower returns a follower; Start begins its work.
+// NewFollower returns a follower; Start starts it.
 func NewFollower(state *State, store external.Store, peers Peers, logger *log.Logger) *Follower {
 	return &Follower{state: state, repository: repository{store: store}, peers: peers, log: logger}
 }
 
-// Start begins to follow.
+// Start starts following.
 func (f *Follower) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
@@ -71,21 +69,21 @@
 	return nil
 }
 
-// Close stops following.
+// Close stops following and waits.
 func (f *Follower) Close() error {
 	f.cancel()
 	f.loops.Wait()
 	return nil
 }
 
-// StoreAnswered says whether the store answered this process's last call.
+// StoreAnswered reports whether the store answered this process's last call.
 func (f *Follower) StoreAnswered() bool {
-	return f.storeSeen.Load()
+	return f.storeAnswered.Load()
 }
 
-// pullLoop takes later revisions from peers.
+// pullLoop pulls later revisions from peers.
 func (f *Follower) pullLoop(ctx context.Context) {
-	for wait.For(ctx, pullEvery) {
+	for wait.For(ctx, pullInterval) {
 		have := f.state.Revision()
 		address, ok := f.peers.Ahead(have)
 		if !ok {
@@ -103,52 +101,52 @@
 		f.log.Debug("configuration pull failed", "peer", address, "error", err)
 		return
 	}
-	f.take(delta, address)
+	f.apply(delta, address)
 }
 
-func (f *Follower) take(delta *wire.Delta, from string) {
-	rose, err := f.state.Apply(delta)
+func (f *Follower) apply(delta *wire.Delta, from string) {
+	advanced, err := f.state.Apply(delta)
 	if err != nil {
 		f.log.Warn("configuration not applied", "from", from, "error", err)
 		return
 	}
-	if rose {
+	if advanced {
 		f.log.Info("configuration in force", "revision", delta.GetTo(), "from", from)
 	}
 }
 
-// watchLoop waits on the store's manifest while this process is a watcher.
+// watchLoop watches the store's manifest while this process is a watcher.
 func (f *Follower) watchLoop(ctx context.Context) {
-	pause := watchPause
+	pause := minWatchPause
 	for ctx.Err() == nil {
 		if !f.peers.Watcher() {
-			wait.For(ctx, watchPause)
+			wait.For(ctx, minWatchPause)
 			continue
 		}
 		if err := f.watchOnce(ctx); err != nil && ctx.Err() == nil {
-			f.storeSeen.Store(false)
+			f.storeAnswered.Store(false)
 			f.log.Debug("store watch failed", "error", err)
 			wait.For(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxWatchPause)
 			continue
 		}
-		pause = watchPause
+		pause = minWatchPause
 	}
 }
 
-// watchOnce loads a later manifest or waits for one.
+// watchOnce waits for a manifest later than the loaded one and loads it.
 func (f *Follower) watchOnce(ctx context.Context) error {
-	version := f.knownVersion()
-	bounded, cancel := context.WithTimeout(ctx, watchFor)
+	version := f.loadedVersion()
+	watchCtx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
-	value, err := f.repository.store.Watch(bounded, ManifestKey, version)
-	if errors.Is(bounded.Err(), context.DeadlineExceeded) {
+	value, err := f.repository.store.Watch(watchCtx, ManifestKey, version)
+	if errors.Is(watchCtx.Err(), context.DeadlineExceeded) {
 		return nil
 	}
 	if err != nil {
 		return errors.Wrap(err, "watch manifest")
 	}
-	f.storeSeen.Store(true)
+	f.storeAnswered.Store(true)
 	manifest, err := parseManifest(value)
 	if err != nil {
 		return err
@@ -156,49 +154,49 @@
 	return f.load(ctx, manifest)
 }
 
-// knownVersion is the version of the manifest that was loaded last.
-func (f *Follower) knownVersion() uint64 {
+// loadedVersion returns the store version of the manifest that was loaded last.
+func (f *Follower) loadedVersion() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.known == nil {
+	if f.loaded == nil {
 		return 0
 	}
-	return f.known.version
+	return f.loaded.version
 }
 
 func (f *Follower) load(ctx context.Context, manifest Manifest) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	held := f.state.Revision()
-	if manifest.Revision < held {
-		f.log.Warn("the store is behind the fleet; not applied", "store", manifest.Revision, "held", held)
-		f.known = &manifest
+	current := f.state.Revision()
+	if manifest.Revision < current {
+		f.log.Warn("store is behind the fleet; its configuration is not applied", "store", manifest.Revision, "held", current)
+		f.loaded = &manifest
 		return nil
 	}
-	if manifest.Revision == held {
-		f.known = &manifest
+	if manifest.Revision == current {
+		f.loaded = &manifest
 		return nil
 	}
-	known := f.known
-	if known != nil && known.Revision != held {
-		known = nil
+	base := f.loaded
+	if base != nil && base.Revision != current {
+		base = nil
 	}
-	delta, err := f.repository.load(ctx, &manifest, f.state, known)
+	delta, err := f.repository.load(ctx, &manifest, f.state, base)
 	if err != nil {
 		return err
 	}
-	f.take(delta, "store")
-	f.known = &manifest
+	f.apply(delta, "store")
+	f.loaded = &manifest
 	return nil
 }
 
-// Fetch reads the store once, so that a process that has just accepted a
-// command acts on it at once.
+// Fetch loads the configuration from the store once, so that a process that has just accepted a
+// command applies it immediately.
 func (f *Follower) Fetch(ctx context.Context) error {
 	manifest, err := f.repository.manifest(ctx)
 	if err != nil {
 		return err
 	}
-	f.storeSeen.Store(true)
+	f.storeAnswered.Store(true)
 	return f.load(ctx, manifest)
 }
--- a/internal/config/manifest.go
+++ b/internal/config/manifest.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	// ManifestKey is where the manifest is in the store.
+	// ManifestKey is the manifest's key in the store.
 	ManifestKey = "config/manifest"
-	// buckets is how many values the documents are spread over: at 5,000
+	// bucketCount is the number of values that the documents are spread over. With 5,000
 	// workspaces a bucket stays far below a megabyte.
-	buckets = 64
-	// keptCommands is how many commands the manifest remembers, so that a
-	// lost answer can be settled.
-	keptCommands = 256
+	bucketCount = 64
+	// maxCommands is the number of commands that the manifest records, so that the result of a
+	// command whose answer was lost can be found out.
+	maxCommands = 256
 )
 
-// Manifest is the one value whose compare-and-swap accepts a command.
+// Manifest is the value whose compare-and-swap accepts a command.
 type Manifest struct {
 	Revision uint64 `json:"revision"`
-	// Buckets name the value of each bucket by the command that wrote it.
+	// Buckets holds, for each bucket, the ID of the command that wrote its current value.
 	Buckets map[int]string `json:"buckets"`
-	// Commands are the last accepted ones, oldest first.
+	// Commands are the last accepted commands, oldest first.
 	Commands []Accepted `json:"commands"`
-	// version is the manifest's version in the store.
+	// version is the store's version of the manifest.
 	version uint64
 }
 
-// Accepted is what is kept of an accepted command.
+// Accepted is the record of an accepted command.
 type Accepted struct {
 	ID       string    `json:"id"`
 	Revision uint64    `json:"revision"`
 	Operator string    `json:"who"`
 	At       time.Time `json:"at"`
-	// Names are the documents that it changed.
+	// Names are the documents that the command changed.
 	Names []string `json:"names"`
 }
 
-// bucketValue is the value of one bucket.
+// bucketValue is the stored value of one bucket.
 type bucketValue struct {
 	Documents []Document `json:"documents"`
 }
 
 func bucketOf(name string) int {
-	return int(xxhash.Sum64String(name) % buckets)
+	return int(xxhash.Sum64String(name) % bucketCount)
 }
 
 func bucketKey(bucket int, command string) string {
 	return fmt.Sprintf("config/bucket/%d/%s", bucket, command)
 }
 
-// find gives the accepted command of an id.
+// find returns the accepted command with an ID.
 func (m *Manifest) find(id string) (Accepted, bool) {
 	for _, accepted := range m.Commands {
 		if accepted.ID == id {
@@ -69,7 +69,7 @@
 	return Accepted{}, false
 }
 
-// next is the manifest after one more command.
+// next returns the manifest after one more command.
 func (m *Manifest) next(accepted Accepted, written []int) Manifest {
 	next := Manifest{Revision: accepted.Revision, Buckets: make(map[int]string), version: m.version}
 	for bucket, command := range m.Buckets {
@@ -79,8 +79,8 @@
 		next.Buckets[bucket] = accepted.ID
 	}
 	next.Commands = append(slices.Clone(m.Commands), accepted)
-	if over := len(next.Commands) - keptCommands; over > 0 {
-		next.Commands = next.Commands[over:]
+	if excess := len(next.Commands) - maxCommands; excess > 0 {
+		next.Commands = next.Commands[excess:]
 	}
 	return next
 }
@@ -90,7 +90,7 @@
 	store external.Store
 }
 
-// manifest reads the manifest; an absent one is empty.
+// manifest reads the manifest; a missing one is returned as empty.
 func (r *repository) manifest(ctx context.Context) (Manifest, error) {
 	value, err := r.store.Get(ctx, ManifestKey)
 	if errors.Is(err, external.ErrNotFound) {
@@ -106,14 +106,14 @@
 	var manifest Manifest
 	if len(value.Data) > 0 {
 		if err := json.Unmarshal(value.Data, &manifest); err != nil {
-			return Manifest{}, errors.Wrap(err, "manifest is not readable")
+			return Manifest{}, errors.Wrap(err, "decode manifest")
 		}
 	}
 	manifest.version = value.Version
 	return manifest, nil
 }
 
-// bucket reads the documents of one bucket as a manifest names it.
+// bucket reads the documents of a bucket that a manifest refers to.
 func (r *repository) bucket(ctx context.Context, manifest *Manifest, bucket int) ([]Document, error) {
 	command, ok := manifest.Buckets[bucket]
 	if !ok {
@@ -123,15 +123,15 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "read bucket %d", bucket)
 	}
-	var read bucketValue
-	if err := json.Unmarshal(value.Data, &read); err != nil {
-		return nil, errors.Wrapf(err, "bucket %d is not readable", bucket)
+	var decoded bucketValue
+	if err := json.Unmarshal(value.Data, &decoded); err != nil {
+		return nil, errors.Wrapf(err, "decode bucket %d", bucket)
 	}
-	return read.Documents, nil
+	return decoded.Documents, nil
 }
 
-// putBucket writes one bucket's documents under a command's name. The key is
-// used for this one value only, so that a repeat finds the same value there.
+// putBucket writes one bucket's documents under a command's ID. The key is used for this value
+// only, so that a retry finds the same value there.
 func (r *repository) putBucket(ctx context.Context, bucket int, command string, documents []Document) error {
 	data, err := json.Marshal(bucketValue{Documents: documents})
 	if err != nil {
@@ -142,16 +142,16 @@
 	if !errors.Is(err, external.ErrVersion) {
 		return errors.Wrapf(err, "write bucket %d", bucket)
 	}
-	held, err := r.store.Get(ctx, key)
+	existing, err := r.store.Get(ctx, key)
 	if err != nil {
 		return errors.Wrapf(err, "read bucket %d", bucket)
 	}
-	_, err = r.store.Put(ctx, key, data, held.Version)
+	_, err = r.store.Put(ctx, key, data, existing.Version)
 	return errors.Wrapf(err, "write bucket %d", bucket)
 }
 
-// load reads the documents of the buckets that differ from those of known and
-// makes the delta to the manifest's revision.
+// load reads the documents of the buckets that differ from those of known, and returns the delta
+// to the manifest's revision.
 func (r *repository) load(ctx context.Context, manifest *Manifest, state *State, known *Manifest) (*wire.Delta, error) {
 	delta := &wire.Delta{From: state.Revision(), To: manifest.Revision}
 	held := make(map[int]map[string]bool)
@@ -162,7 +162,7 @@
 		}
 		held[bucket][document.Name] = true
 	}
-	for bucket := range buckets {
+	for bucket := range bucketCount {
 		if known != nil && known.Buckets[bucket] == manifest.Buckets[bucket] {
 			continue
 		}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -11,64 +11,64 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// ErrGap says that a delta starts after the revision held.
+// ErrGap means that a delta starts after the revision held.
 var ErrGap = errors.New("delta starts after the revision held")
 
-// keptRemovals is how many removed documents are remembered, so that a peer
-// that lags by fewer can be brought up by a delta.
-const keptRemovals = 1024
+// maxRemovals is the number of removed documents that are remembered. A peer that lags by fewer
+// removals can be updated by a delta.
+const maxRemovals = 1024
 
-// State is the configuration that one process has in force.
+// State is the configuration that a process applies.
 type State struct {
 	view atomic.Pointer[View]
 
 	mu        sync.Mutex
 	documents map[string]Document
-	// removed holds removed documents by name, with their revision.
-	removed map[string]uint64
-	// wholeBelow: a peer that holds a lower revision needs all documents.
-	wholeBelow uint64
-	changed    chan struct{}
+	// removals holds the revisions at which documents were removed, by name.
+	removals map[string]uint64
+	// Peers whose revision is below fullDeltaBelow need all documents.
+	fullDeltaBelow uint64
+	changed        chan struct{}
 }
 
 // NewState returns an empty configuration at revision zero.
 func NewState() *State {
 	s := &State{
 		documents: make(map[string]Document),
-		removed:   make(map[string]uint64),
+		removals:  make(map[string]uint64),
 		changed:   make(chan struct{}),
 	}
 	s.view.Store(emptyView())
 	return s
 }
 
-// View is the configuration in force.
+// View returns the current configuration.
 func (s *State) View() *View {
 	return s.view.Load()
 }
 
-// Revision is the revision in force.
+// Revision returns the current revision.
 func (s *State) Revision() uint64 {
 	return s.View().Revision
 }
 
-// Changed is closed when a later revision comes into force.
+// Changed returns a channel that is closed when a later revision is applied.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Apply brings a delta into force; it reports whether the revision rose. A
-// delta to a revision not above the one held changes nothing.
+// Apply applies a delta and reports whether the revision increased. A delta to a revision that is
+// not above the current one changes nothing.
 func (s *State) Apply(delta *wire.Delta) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	have := s.view.Load().Revision
-	if delta.GetTo() <= have {
+	current := s.view.Load().Revision
+	if delta.GetTo() <= current {
 		return false, nil
 	}
-	if !delta.GetWhole() && delta.GetFrom() > have {
+	if !delta.GetWhole() && delta.GetFrom() > current {
 		return false, ErrGap
 	}
 	if delta.GetWhole() {
@@ -77,23 +77,23 @@
 	for _, document := range delta.GetDocuments() {
 		s.put(document)
 	}
-	s.trimRemoved()
+	s.trimRemovals()
 	s.view.Store(buildView(delta.GetTo(), s.documents))
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return true, nil
 }
 
-// removeAbsent drops what a whole delta does not name.
+// removeAbsent removes the documents that a whole delta does not contain.
 func (s *State) removeAbsent(delta *wire.Delta) {
-	named := make(map[string]bool, len(delta.GetDocuments()))
+	present := make(map[string]bool, len(delta.GetDocuments()))
 	for _, document := range delta.GetDocuments() {
-		named[document.GetName()] = true
+		present[document.GetName()] = true
 	}
 	for name := range s.documents {
-		if !named[name] {
+		if !present[name] {
 			delete(s.documents, name)
-			s.removed[name] = delta.GetTo()
+			s.removals[name] = delta.GetTo()
 		}
 	}
 }
@@ -102,35 +102,35 @@
 	name := document.GetName()
 	if len(document.GetValue()) == 0 {
 		delete(s.documents, name)
-		s.removed[name] = document.GetRevision()
+		s.removals[name] = document.GetRevision()
 		return
 	}
-	delete(s.removed, name)
+	delete(s.removals, name)
 	s.documents[name] = Document{Name: name, Value: document.GetValue(), Revision: document.GetRevision()}
 }
 
-// trimRemoved forgets the oldest removals over the bound.
-func (s *State) trimRemoved() {
-	if len(s.removed) <= keptRemovals {
+// trimRemovals forgets the oldest removals if there are too many.
+func (s *State) trimRemovals() {
+	if len(s.removals) <= maxRemovals {
 		return
 	}
-	names := make([]string, 0, len(s.removed))
-	for name := range s.removed {
+	names := make([]string, 0, len(s.removals))
+	for name := range s.removals {
 		names = append(names, name)
 	}
-	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(s.removed[a], s.removed[b]) })
-	for _, name := range names[:len(names)-keptRemovals/2] {
-		s.wholeBelow = max(s.wholeBelow, s.removed[name])
-		delete(s.removed, name)
+	slices.SortFunc(names, func(a, b string) int { return cmp.Compare(s.removals[a], s.removals[b]) })
+	for _, name := range names[:len(names)-maxRemovals/2] {
+		s.fullDeltaBelow = max(s.fullDeltaBelow, s.removals[name])
+		delete(s.removals, name)
 	}
 }
 
-// Since is the delta for a peer that holds a revision.
+// DeltaSince returns the delta for a peer that holds a revision.
 func (s *State) DeltaSince(have uint64) *wire.Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delta := &wire.Delta{From: have, To: s.view.Load().Revision}
-	if have == 0 || have < s.wholeBelow {
+	if have == 0 || have < s.fullDeltaBelow {
 		delta.Whole = true
 		have = 0
 	}
@@ -140,7 +140,7 @@
 		}
 	}
 	if !delta.GetWhole() {
-		for name, revision := range s.removed {
+		for name, revision := range s.removals {
 			if revision > have {
 				delta.Documents = append(delta.Documents, &wire.Document{Name: name, Revision: revision})
 			}
@@ -150,7 +150,7 @@
 	return delta
 }
 
-// Documents lists all documents in order of name.
+// Documents returns all documents, sorted by name.
 func (s *State) Documents() []Document {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -7,8 +7,7 @@
 	"strings"
 )
 
-// View is one revision of the configuration, typed and ready for look-ups. It
-// is never changed after it was built.
+// View is one revision of the configuration in typed form for lookups. It is immutable.
 type View struct {
 	Revision   uint64
 	Workspaces map[string]Workspace
@@ -17,11 +16,11 @@
 	Routes     map[string]Route
 	Marks      map[string]Mark
 	Placements map[string]Placement
-	// byKeyHash finds a workspace's name by the hash of an API key.
+	// byKeyHash holds the names of workspaces by the hashes of their API keys.
 	byKeyHash map[string]string
 }
 
-// emptyView is the view before any configuration is known.
+// emptyView returns the view before any configuration is known.
 func emptyView() *View {
 	return &View{
 		Workspaces: make(map[string]Workspace),
@@ -34,8 +33,8 @@
 	}
 }
 
-// buildView reads all documents. One that cannot be read is left out: it was
-// checked when it was accepted, so it comes from a newer release.
+// buildView decodes all documents. One that can't be decoded is skipped: it was checked when it
+// was accepted, so it comes from a newer release.
 func buildView(revision uint64, documents map[string]Document) *View {
 	view := emptyView()
 	view.Revision = revision
@@ -52,25 +51,25 @@
 func (v *View) add(kind, name string, value json.RawMessage) {
 	switch kind {
 	case KindWorkspace:
-		if workspace, ok := read(v.Workspaces, name, value); ok {
+		if workspace, ok := decodeInto(v.Workspaces, name, value); ok {
 			for _, hash := range workspace.KeyHashes {
 				v.byKeyHash[hash] = name
 			}
 		}
 	case KindModel:
-		read(v.Models, name, value)
+		decodeInto(v.Models, name, value)
 	case KindService:
-		read(v.Services, name, value)
+		decodeInto(v.Services, name, value)
 	case KindRoute:
-		read(v.Routes, name, value)
+		decodeInto(v.Routes, name, value)
 	case KindMark:
-		read(v.Marks, name, value)
+		decodeInto(v.Marks, name, value)
 	case KindPlacement:
-		read(v.Placements, name, value)
+		decodeInto(v.Placements, name, value)
 	}
 }
 
-func read[T any](into map[string]T, name string, value json.RawMessage) (T, bool) {
+func decodeInto[T any](into map[string]T, name string, value json.RawMessage) (T, bool) {
 	var typed T
 	if json.Unmarshal(value, &typed) != nil {
 		return typed, false
@@ -79,14 +78,14 @@
 	return typed, true
 }
 
-// HashKey hashes an API key as it is kept.
+// HashKey returns the hash by which an API key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// WorkspaceByKey finds the workspace of an API key. The look-up is by hash, so its time
-// tells nothing about keys that exist.
+// WorkspaceByKey returns the workspace of an API key. The lookup is by hash, so its duration
+// reveals nothing about existing keys.
 func (v *View) WorkspaceByKey(key string) (string, Workspace, bool) {
 	name, ok := v.byKeyHash[HashKey(key)]
 	if !ok {
@@ -95,7 +94,7 @@
 	return name, v.Workspaces[name], true
 }
 
-// ModelFor follows a route, if there is one, to a model that exists.
+// ModelFor resolves a route, if there is one, and reports whether the model exists.
 func (v *View) ModelFor(name string) (string, bool) {
 	if route, ok := v.Routes[name]; ok {
 		name = route.Model
@@ -104,18 +103,19 @@
 	return name, ok
 }
 
-// slotsDefault is the size of a slot table when the service names none.
-const slotsDefault = 64
+// defaultSlots is the size of a slot table if the service sets none.
+const defaultSlots = 64
 
-// SlotCount is the size of a service's slot table.
+// SlotCount returns the size of the service's slot table.
 func (s Service) SlotCount() int {
 	if s.Slots > 0 {
 		return s.Slots
 	}
-	return slotsDefault
+	return defaultSlots
 }
 
-// NeedsKey says whether a call of a service may not be repeated.
+// NeedsKey reports whether calls to a path of the service may not be repeated and so need an
+// idempotency key.
 func (s Service) NeedsKey(path string) bool {
 	for _, prefix := range s.NotRepeatable {
 		if strings.HasPrefix(path, prefix) {
@@ -125,7 +125,7 @@
 	return false
 }
 
-// Leaving says whether a target is marked for a planned stop.
+// Leaving reports whether a target is marked for a planned stop.
 func (v *View) Leaving(target string) bool {
 	return v.Marks[target].Leaving
 }
