--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -99,7 +99,7 @@
 		}
 		known := l.entries[id]
 		age := now.Sub(known.loadsAt)
-		if len(known.loads) == 0 || age > l.options.LoadAge || i >= 0 && id == l.self.GetId() {
+		if len(known.loads) == 0 || age > l.options.MaxLoadAge || i >= 0 && id == l.self.GetId() {
 			continue
 		}
 		sample := sampleOf(id, known.loads, age)
@@ -123,7 +123,7 @@
 
 // Take takes in a datagram; it reports whether this process had to deny
 // something that was said of it.
-func (l *List) Take(beat *wire.Beat) (denied bool) {
+func (l *List) Receive(beat *wire.Beat) (denied bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.self.GetIncarnation()
@@ -142,7 +142,7 @@
 }
 
 // Remind passes a suspicion on again.
-func (l *List) Remind(id string) {
+func (l *List) ResendSuspicion(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known, ok := l.entries[id]; ok {
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -55,7 +55,7 @@
 			beat.Loads = append(beat.Loads, &wire.LoadSample{Id: m.GetId(), InFlight: []uint32{9, 12, 11, 10}, Limit: []uint32{15, 15, 15, 15}, AgeMs: 1})
 		}
 	}
-	l.Take(beat)
+	l.Receive(beat)
 	return l
 }
 
@@ -92,7 +92,7 @@
 		beat := l.Compose(&wire.Beat{}, beatMost)
 		beat.From = "host-0001"
 		for b.Loop() {
-			l.Take(beat)
+			l.Receive(beat)
 		}
 	})
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -22,17 +22,17 @@
 	// Suspicion is how long a suspected member has to deny it while there are
 	// few members; it grows with the logarithm of their number, as the time
 	// that news takes does.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 	// Buried is how long a dead member is remembered, so that late news does
 	// not bring it back.
-	Buried time.Duration
-	// LoadAge is how long a word on load is used.
-	LoadAge time.Duration
-	// FlapHalfLife and FlapMost damp members that come and go: each death
+	DeadRetention time.Duration
+	// MaxLoadAge is how long a word on load is used.
+	MaxLoadAge time.Duration
+	// FlapHalfLife and MaxFlaps damp members that come and go: each death
 	// counts one, the count halves in the half-life, and above the most the
 	// member is not Steady.
 	FlapHalfLife time.Duration
-	FlapMost     float64
+	MaxFlaps     float64
 	// Seed draws the order of probing; zero draws another one in each process.
 	Seed uint64
 }
@@ -40,11 +40,11 @@
 // DefaultOptions are the times used unless settings say otherwise.
 func DefaultOptions() Options {
 	return Options{
-		Suspicion:    5 * time.Second,
-		Buried:       10 * time.Minute,
-		LoadAge:      10 * time.Second,
-		FlapHalfLife: time.Minute,
-		FlapMost:     2.5,
+		SuspicionTimeout: 5 * time.Second,
+		DeadRetention:    10 * time.Minute,
+		MaxLoadAge:       10 * time.Second,
+		FlapHalfLife:     time.Minute,
+		MaxFlaps:         2.5,
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // Heard notes a datagram that came from a member itself.
-func (l *List) Heard(id string, config uint64) {
+func (l *List) RecordConfigRevision(id string, config uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known, ok := l.entries[id]; ok {
@@ -306,7 +306,7 @@
 				l.setStanding(known, wire.Standing_STANDING_DEAD)
 			}
 		case wire.Standing_STANDING_DEAD:
-			if waited > l.options.Buried {
+			if waited > l.options.DeadRetention {
 				l.forget(id, known)
 			}
 		}
@@ -319,7 +319,7 @@
 // suspicion is the time to deny a suspicion, at the present number of members.
 func (l *List) suspicion() time.Duration {
 	growth := math.Log(float64(len(l.entries)+1)) / math.Log(membersAtBase)
-	return time.Duration(max(growth, 1) * float64(l.options.Suspicion))
+	return time.Duration(max(growth, 1) * float64(l.options.SuspicionTimeout))
 }
 
 func (l *List) forget(id string, known *entry) {
--- a/internal/member/packets_test.go
+++ b/internal/member/packets_test.go
@@ -119,7 +119,7 @@
 			known.sends = 1000
 		}
 		service := NewService(list, p.conns[i], ServiceOptions{
-			Budget: benchBudget,
+			BytesPerSecond: benchBudget,
 			ConfigRevision: func() uint64 {
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -271,7 +271,7 @@
 		for range seconds {
 			for _, service := range p.services {
 				for range 10 {
-					service.Urge()
+					service.NotifyPeers()
 				}
 			}
 			time.Sleep(time.Second)
@@ -291,8 +291,8 @@
 	accuser.Merge(members)
 	accused.Merge(members)
 	accuser.Suspect(members[1].GetId())
-	accused.Take(accuser.Compose(&wire.Beat{}, beatMost))
-	accuser.Take(accused.Compose(&wire.Beat{}, beatMost))
+	accused.Receive(accuser.Compose(&wire.Beat{}, beatMost))
+	accuser.Receive(accused.Compose(&wire.Beat{}, beatMost))
 	is.Equal(standingOf(accuser, members[1].GetId()), wire.Standing_STANDING_ALIVE)
 }
 
@@ -324,7 +324,7 @@
 	p.revision[0]++
 	newest := p.revision[0]
 	p.mu.Unlock()
-	p.services[0].Urge()
+	p.services[0].NotifyPeers()
 	for {
 		time.Sleep(200 * time.Millisecond) // as a follower looks
 		behind := 0
@@ -342,7 +342,7 @@
 			p.mu.Lock()
 			p.revision[i] = newest
 			p.mu.Unlock()
-			p.services[i].Urge()
+			p.services[i].NotifyPeers()
 		}
 		if behind == 0 {
 			return time.Since(began)
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -51,7 +51,7 @@
 }
 
 // Some gives the beat addresses of a few random live members.
-func (l *List) Some(count int) []string {
+func (l *List) RandomAddresses(count int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var addresses []string
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -49,7 +49,7 @@
 	// Seeds are beat addresses to begin with.
 	Seeds []string
 	// Budget is the most bytes a second that are sent.
-	Budget int
+	BytesPerSecond int
 	// Signer signs and checks datagrams; nil for none.
 	Signer *secure.Signer
 	// ConfigRevision tells the configuration revision in force.
@@ -92,7 +92,7 @@
 		conn:    conn,
 		options: options,
 		log:     logger,
-		bucket:  rate.NewLimiter(rate.Limit(options.Budget), options.Budget),
+		bucket:  rate.NewLimiter(rate.Limit(options.BytesPerSecond), options.BytesPerSecond),
 		pending: make(map[uint64]chan struct{}),
 	}
 }
@@ -115,7 +115,7 @@
 }
 
 // Bad counts datagrams that were dropped for what they held.
-func (s *Service) Bad() int64 {
+func (s *Service) Dropped() int64 {
 	return s.bad.Load()
 }
 
@@ -177,7 +177,7 @@
 // once if it is up.
 func (s *Service) accuse(ctx context.Context, address netip.AddrPort, id string) {
 	for range probeTries {
-		s.list.Remind(id)
+		s.list.ResendSuspicion(id)
 		s.send(address, &wire.Beat{Sequence: s.sequence.Add(1)})
 		if !wait.For(ctx, probeWait) {
 			return
@@ -194,8 +194,8 @@
 )
 
 // Urge tells a few members at once that something has changed here.
-func (s *Service) Urge() {
-	for _, address := range s.list.Some(urgeCount) {
+func (s *Service) NotifyPeers() {
+	for _, address := range s.list.RandomAddresses(urgeCount) {
 		if to, err := netip.ParseAddrPort(address); err == nil {
 			s.sendSized(to, &wire.Beat{Sequence: s.sequence.Add(1)}, urgeSize)
 		}
@@ -256,8 +256,8 @@
 }
 
 func (s *Service) take(beat *wire.Beat, from netip.AddrPort) {
-	if denied := s.list.Take(beat); denied {
-		s.Urge()
+	if denied := s.list.Receive(beat); denied {
+		s.NotifyPeers()
 	}
 	if beat.GetAck() {
 		s.mu.Lock()
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -31,7 +31,7 @@
 	// ConfigRevision is what the member itself said last, to this process.
 	ConfigRevision uint64
 	// Heard is how long ago the word on load was said.
-	Heard time.Duration
+	LoadAge time.Duration
 }
 
 // Target is one target as its agent describes it.
@@ -72,12 +72,12 @@
 		Session:     m.GetSession(),
 		Standing:    m.GetStanding(),
 		Leaving:     m.GetLeaving(),
-		Steady:      l.decayed(known, now) <= l.options.FlapMost,
-		Heard:       now.Sub(known.loadsAt),
+		Steady:      l.decayed(known, now) <= l.options.MaxFlaps,
+		LoadAge:     now.Sub(known.loadsAt),
 
 		ConfigRevision: known.config,
 	}
-	fresh := peer.Heard <= l.options.LoadAge
+	fresh := peer.LoadAge <= l.options.MaxLoadAge
 	for i, target := range m.GetTargets() {
 		seen := Target{ID: target.GetId(), Pool: target.GetPool(), Leaving: target.GetLeaving(), Service: target.GetService()}
 		if fresh && i < len(known.loads) {
@@ -117,8 +117,8 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, known := range l.entries {
-		view := View{Member: known.member, Steady: l.decayed(known, now) <= l.options.FlapMost}
-		if now.Sub(known.loadsAt) <= l.options.LoadAge && len(known.loads) == len(known.member.GetTargets()) {
+		view := View{Member: known.member, Steady: l.decayed(known, now) <= l.options.MaxFlaps}
+		if now.Sub(known.loadsAt) <= l.options.MaxLoadAge && len(known.loads) == len(known.member.GetTargets()) {
 			view.Loads = known.loads
 		}
 		show(view)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -101,7 +101,7 @@
 	})
 	n.Beats = member.NewService(n.Members, options.BeatConn, member.ServiceOptions{
 		Seeds:          options.Seeds,
-		Budget:         options.Budget,
+		BytesPerSecond: options.Budget,
 		Signer:         options.Signer,
 		ConfigRevision: n.Config.Revision,
 		Roster:         n.roster,
--- a/internal/node/urger.go
+++ b/internal/node/urger.go
@@ -36,7 +36,7 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-			u.beats.Urge()
+			u.beats.NotifyPeers()
 		}
 	}
 }
--- a/internal/process/operators.go
+++ b/internal/process/operators.go
@@ -184,7 +184,7 @@
 		Standing:   strings.ToLower(strings.TrimPrefix(peer.Standing.String(), "STANDING_")),
 		Leaving:    peer.Leaving,
 		Steady:     peer.Steady,
-		HeardMS:    min(peer.Heard, time.Hour).Milliseconds(),
+		HeardMS:    min(peer.LoadAge, time.Hour).Milliseconds(),
 	}
 	for _, target := range peer.Targets {
 		row.Targets = append(row.Targets, TargetRow{
--- a/internal/session/world_test.go
+++ b/internal/session/world_test.go
@@ -314,7 +314,7 @@
 			for _, to := range all {
 				if from != to && !from.isCut() && !to.isCut() {
 					beat := from.members.Compose(&wire.Beat{ConfigRevision: from.state.Revision()}, 1200)
-					to.members.Take(beat)
+					to.members.Receive(beat)
 				}
 			}
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -184,7 +184,7 @@
 // MemberOptions fills in the defaults.
 func (s *Settings) MemberOptions() member.Options {
 	options := member.DefaultOptions()
-	options.Suspicion = orTime(s.Membership.Suspicion, options.Suspicion)
+	options.SuspicionTimeout = orTime(s.Membership.Suspicion, options.SuspicionTimeout)
 	return options
 }
 
