--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	benchRouters = 370
-	perHost      = 4
+	benchRouters   = 370
+	targetsPerHost = 4
 )
 
-// sizes are numbers of members: today's, half the planned and the planned one.
-var sizes = []int{16, 1135, 2270}
+// memberCounts are the current number of members, half the planned one and the planned one.
+var memberCounts = []int{16, 1135, 2270}
 
-// benchMembers makes a fleet with one router to about five agents.
+// benchMembers returns a fleet with one router to about five agents.
 func benchMembers(n int) []*wire.Member {
 	members := make([]*wire.Member, 0, n)
 	for i := range n {
@@ -36,8 +36,8 @@
 		if i*benchRouters/2270 != (i+1)*benchRouters/2270 {
 			m.Role = RoleRouter
 		} else {
-			for t := range perHost {
-				m.Targets = append(m.Targets, &wire.TargetState{Id: fmt.Sprintf("engine-%05d", i*perHost+t), Pool: fmt.Sprintf("model-%d", i%9)})
+			for t := range targetsPerHost {
+				m.Targets = append(m.Targets, &wire.TargetState{Id: fmt.Sprintf("engine-%05d", i*targetsPerHost+t), Pool: fmt.Sprintf("model-%d", i%9)})
 			}
 		}
 		members = append(members, m)
@@ -60,7 +60,7 @@
 }
 
 func eachSize(b *testing.B, work func(b *testing.B, l *List)) {
-	for _, n := range sizes {
+	for _, n := range memberCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			l := benchList(n)
 			b.ReportAllocs()
@@ -69,15 +69,15 @@
 	}
 }
 
-// BenchmarkCompose is one datagram in steady state.
+// BenchmarkCompose measures composing one heartbeat in steady state.
 func BenchmarkCompose(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		for _, known := range l.entries {
-			known.sends = 100
+			known.timesSent = 100
 		}
 		bytes, loads := 0, 0
 		for b.Loop() {
-			beat := l.Compose(&wire.Beat{}, beatMost)
+			beat := l.Compose(&wire.Beat{}, maxDatagramBytes)
 			bytes = proto.Size(beat)
 			loads = len(beat.GetLoads())
 		}
@@ -86,10 +86,10 @@
 	})
 }
 
-// BenchmarkTake is one datagram taken in.
+// BenchmarkTake measures processing one heartbeat.
 func BenchmarkTake(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
-		beat := l.Compose(&wire.Beat{}, beatMost)
+		beat := l.Compose(&wire.Beat{}, maxDatagramBytes)
 		beat.From = "host-0001"
 		for b.Loop() {
 			l.Receive(beat)
@@ -97,7 +97,7 @@
 	})
 }
 
-// BenchmarkMeanLoads is what an agent does once a second.
+// BenchmarkMeanLoads measures what an agent does once per second.
 func BenchmarkMeanLoads(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		for b.Loop() {
@@ -106,7 +106,7 @@
 	})
 }
 
-// BenchmarkExpire is what each process does once a second.
+// BenchmarkExpire measures what each process does once per second.
 func BenchmarkExpire(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		for b.Loop() {
@@ -115,7 +115,7 @@
 	})
 }
 
-// BenchmarkAhead is what each process does five times a second.
+// BenchmarkAhead measures what each process does five times per second.
 func BenchmarkAhead(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		for b.Loop() {
@@ -124,7 +124,7 @@
 	})
 }
 
-// BenchmarkPeers is a copy of all that is known.
+// BenchmarkPeers measures copying all members.
 func BenchmarkPeers(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		for b.Loop() {
@@ -133,7 +133,7 @@
 	})
 }
 
-// BenchmarkRoster is a whole exchange, in bytes.
+// BenchmarkRoster measures a roster exchange, in bytes.
 func BenchmarkRoster(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
 		bytes := 0
@@ -144,9 +144,9 @@
 	})
 }
 
-// BenchmarkListMemory is the memory of the list.
+// BenchmarkListMemory measures the memory of the list.
 func BenchmarkListMemory(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range memberCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var before, after runtime.MemStats
 			for b.Loop() {
--- a/internal/member/beat.go
+++ b/internal/member/heartbeat.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// beatMost bounds one datagram, in bytes, so that it is never fragmented.
-	beatMost = 1200
-	// newsMost bounds the part of a datagram that members take.
-	newsMost = 700
-	// spreadFactor times log2 of the members is how often news is passed on.
-	spreadFactor = 3
+	// maxDatagramBytes limits one datagram, so that it is never fragmented.
+	maxDatagramBytes = 1200
+	// maxMemberBytes limits the part of a datagram that member entries use.
+	maxMemberBytes = 700
+	// An update is sent gossipFactor times the base 2 logarithm of the number of members.
+	gossipFactor = 3
 )
 
-// Compose makes a datagram of at most size bytes: news first, the least
-// passed-on before the rest, then words on load.
+// Compose fills in a heartbeat of at most size bytes: first member updates, those sent least often
+// first, then load samples.
 func (l *List) Compose(beat *wire.Beat, size int) *wire.Beat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,31 +30,31 @@
 	beat.From = l.self.GetId()
 	beat.BeatAddress = l.self.GetBeatAddress()
 	beat.Digest = l.digest
-	size = min(size, beatMost)
-	l.addNews(beat, min(size, newsMost))
+	size = min(size, maxDatagramBytes)
+	l.addUpdates(beat, min(size, maxMemberBytes))
 	l.addLoads(beat, size)
 	return beat
 }
 
-// addNews adds the members whose newest word still has to be passed on.
-func (l *List) addNews(beat *wire.Beat, size int) {
-	most := spreadFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+1))))
-	var news []*entry
+// addUpdates adds the members whose latest update still has to be passed on.
+func (l *List) addUpdates(beat *wire.Beat, size int) {
+	maxSends := gossipFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+1))))
+	var updates []*entry
 	for _, known := range l.entries {
-		if known.sends < most {
-			news = append(news, known)
+		if known.timesSent < maxSends {
+			updates = append(updates, known)
 		}
 	}
-	slices.SortFunc(news, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(urgency(a), urgency(b)), cmp.Compare(a.sends, b.sends))
+	slices.SortFunc(updates, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(updatePriority(a), updatePriority(b)), cmp.Compare(a.timesSent, b.timesSent))
 	})
-	// The process's own entry always goes along, so that whoever hears it
-	// first knows where to answer.
+	// The process's own entry is always included, so that a process that hears of it for the first
+	// time knows where to answer.
 	beat.Members = append(beat.Members, l.self)
 	used := proto.Size(beat)
-	for _, known := range news {
+	for _, known := range updates {
 		if known.member == l.self {
-			known.sends++
+			known.timesSent++
 			continue
 		}
 		cost := proto.Size(known.member) + fieldOverhead
@@ -62,17 +62,18 @@
 			continue
 		}
 		used += cost
-		known.sends++
+		known.timesSent++
 		beat.Members = append(beat.Members, known.member)
 	}
 }
 
-// fieldOverhead is what a field's tag and length add to a message, at most.
+// fieldOverhead is the maximum size that a field's tag and length add to a message.
 const fieldOverhead = 4
 
-// urgency orders news: who is leaving or gone, or was thought so, first.
-func urgency(e *entry) int {
-	if e.cleared || e.member.GetLeaving() || e.member.GetStanding() != wire.Standing_STANDING_ALIVE {
+// updatePriority orders updates: members that are leaving, suspected or dead, or that refuted a
+// suspicion, go first.
+func updatePriority(e *entry) int {
+	if e.refuted || e.member.GetLeaving() || e.member.GetStanding() != wire.Standing_STANDING_ALIVE {
 		return 0
 	}
 	for _, target := range e.member.GetTargets() {
@@ -83,8 +84,8 @@
 	return 1
 }
 
-// addLoads fills the datagram with words on load: the process's own first,
-// then those of random members.
+// addLoads fills the rest of the heartbeat with load samples: the process's own first, then those
+// of random members.
 func (l *List) addLoads(beat *wire.Beat, size int) {
 	used := proto.Size(beat)
 	now := time.Now()
@@ -121,9 +122,9 @@
 	return sample
 }
 
-// Take takes in a datagram; it reports whether this process had to deny
-// something that was said of it.
-func (l *List) Receive(beat *wire.Beat) (denied bool) {
+// Receive processes a heartbeat. It reports whether this process had to refute a claim about
+// itself.
+func (l *List) Receive(beat *wire.Beat) (refuted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	before := l.self.GetIncarnation()
@@ -132,33 +133,33 @@
 	}
 	now := time.Now()
 	for _, sample := range beat.GetLoads() {
-		l.takeLoad(sample, now)
+		l.mergeLoad(sample, now)
 	}
 	if known, ok := l.entries[beat.GetFrom()]; ok {
-		known.config = beat.GetConfigRevision()
-		l.remind(known)
+		known.configRevision = beat.GetConfigRevision()
+		l.resendSuspicion(known)
 	}
 	return l.self.GetIncarnation() != before
 }
 
-// Remind passes a suspicion on again.
+// ResendSuspicion passes on the suspicion of a member again.
 func (l *List) ResendSuspicion(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known, ok := l.entries[id]; ok {
-		l.remind(known)
+		l.resendSuspicion(known)
 	}
 }
 
-// remind makes sure that a member that is suspected but still sends hears of
-// the suspicion, so that it can deny it.
-func (l *List) remind(known *entry) {
+// resendSuspicion ensures that a member that is suspected but still sends learns of the suspicion
+// and can refute it.
+func (l *List) resendSuspicion(known *entry) {
 	if known.member.GetStanding() != wire.Standing_STANDING_ALIVE {
-		known.sends = 0
+		known.timesSent = 0
 	}
 }
 
-func (l *List) takeLoad(sample *wire.LoadSample, now time.Time) {
+func (l *List) mergeLoad(sample *wire.LoadSample, now time.Time) {
 	known, ok := l.entries[sample.GetId()]
 	if !ok || sample.GetId() == l.self.GetId() || len(sample.GetLimit()) != len(sample.GetInFlight()) {
 		return
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -1,7 +1,7 @@
-// Package member keeps what one process knows of the others: who is up, which
-// targets they stand beside, how loaded these are, and who is leaving. The
-// processes exchange small datagrams under a hard byte budget; everything here
-// is a hint, and no promise rests on it.
+// Package member tracks what one process knows of the others: which are up, which targets they
+// serve, how loaded these are, and which members are leaving. The processes exchange small
+// datagrams within a hard byte budget. All of this information is a hint; no guarantee depends on
+// it.
 package member
 
 import (
@@ -17,27 +17,26 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Options are the list's times.
+// Options are the time limits of a List.
 type Options struct {
-	// Suspicion is how long a suspected member has to deny it while there are
-	// few members; it grows with the logarithm of their number, as the time
-	// that news takes does.
+	// SuspicionTimeout is how long a suspected member has to refute the suspicion while there are
+	// few members. It grows with the logarithm of their number, as does the time that an update
+	// takes to spread.
 	SuspicionTimeout time.Duration
-	// Buried is how long a dead member is remembered, so that late news does
-	// not bring it back.
+	// DeadRetention is how long a dead member is remembered, so that late updates don't bring it
+	// back.
 	DeadRetention time.Duration
-	// MaxLoadAge is how long a word on load is used.
+	// MaxLoadAge is how long a load sample is used.
 	MaxLoadAge time.Duration
-	// FlapHalfLife and MaxFlaps damp members that come and go: each death
-	// counts one, the count halves in the half-life, and above the most the
-	// member is not Steady.
+	// FlapHalfLife and MaxFlaps damp members that come and go. Each death counts one and the count
+	// decays with the half-life. While it is above MaxFlaps, the member is not Steady.
 	FlapHalfLife time.Duration
 	MaxFlaps     float64
-	// Seed draws the order of probing; zero draws another one in each process.
+	// Seed seeds the order of probing; zero means a random seed.
 	Seed uint64
 }
 
-// DefaultOptions are the times used unless settings say otherwise.
+// DefaultOptions returns the values used unless settings override them.
 func DefaultOptions() Options {
 	return Options{
 		SuspicionTimeout: 5 * time.Second,
@@ -48,7 +47,7 @@
 	}
 }
 
-// Load is an agent's word on one target's load.
+// Load is the load of one target as its agent reports it.
 type Load struct {
 	InFlight uint32
 	Limit    uint32
@@ -57,20 +56,20 @@
 // entry is what is known of one member.
 type entry struct {
 	member *wire.Member
-	// since is when its standing was last changed here.
-	since time.Time
-	// sends counts how often the newest word has been passed on.
-	sends int
-	// loads are the newest words on its targets, said at loadsAt.
+	// standingSince is when the member's standing last changed here.
+	standingSince time.Time
+	// timesSent counts how often the latest update was passed on.
+	timesSent int
+	// loads are the latest loads of the member's targets, reported at loadsAt.
 	loads   []Load
 	loadsAt time.Time
-	// checked says that this process has probed the member since it is suspected.
-	checked bool
-	// cleared says that the newest word denies a suspicion: it goes out first.
-	cleared bool
-	// config is the configuration revision heard from it directly.
-	config uint64
-	// flaps is the decayed count of its deaths at flapsAt.
+	// probedAsSuspect is set once this process has probed the member during the current suspicion.
+	probedAsSuspect bool
+	// refuted is set while the latest update refutes a suspicion; such an update is sent first.
+	refuted bool
+	// configRevision is the configuration revision that the member itself reported.
+	configRevision uint64
+	// flaps is the decayed count of the member's deaths, as of flapsAt.
 	flaps   float64
 	flapsAt time.Time
 }
@@ -83,19 +82,19 @@
 	random  *rand.Rand
 	self    *wire.Member
 	entries map[string]*entry
-	// order holds the ids in a random order for rounds of probing.
-	order []string
-	next  int
+	// order holds the IDs in a random order for rounds of probing.
+	order     []string
+	nextProbe int
 	// digest is the combined hash of all entries.
 	digest uint64
-	// generation rises with each change of members or their targets.
+	// generation increases with each change of members or their targets.
 	generation uint64
 	changed    chan struct{}
-	// suspicions counts suspicions begun here.
-	suspicions int
+	// suspicionCount counts the suspicions raised by this process.
+	suspicionCount int
 }
 
-// NewList returns a list that knows only the process itself.
+// NewList returns a list that contains only the process itself.
 func NewList(options Options, self *wire.Member) *List {
 	seed := options.Seed
 	if seed == 0 {
@@ -107,20 +106,20 @@
 	return l
 }
 
-// Changed is closed when members or their targets change.
+// Changed returns a channel that is closed when members or their targets change.
 func (l *List) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-func (l *List) wake() {
+func (l *List) notifyChanged() {
 	l.generation++
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// memberHash is a member's part of the digest.
+// memberHash returns a member's contribution to the digest.
 func memberHash(m *wire.Member) uint64 {
 	var buffer [24]byte
 	for i := range 8 {
@@ -137,46 +136,46 @@
 	now := time.Now()
 	known, ok := l.entries[m.GetId()]
 	if !ok {
-		known = &entry{since: now}
+		known = &entry{standingSince: now}
 		l.entries[m.GetId()] = known
-		at := l.random.IntN(len(l.order) + 1)
-		l.order = slices.Insert(l.order, at, m.GetId())
+		position := l.random.IntN(len(l.order) + 1)
+		l.order = slices.Insert(l.order, position, m.GetId())
 	} else {
 		l.digest ^= memberHash(known.member)
-		l.noteStanding(known, m, now)
-		known.cleared = m.GetStanding() == wire.Standing_STANDING_ALIVE && known.member.GetIncarnation() < m.GetIncarnation()
+		l.recordStanding(known, m, now)
+		known.refuted = m.GetStanding() == wire.Standing_STANDING_ALIVE && known.member.GetIncarnation() < m.GetIncarnation()
 	}
 	known.member = m
-	known.sends = 0
-	known.checked = false
+	known.timesSent = 0
+	known.probedAsSuspect = false
 	l.digest ^= memberHash(m)
-	l.wake()
+	l.notifyChanged()
 }
 
-// noteStanding keeps the time of a change and counts deaths.
-func (l *List) noteStanding(known *entry, m *wire.Member, now time.Time) {
+// recordStanding records the time of a change of standing and counts deaths.
+func (l *List) recordStanding(known *entry, m *wire.Member, now time.Time) {
 	if known.member.GetStanding() == m.GetStanding() && known.member.GetSession() == m.GetSession() {
 		return
 	}
-	known.since = now
+	known.standingSince = now
 	died := m.GetStanding() == wire.Standing_STANDING_DEAD
 	restarted := known.member.GetSession() != m.GetSession()
 	if died || restarted && known.member.GetStanding() == wire.Standing_STANDING_ALIVE {
-		known.flaps = l.decayed(known, now) + 1
+		known.flaps = l.flapCount(known, now) + 1
 		known.flapsAt = now
 	}
 }
 
-func (l *List) decayed(e *entry, now time.Time) float64 {
+func (l *List) flapCount(e *entry, now time.Time) float64 {
 	if e.flaps == 0 {
 		return 0
 	}
-	halves := float64(now.Sub(e.flapsAt)) / float64(l.options.FlapHalfLife)
-	return e.flaps * math.Exp2(-halves)
+	halfLives := float64(now.Sub(e.flapsAt)) / float64(l.options.FlapHalfLife)
+	return e.flaps * math.Exp2(-halfLives)
 }
 
-// newer says whether a word on a member goes before the one held.
-func newer(a, b *wire.Member) bool {
+// supersedes reports whether update a of a member takes precedence over b.
+func supersedes(a, b *wire.Member) bool {
 	return cmp.Or(
 		cmp.Compare(a.GetIncarnation(), b.GetIncarnation()),
 		cmp.Compare(a.GetStanding(), b.GetStanding()),
@@ -184,7 +183,7 @@
 	) > 0
 }
 
-// Merge takes in words on members.
+// Merge merges updates of members.
 func (l *List) Merge(members []*wire.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -198,24 +197,24 @@
 		return
 	}
 	if m.GetId() == l.self.GetId() {
-		l.defend(m)
+		l.refute(m)
 		return
 	}
 	known, ok := l.entries[m.GetId()]
 	if !ok && m.GetStanding() == wire.Standing_STANDING_DEAD {
 		return
 	}
-	if !ok || newer(m, known.member) {
+	if !ok || supersedes(m, known.member) {
 		l.put(m)
 	}
 }
 
-// defend answers what others say of this process: a suspicion, or a word of
-// an earlier run, is denied with a higher incarnation.
-func (l *List) defend(m *wire.Member) {
-	accused := m.GetStanding() != wire.Standing_STANDING_ALIVE && m.GetIncarnation() >= l.self.GetIncarnation()
-	older := m.GetIncarnation() > l.self.GetIncarnation()
-	if !accused && !older {
+// refute answers claims of others about this process. A suspicion, or an update from an earlier
+// run of the process, is refuted with a higher incarnation.
+func (l *List) refute(m *wire.Member) {
+	suspected := m.GetStanding() != wire.Standing_STANDING_ALIVE && m.GetIncarnation() >= l.self.GetIncarnation()
+	earlierRun := m.GetIncarnation() > l.self.GetIncarnation()
+	if !suspected && !earlierRun {
 		return
 	}
 	l.updateSelf(func(self *wire.Member) { self.Incarnation = m.GetIncarnation() + 1 })
@@ -246,7 +245,7 @@
 	}
 }
 
-// SetSelf changes what the process says of itself.
+// SetSelf sets what the process reports about itself.
 func (l *List) SetSelf(leaving bool, targets []*wire.TargetState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,7 +255,7 @@
 	})
 }
 
-// SetLoads notes the loads of the process's own targets.
+// SetLoads sets the loads of the process's own targets.
 func (l *List) SetLoads(loads []Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -265,16 +264,16 @@
 	own.loadsAt = time.Now()
 }
 
-// Heard notes a datagram that came from a member itself.
+// RecordConfigRevision records the configuration revision that a member itself reported.
 func (l *List) RecordConfigRevision(id string, config uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if known, ok := l.entries[id]; ok {
-		known.config = config
+		known.configRevision = config
 	}
 }
 
-// Suspect notes that a member did not answer.
+// Suspect records that a member did not answer.
 func (l *List) Suspect(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,7 +281,7 @@
 	if !ok || id == l.self.GetId() || known.member.GetStanding() != wire.Standing_STANDING_ALIVE {
 		return
 	}
-	l.suspicions++
+	l.suspicionCount++
 	l.setStanding(known, wire.Standing_STANDING_SUSPECT)
 }
 
@@ -292,17 +291,17 @@
 	l.put(next)
 }
 
-// Expire turns suspicions that were not denied into deaths, and forgets the
-// long dead.
+// Expire declares members dead whose suspicion was not refuted in time, and forgets those that
+// have been dead for long.
 func (l *List) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for id, known := range l.entries {
-		waited := now.Sub(known.since)
+		waited := now.Sub(known.standingSince)
 		switch known.member.GetStanding() {
 		case wire.Standing_STANDING_SUSPECT:
-			if waited > l.suspicion() {
+			if waited > l.suspicionTimeout() {
 				l.setStanding(known, wire.Standing_STANDING_DEAD)
 			}
 		case wire.Standing_STANDING_DEAD:
@@ -313,12 +312,12 @@
 	}
 }
 
-// membersAtBase is the number of members up to which Suspicion is not grown.
-const membersAtBase = 16
+// baseMembers is the number of members up to which SuspicionTimeout applies unchanged.
+const baseMembers = 16
 
-// suspicion is the time to deny a suspicion, at the present number of members.
-func (l *List) suspicion() time.Duration {
-	growth := math.Log(float64(len(l.entries)+1)) / math.Log(membersAtBase)
+// suspicionTimeout returns the time to refute a suspicion at the current number of members.
+func (l *List) suspicionTimeout() time.Duration {
+	growth := math.Log(float64(len(l.entries)+1)) / math.Log(baseMembers)
 	return time.Duration(max(growth, 1) * float64(l.options.SuspicionTimeout))
 }
 
@@ -326,10 +325,10 @@
 	l.digest ^= memberHash(known.member)
 	delete(l.entries, id)
 	l.order = slices.DeleteFunc(l.order, func(other string) bool { return other == id })
-	l.wake()
+	l.notifyChanged()
 }
 
-// Roster lists all members, the dead ones too.
+// Roster returns all members, including dead ones.
 func (l *List) Roster() []*wire.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -341,16 +340,16 @@
 	return members
 }
 
-// Digest is the combined hash of all that is known.
+// Digest returns the combined hash of all entries.
 func (l *List) Digest() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.digest
 }
 
-// Suspicions counts the suspicions begun by this process.
+// Suspicions returns the number of suspicions raised by this process.
 func (l *List) Suspicions() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.suspicions
+	return l.suspicionCount
 }
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -6,42 +6,42 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// checkShare of the time to deny a suspicion goes by before a process that has only
-// been told of it asks the suspected member itself.
-const checkShare = 0.5
+// probeShare is the part of the suspicion timeout after which a process that only heard of a
+// suspicion probes the suspected member itself.
+const probeShare = 0.5
 
-// unchecked is a member whose suspicion nears its end and that this process has not
-// probed meanwhile: its denial may have been lost on the way to this process only.
-// nil if there is none; l.mu is held.
-func (l *List) unchecked(now time.Time) *entry {
+// suspectToProbe returns a member whose suspicion is close to its timeout and that this process
+// has not probed since; nil if there is none. The member's refutation may have been lost on the
+// way to this process only. l.mu is held.
+func (l *List) suspectToProbe(now time.Time) *entry {
 	for _, id := range l.order {
 		known := l.entries[id]
-		if known.checked || known.member.GetStanding() != wire.Standing_STANDING_SUSPECT {
+		if known.probedAsSuspect || known.member.GetStanding() != wire.Standing_STANDING_SUSPECT {
 			continue
 		}
-		if now.Sub(known.since) > time.Duration(checkShare*float64(l.suspicion())) {
+		if now.Sub(known.standingSince) > time.Duration(probeShare*float64(l.suspicionTimeout())) {
 			return known
 		}
 	}
 	return nil
 }
 
-// NextProbe is the next member to probe: one whose suspicion nears its end before all
-// others, else each once a round; false if none.
+// NextProbe returns the next member to probe: first those whose suspicion is close to its timeout,
+// else each member once per round. It returns false if there is none.
 func (l *List) NextProbe() (*wire.Member, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if suspect := l.unchecked(time.Now()); suspect != nil {
-		suspect.checked = true
+	if suspect := l.suspectToProbe(time.Now()); suspect != nil {
+		suspect.probedAsSuspect = true
 		return suspect.member, true
 	}
 	for range len(l.order) {
-		if l.next >= len(l.order) {
-			l.next = 0
+		if l.nextProbe >= len(l.order) {
+			l.nextProbe = 0
 			l.random.Shuffle(len(l.order), func(i, j int) { l.order[i], l.order[j] = l.order[j], l.order[i] })
 		}
-		id := l.order[l.next]
-		l.next++
+		id := l.order[l.nextProbe]
+		l.nextProbe++
 		m := l.entries[id].member
 		if id != l.self.GetId() && m.GetStanding() != wire.Standing_STANDING_DEAD {
 			return m, true
@@ -50,7 +50,7 @@
 	return nil, false
 }
 
-// Some gives the beat addresses of a few random live members.
+// RandomAddresses returns the heartbeat addresses of up to count random live members.
 func (l *List) RandomAddresses(count int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// probeEvery is the time between two probes, before jitter.
-	probeEvery = time.Second
-	// probeTries and probeWait: a member is suspected when so many beats, so
-	// far apart, bring no answer.
-	probeTries = 3
-	probeWait  = 300 * time.Millisecond
-	// rosterEvery is the least time between two whole exchanges.
-	rosterEvery = 60 * time.Second
-	// rosterAfter is how many beats in a row must show another digest before
-	// a whole exchange is asked for.
-	rosterAfter = 20
-	// receiveBuffer is the largest datagram that is read, in bytes.
+	// probeInterval is the time between two probes, before jitter.
+	probeInterval = time.Second
+	// A member is suspected if it answers none of probeAttempts heartbeats, which are sent
+	// probeTimeout apart.
+	probeAttempts = 3
+	probeTimeout  = 300 * time.Millisecond
+	// rosterInterval is the minimum time between two roster exchanges.
+	rosterInterval = 60 * time.Second
+	// rosterThreshold is the number of successive heartbeats with another digest after which the
+	// roster is requested.
+	rosterThreshold = 20
+	// receiveBuffer is the maximum size of a datagram that is read, in bytes.
 	receiveBuffer = 2048
 )
 
@@ -44,17 +44,18 @@
 
 var _ PacketConn = (*net.UDPConn)(nil)
 
-// ServiceOptions are what the service needs besides the list.
+// ServiceOptions configure a Service, besides the options of its List.
 type ServiceOptions struct {
-	// Seeds are beat addresses to begin with.
+	// Seeds are the heartbeat addresses contacted at the start, and while no other member is
+	// known.
 	Seeds []string
-	// Budget is the most bytes a second that are sent.
+	// BytesPerSecond limits the bytes sent.
 	BytesPerSecond int
-	// Signer signs and checks datagrams; nil for none.
+	// Signer signs and verifies datagrams; nil means none.
 	Signer *secure.Signer
-	// ConfigRevision tells the configuration revision in force.
+	// ConfigRevision returns the current configuration revision.
 	ConfigRevision func() uint64
-	// Roster asks the process at a link address for all members.
+	// Roster requests all members from the process at a link address.
 	Roster func(ctx context.Context, address string) ([]*wire.Member, error)
 }
 
@@ -64,25 +65,25 @@
 	conn    PacketConn
 	options ServiceOptions
 	log     *log.Logger
-	// bucket is the byte budget.
-	bucket *rate.Limiter
+	// limiter enforces the byte budget.
+	limiter *rate.Limiter
 
 	sequence atomic.Uint64
 	mu       sync.Mutex
-	// pending are probes that wait for an answer, by sequence.
+	// pending holds, by sequence number, the channels of probes that wait for an answer.
 	pending map[uint64]chan struct{}
-	// differs counts beats in a row with another digest.
-	differs    int
-	lastRoster time.Time
+	// digestMismatches counts successive heartbeats with another digest.
+	digestMismatches int
+	lastRoster       time.Time
 
 	sent     atomic.Int64
 	received atomic.Int64
-	bad      atomic.Int64
+	dropped  atomic.Int64
 	cancel   context.CancelFunc
 	wait     sync.WaitGroup
 }
 
-// NewService returns a service that owns conn; Start begins its work.
+// NewService returns a service that owns conn; Start starts it.
 func NewService(list *List, conn PacketConn, options ServiceOptions, logger *log.Logger) *Service {
 	if options.Signer == nil {
 		options.Signer = &secure.Signer{}
@@ -92,12 +93,12 @@
 		conn:    conn,
 		options: options,
 		log:     logger,
-		bucket:  rate.NewLimiter(rate.Limit(options.BytesPerSecond), options.BytesPerSecond),
+		limiter: rate.NewLimiter(rate.Limit(options.BytesPerSecond), options.BytesPerSecond),
 		pending: make(map[uint64]chan struct{}),
 	}
 }
 
-// Start begins to exchange beats.
+// Start starts exchanging heartbeats.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// Close stops and waits.
+// Close stops the service and waits.
 func (s *Service) Close() error {
 	s.cancel()
 	err := s.conn.Close()
@@ -114,31 +115,31 @@
 	return errors.Wrap(err, "close socket")
 }
 
-// Bad counts datagrams that were dropped for what they held.
+// Dropped returns the number of datagrams dropped because of their content.
 func (s *Service) Dropped() int64 {
-	return s.bad.Load()
+	return s.dropped.Load()
 }
 
-// Traffic is the bytes sent and received so far.
+// Traffic returns the bytes sent and received so far.
 func (s *Service) Traffic() (sent, received int64) {
 	return s.sent.Load(), s.received.Load()
 }
 
 func (s *Service) probeLoop(ctx context.Context) {
-	s.greet()
-	for wait.For(ctx, probeEvery*3/4+rand.N(probeEvery/2)) {
+	s.contactSeeds()
+	for wait.For(ctx, probeInterval*3/4+rand.N(probeInterval/2)) {
 		s.list.Expire()
 		peer, ok := s.list.NextProbe()
 		if !ok {
-			s.greet()
+			s.contactSeeds()
 			continue
 		}
 		s.wait.Go(func() { s.probe(ctx, peer) })
 	}
 }
 
-// greet sends a beat to every seed.
-func (s *Service) greet() {
+// contactSeeds sends a heartbeat to every seed.
+func (s *Service) contactSeeds() {
 	for _, seed := range s.options.Seeds {
 		if address, err := netip.ParseAddrPort(seed); err == nil {
 			s.send(address, &wire.Beat{Sequence: s.sequence.Add(1)})
@@ -146,64 +147,65 @@
 	}
 }
 
-// probe asks one member for a sign of life, a few times.
+// probe sends a member up to probeAttempts heartbeats, and suspects it if none is answered.
 func (s *Service) probe(ctx context.Context, peer *wire.Member) {
 	address, err := netip.ParseAddrPort(peer.GetBeatAddress())
 	if err != nil {
 		return
 	}
-	answered := make(chan struct{}, probeTries)
+	answered := make(chan struct{}, probeAttempts)
 	var sequences []uint64
-	defer func() { s.expect(nil, sequences...) }()
-	for range probeTries {
+	defer func() { s.setPending(nil, sequences...) }()
+	for range probeAttempts {
 		sequence := s.sequence.Add(1)
 		sequences = append(sequences, sequence)
-		s.expect(answered, sequence)
+		s.setPending(answered, sequence)
 		s.send(address, &wire.Beat{Sequence: sequence})
 		select {
 		case <-answered:
 			return
 		case <-ctx.Done():
 			return
-		case <-time.After(probeWait):
+		case <-time.After(probeTimeout):
 		}
 	}
-	s.log.Debug("no answer to beats", "member", peer.GetId())
+	s.log.Debug("no answer to heartbeats", "member", peer.GetId())
 	s.list.Suspect(peer.GetId())
-	s.accuse(ctx, address, peer.GetId())
+	s.notifySuspect(ctx, address, peer.GetId())
 }
 
-// accuse tells a suspected member of the suspicion, so that it can deny it at
-// once if it is up.
-func (s *Service) accuse(ctx context.Context, address netip.AddrPort, id string) {
-	for range probeTries {
+// notifySuspect tells a suspected member of the suspicion, so that it can refute it at once if it
+// is up.
+func (s *Service) notifySuspect(ctx context.Context, address netip.AddrPort, id string) {
+	for range probeAttempts {
 		s.list.ResendSuspicion(id)
 		s.send(address, &wire.Beat{Sequence: s.sequence.Add(1)})
-		if !wait.For(ctx, probeWait) {
+		if !wait.For(ctx, probeTimeout) {
 			return
 		}
 	}
 }
 
 const (
-	// urgeCount is how many members are told at once of a new configuration
-	// revision, each of which tells as many.
-	urgeCount = 4
-	// urgeSize bounds such a datagram, in bytes.
-	urgeSize = 300
+	// notifyCount is how many members are notified at once of a new configuration revision. Each
+	// of them notifies as many.
+	notifyCount = 4
+	// maxNotifyBytes limits such a datagram.
+	maxNotifyBytes = 300
 )
 
-// Urge tells a few members at once that something has changed here.
+// NotifyPeers immediately sends a few members a heartbeat, so that they learn of a change here.
 func (s *Service) NotifyPeers() {
-	for _, address := range s.list.RandomAddresses(urgeCount) {
+	for _, address := range s.list.RandomAddresses(notifyCount) {
 		if to, err := netip.ParseAddrPort(address); err == nil {
-			s.sendSized(to, &wire.Beat{Sequence: s.sequence.Add(1)}, urgeSize)
+			s.sendSized(to, &wire.Beat{Sequence: s.sequence.Add(1)}, maxNotifyBytes)
 		}
 	}
 }
 
-// expect notes who waits for answers; a nil channel ends the waiting.
-func (s *Service) expect(answered chan struct{}, sequences ...uint64) {
+// setPending registers the channel that waits for answers to the sequence numbers; a nil channel
+// removes them.
+func (s *Service) setPending(answered chan struct{}, sequences ...uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, sequence := range sequences {
@@ -215,18 +217,18 @@
 	}
 }
 
-// send sends one datagram if the budget allows; it is made no larger than
-// what the budget still holds.
+// send sends one datagram if the budget allows; the datagram is made no larger than the rest of
+// the budget.
 func (s *Service) send(to netip.AddrPort, beat *wire.Beat) {
-	s.sendSized(to, beat, beatMost)
+	s.sendSized(to, beat, maxDatagramBytes)
 }
 
-func (s *Service) sendSized(to netip.AddrPort, beat *wire.Beat, most int) {
+func (s *Service) sendSized(to netip.AddrPort, beat *wire.Beat, maxSize int) {
 	beat.ConfigRevision = s.options.ConfigRevision()
-	room := min(int(s.bucket.Tokens()), most) - s.options.Signer.Overhead()
-	data, err := proto.Marshal(s.list.Compose(beat, room))
+	size := min(int(s.limiter.Tokens()), maxSize) - s.options.Signer.Overhead()
+	data, err := proto.Marshal(s.list.Compose(beat, size))
 	data = s.options.Signer.Sign(data)
-	if err != nil || !s.bucket.AllowN(time.Now(), len(data)) {
+	if err != nil || !s.limiter.AllowN(time.Now(), len(data)) {
 		return
 	}
 	if _, err := s.conn.WriteToUDPAddrPort(data, to); err == nil {
@@ -248,15 +250,15 @@
 		beat := new(wire.Beat)
 		data, genuine := s.options.Signer.Open(buffer[:n])
 		if !genuine || proto.Unmarshal(data, beat) != nil || beat.GetFrom() == "" {
-			s.bad.Add(1)
+			s.dropped.Add(1)
 			continue
 		}
-		s.take(beat, from)
+		s.handle(beat, from)
 	}
 }
 
-func (s *Service) take(beat *wire.Beat, from netip.AddrPort) {
-	if denied := s.list.Receive(beat); denied {
+func (s *Service) handle(beat *wire.Beat, from netip.AddrPort) {
+	if refuted := s.list.Receive(beat); refuted {
 		s.NotifyPeers()
 	}
 	if beat.GetAck() {
@@ -272,21 +274,21 @@
 	} else {
 		s.send(from, &wire.Beat{Sequence: beat.GetSequence(), Ack: true})
 	}
-	s.compare(beat)
+	s.compareDigest(beat)
 }
 
-// compare asks for a whole exchange when what the two know differs for long,
-// or when this process knows almost nobody.
-func (s *Service) compare(beat *wire.Beat) {
+// compareDigest requests the roster if the digests of the two processes have differed for long, or
+// if this process has never requested one.
+func (s *Service) compareDigest(beat *wire.Beat) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if beat.GetDigest() == s.list.Digest() {
-		s.differs = 0
+		s.digestMismatches = 0
 		return
 	}
-	s.differs++
+	s.digestMismatches++
 	first := s.lastRoster.IsZero()
-	due := s.differs >= rosterAfter && time.Since(s.lastRoster) > rosterEvery
+	due := s.digestMismatches >= rosterThreshold && time.Since(s.lastRoster) > rosterInterval
 	if !first && !due {
 		return
 	}
@@ -295,11 +297,11 @@
 		return
 	}
 	s.lastRoster = time.Now()
-	s.differs = 0
-	s.wait.Go(func() { s.exchange(address) })
+	s.digestMismatches = 0
+	s.wait.Go(func() { s.fetchRoster(address) })
 }
 
-// linkAddress finds where the sender of a beat takes links.
+// linkAddress returns the address at which the sender of a heartbeat accepts links.
 func (s *Service) linkAddress(beat *wire.Beat) string {
 	for _, m := range beat.GetMembers() {
 		if m.GetId() == beat.GetFrom() {
@@ -314,15 +316,15 @@
 	return ""
 }
 
-// exchangeTimeout bounds one whole exchange.
-const exchangeTimeout = 5 * time.Second
+// rosterTimeout limits one roster exchange.
+const rosterTimeout = 5 * time.Second
 
-func (s *Service) exchange(address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
+func (s *Service) fetchRoster(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), rosterTimeout)
 	defer cancel()
 	members, err := s.options.Roster(ctx, address)
 	if err != nil {
-		s.log.Debug("whole exchange failed", "peer", address, "error", err)
+		s.log.Debug("roster exchange failed", "peer", address, "error", err)
 		return
 	}
 	s.list.Merge(members)
--- a/internal/member/packets_test.go
+++ b/internal/member/service_test.go
@@ -19,7 +19,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// packetNet carries datagrams in memory, under virtual time, and loses some.
+// packetNet carries datagrams in memory, under virtual time, and drops some.
 type packetNet struct {
 	mu     sync.Mutex
 	conns  map[netip.AddrPort]*packetConn
@@ -38,7 +38,7 @@
 	inbox   chan packet
 	done    chan struct{}
 	once    sync.Once
-	// down drops all that comes and goes, as when the host is paused or gone.
+	// down drops all packets from and to the connection, as when its host is paused or gone.
 	down bool
 }
 
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// party is a number of processes that exchange beats.
-type party struct {
+// cluster is a number of processes that exchange heartbeats.
+type cluster struct {
 	net      *packetNet
 	lists    []*List
 	services []*Service
@@ -99,11 +99,11 @@
 	revision []uint64
 }
 
-const benchBudget = 4000
+const bytesPerSecond = 4000
 
-// newParty starts n processes that know each other.
-func newParty(n int, loss float64) *party {
-	p := &party{net: newPacketNet(loss), revision: make([]uint64, n)}
+// newCluster starts n processes that know each other.
+func newCluster(n int, loss float64) *cluster {
+	p := &cluster{net: newPacketNet(loss), revision: make([]uint64, n)}
 	members := benchMembers(n)
 	for i, m := range members {
 		conn := p.net.listen(i)
@@ -116,10 +116,10 @@
 		list := NewList(options, cloneMember(m))
 		list.Merge(members)
 		for _, known := range list.entries {
-			known.sends = 1000
+			known.timesSent = 1000
 		}
 		service := NewService(list, p.conns[i], ServiceOptions{
-			BytesPerSecond: benchBudget,
+			BytesPerSecond: bytesPerSecond,
 			ConfigRevision: func() uint64 {
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -136,13 +136,13 @@
 	return p
 }
 
-func (p *party) close() {
+func (p *cluster) close() {
 	for _, service := range p.services {
 		_ = service.Close()
 	}
 }
 
-func (p *party) bytes() float64 {
+func (p *cluster) bytes() float64 {
 	total := int64(0)
 	for _, service := range p.services {
 		sent, received := service.Traffic()
@@ -160,13 +160,14 @@
 	return wire.Standing_STANDING_UNSPECIFIED
 }
 
-// detect ends one process and measures until all others know it.
-func (p *party) detect() (first, all time.Duration) {
+// measureDetection stops one process and measures the time until the first and until all others
+// have declared it dead.
+func (p *cluster) measureDetection() (firstDetected, allDetected time.Duration) {
 	const victim = 3
 	id := p.lists[victim].self.GetId()
 	p.conns[victim].setDown(true)
 	began := time.Now()
-	for all == 0 && time.Since(began) < 2*time.Minute {
+	for allDetected == 0 && time.Since(began) < 2*time.Minute {
 		time.Sleep(100 * time.Millisecond)
 		dead := 0
 		for i, list := range p.lists {
@@ -174,17 +175,17 @@
 				dead++
 			}
 		}
-		if dead > 0 && first == 0 {
-			first = time.Since(began)
+		if dead > 0 && firstDetected == 0 {
+			firstDetected = time.Since(began)
 		}
 		if dead == len(p.lists)-1 {
-			all = time.Since(began)
+			allDetected = time.Since(began)
 		}
 	}
-	return first, all
+	return firstDetected, allDetected
 }
 
-func (p *party) suspicions() int {
+func (p *cluster) suspicions() int {
 	sum := 0
 	for _, list := range p.lists {
 		sum += list.Suspicions()
@@ -192,7 +193,7 @@
 	return sum
 }
 
-func (p *party) deaths() int {
+func (p *cluster) deaths() int {
 	dead := 0
 	for _, list := range p.lists {
 		for _, peer := range list.Peers() {
@@ -204,12 +205,12 @@
 	return dead
 }
 
-// A process that ends is known to all as dead; one that is paused for 3 s, and
-// a network that loses one datagram in twenty, kill nobody.
-func TestDeathIsFoundAndPausesForgiven(t *testing.T) {
+// A process that ends is declared dead by all. A pause of 3 s and the loss of one datagram in
+// twenty cause no false death.
+func TestDeathIsDetectedAndPausesTolerated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		p := newParty(30, 0.05)
+		p := newCluster(30, 0.05)
 		defer p.close()
 		time.Sleep(time.Minute)
 		p.conns[5].setDown(true)
@@ -217,16 +218,16 @@
 		p.conns[5].setDown(false)
 		time.Sleep(time.Minute)
 		is.Equal(p.deaths(), 0)
-		_, all := p.detect()
+		_, all := p.measureDetection()
 		is.True(all > 0)
 	})
 }
 
-// With hundreds of members, suspicions at 5% loss are denied before anybody
-// takes the suspected for dead.
-func TestLossKillsNobodyAmongMany(t *testing.T) {
+// With hundreds of members, suspicions at 5% loss are refuted before any process declares the
+// suspected member dead.
+func TestNoFalseDeathsUnderPacketLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newParty(300, 0.05)
+		p := newCluster(300, 0.05)
 		defer p.close()
 		time.Sleep(90 * time.Second)
 		is.New(t).True(p.suspicions() > 0)
@@ -234,9 +235,9 @@
 	})
 }
 
-// TestASuspectIsAskedBeforeItIsBuried: found as a false death among 300 members: the
-// suspicion had reached a process and its denial had not.
-func TestASuspectIsAskedBeforeItIsBuried(t *testing.T) {
+// Guards against a false death that occurred among 300 members: a process had received the
+// suspicion of a member but not the refutation.
+func TestSuspectIsProbedBeforeDeclaredDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := benchMembers(40)
@@ -247,25 +248,26 @@
 		accused := cloneMember(members[17])
 		accused.Standing = wire.Standing_STANDING_SUSPECT
 		l.Merge([]*wire.Member{accused})
-		time.Sleep(l.suspicion() * 6 / 10)
+		time.Sleep(l.suspicionTimeout() * 6 / 10)
 		next, ok := l.NextProbe()
 		is.True(ok)
 		is.Equal(next.GetId(), accused.GetId())
 		again, _ := l.NextProbe()
-		is.True(again.GetId() != accused.GetId()) // once is enough
+		is.True(again.GetId() != accused.GetId()) // a suspect is probed once only
 		denied := cloneMember(members[17])
 		denied.Incarnation++
 		l.Merge([]*wire.Member{denied})
-		time.Sleep(l.suspicion())
+		time.Sleep(l.suspicionTimeout())
 		l.Expire()
 		is.Equal(standingOf(l, accused.GetId()), wire.Standing_STANDING_ALIVE)
 	})
 }
 
-// The budget is never exceeded by more than what it had saved up.
-func TestBudgetHolds(t *testing.T) {
+// The bytes sent never exceed the budget by more than one second's worth, the most that can be
+// saved up.
+func TestByteBudgetIsNotExceeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newParty(20, 0)
+		p := newCluster(20, 0)
 		defer p.close()
 		const seconds = 60
 		for range seconds {
@@ -278,31 +280,31 @@
 		}
 		for _, service := range p.services {
 			sent, _ := service.Traffic()
-			is.New(t).True(sent <= benchBudget*(seconds+1))
+			is.New(t).True(sent <= bytesPerSecond*(seconds+1))
 		}
 	})
 }
 
-// A suspected process that is alive denies it with a higher incarnation.
-func TestSuspicionIsDenied(t *testing.T) {
+// A suspected process that is alive refutes the suspicion with a higher incarnation.
+func TestSuspicionIsRefuted(t *testing.T) {
 	is := is.New(t)
 	members := benchMembers(3)
 	accuser, accused := NewList(DefaultOptions(), cloneMember(members[0])), NewList(DefaultOptions(), cloneMember(members[1]))
 	accuser.Merge(members)
 	accused.Merge(members)
 	accuser.Suspect(members[1].GetId())
-	accused.Receive(accuser.Compose(&wire.Beat{}, beatMost))
-	accuser.Receive(accused.Compose(&wire.Beat{}, beatMost))
+	accused.Receive(accuser.Compose(&wire.Beat{}, maxDatagramBytes))
+	accuser.Receive(accused.Compose(&wire.Beat{}, maxDatagramBytes))
 	is.Equal(standingOf(accuser, members[1].GetId()), wire.Standing_STANDING_ALIVE)
 }
 
-// A process that dies again and again is not steady for a while.
-func TestFlappingIsDamped(t *testing.T) {
+// A process that dies repeatedly is not steady for a while.
+func TestFlappingMemberIsNotSteady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		members := benchMembers(2)
 		l := NewList(DefaultOptions(), cloneMember(members[0]))
-		steady := func() bool { return l.Peers()[1].Steady }
+		isSteady := func() bool { return l.Peers()[1].Steady }
 		for run := range 4 {
 			m := cloneMember(members[1])
 			m.Incarnation += uint64(run)
@@ -310,15 +312,15 @@
 			l.Merge([]*wire.Member{m})
 			time.Sleep(time.Second)
 		}
-		is.True(!steady())
+		is.True(!isSteady())
 		time.Sleep(3 * time.Minute)
-		is.True(steady())
+		is.True(isSteady())
 	})
 }
 
-// spread counts the time until all processes have heard of a revision, each
-// telling others as a node does.
-func (p *party) spread() time.Duration {
+// measureSpread measures the time until all processes have heard of a revision, where each one
+// notifies others as a node does.
+func (p *cluster) measureSpread() time.Duration {
 	began := time.Now()
 	p.mu.Lock()
 	p.revision[0]++
@@ -326,7 +328,7 @@
 	p.mu.Unlock()
 	p.services[0].NotifyPeers()
 	for {
-		time.Sleep(200 * time.Millisecond) // as a follower looks
+		time.Sleep(200 * time.Millisecond) // the interval at which a follower checks
 		behind := 0
 		for i, list := range p.lists {
 			p.mu.Lock()
@@ -350,21 +352,21 @@
 	}
 }
 
-// BenchmarkMembership measures, in virtual time, detection of a death, false
-// suspicions at 5% loss, bytes a second and the spread of a revision.
+// BenchmarkMembership measures, in virtual time, the detection of a death, false suspicions at 5%
+// loss, bytes per second and the spread of a revision.
 func BenchmarkMembership(b *testing.B) {
 	for _, n := range []int{16, 63, 250, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				runInBubble(func() { measureParty(b, n) })
+				runInBubble(func() { measureCluster(b, n) })
 			}
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-func measureParty(b *testing.B, n int) {
-	p := newParty(n, 0.05)
+func measureCluster(b *testing.B, n int) {
+	p := newCluster(n, 0.05)
 	defer p.close()
 	time.Sleep(10 * time.Second)
 	before := p.bytes()
@@ -375,18 +377,18 @@
 	b.ReportMetric(float64(p.deaths())/float64(n), "false-deaths/process")
 	var spreads []time.Duration
 	for range 10 {
-		spreads = append(spreads, p.spread())
+		spreads = append(spreads, p.measureSpread())
 	}
 	slices.Sort(spreads)
 	b.ReportMetric(spreads[len(spreads)/2].Seconds(), "spread-p50-s")
 	b.ReportMetric(spreads[len(spreads)-1].Seconds(), "spread-worst-s")
-	first, all := p.detect()
+	first, all := p.measureDetection()
 	b.ReportMetric(first.Seconds(), "dead-first-s")
 	b.ReportMetric(all.Seconds(), "dead-all-s")
 }
 
-// runInBubble runs a function under virtual time from a benchmark, which
-// synctest itself only offers to tests.
+// runInBubble runs a function under virtual time from a benchmark, which synctest only supports in
+// tests.
 func runInBubble(work func()) {
 	synctest.Test(new(testing.T), func(*testing.T) { work() })
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Role names of processes.
+// The roles of processes.
 const (
 	RoleRouter = "router"
 	RoleAgent  = "agent"
@@ -26,30 +26,30 @@
 	Leaving     bool
 	// Steady is false for a member that comes and goes too often.
 	Steady bool
-	// Targets are an agent's, with its newest word on their load.
+	// Targets are an agent's targets with their latest loads.
 	Targets []Target
-	// ConfigRevision is what the member itself said last, to this process.
+	// ConfigRevision is the latest revision that the member itself reported to this process.
 	ConfigRevision uint64
-	// Heard is how long ago the word on load was said.
+	// LoadAge is the age of the loads in Targets.
 	LoadAge time.Duration
 }
 
-// Target is one target as its agent describes it.
+// Target is a target as its agent describes it.
 type Target struct {
 	ID      string
 	Pool    string
 	Leaving bool
 	Service bool
-	// Load is zero when nothing fresh is known.
+	// Load is zero if no recent load is known.
 	Load Load
 }
 
-// Alive says whether the member counts as up.
+// Alive reports whether the member is considered up.
 func (p *Peer) Alive() bool {
 	return p.Standing == wire.Standing_STANDING_ALIVE || p.Standing == wire.Standing_STANDING_SUSPECT
 }
 
-// Peers lists the members, this process included, in order of id.
+// Peers returns the members, including this process, sorted by ID.
 func (l *List) Peers() []Peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,52 +72,51 @@
 		Session:     m.GetSession(),
 		Standing:    m.GetStanding(),
 		Leaving:     m.GetLeaving(),
-		Steady:      l.decayed(known, now) <= l.options.MaxFlaps,
+		Steady:      l.flapCount(known, now) <= l.options.MaxFlaps,
 		LoadAge:     now.Sub(known.loadsAt),
 
-		ConfigRevision: known.config,
+		ConfigRevision: known.configRevision,
 	}
 	fresh := peer.LoadAge <= l.options.MaxLoadAge
 	for i, target := range m.GetTargets() {
-		seen := Target{ID: target.GetId(), Pool: target.GetPool(), Leaving: target.GetLeaving(), Service: target.GetService()}
+		described := Target{ID: target.GetId(), Pool: target.GetPool(), Leaving: target.GetLeaving(), Service: target.GetService()}
 		if fresh && i < len(known.loads) {
-			seen.Load = known.loads[i]
+			described.Load = known.loads[i]
 		}
-		peer.Targets = append(peer.Targets, seen)
+		peer.Targets = append(peer.Targets, described)
 	}
 	return peer
 }
 
-// Generation rises with each change of members or their targets, but not with
-// words on load.
+// Generation returns a counter that increases with each change of members or their targets, but
+// not of loads.
 func (l *List) Generation() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.generation
 }
 
-// View is a member as Visit shows it; it must not be kept or changed.
+// View is a member as passed to Visit's callback, which must not keep or change it.
 type View struct {
 	Member *wire.Member
 	// Steady is false for a member that comes and goes too often.
 	Steady bool
-	// Loads are parallel to the member's targets; empty if nothing fresh is
-	// known.
+	// Loads are parallel to the member's targets; empty if no recent loads are known.
 	Loads []Load
 }
 
-// Alive says whether the member counts as up.
+// Alive reports whether the member is considered up.
 func (v View) Alive() bool {
 	return v.Member.GetStanding() != wire.Standing_STANDING_DEAD
 }
 
-// Visit shows all members, in no order, while the list is locked.
+// Visit calls show for all members, in no particular order, while the list is locked.
 func (l *List) Visit(show func(View)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	for _, known := range l.entries {
-		view := View{Member: known.member, Steady: l.decayed(known, now) <= l.options.MaxFlaps}
+		view := View{Member: known.member, Steady: l.flapCount(known, now) <= l.options.MaxFlaps}
 		if now.Sub(known.loadsAt) <= l.options.MaxLoadAge && len(known.loads) == len(known.member.GetTargets()) {
 			view.Loads = known.loads
 		}
@@ -125,7 +124,7 @@
 	}
 }
 
-// LinkAddress gives where a member takes links; false if it is not known.
+// LinkAddress returns the address at which a member accepts links; false if unknown.
 func (l *List) LinkAddress(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,15 +135,14 @@
 	return known.member.GetLinkAddress(), true
 }
 
-// poolSum adds up the loads of a pool's targets.
+// poolSum is the sum of the loads of a pool's targets.
 type poolSum struct {
 	load  float64
 	count int
 }
 
-// MeanLoads gives the mean load of each pool's targets whose word is fresh;
-// a pool without any has no entry. With thousands of targets the fresh ones
-// are a sample.
+// MeanLoads returns the mean load of each pool over the targets with a recent load; a pool without
+// any has no entry. With thousands of targets those with a recent load are a sample.
 func (l *List) MeanLoads() map[string]float64 {
 	sums := make(map[string]poolSum)
 	l.Visit(func(view View) {
@@ -169,26 +167,26 @@
 	return means
 }
 
-// Ahead gives the link address of a live member that said it holds a
-// configuration above a revision.
+// Ahead returns the link address of a live member that reported a configuration revision above the
+// given one.
 func (l *List) Ahead(revision uint64) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, known := range l.entries {
 		up := known.member.GetStanding() == wire.Standing_STANDING_ALIVE
-		if up && known.config > revision && known.member.GetId() != l.self.GetId() {
+		if up && known.configRevision > revision && known.member.GetId() != l.self.GetId() {
 			return known.member.GetLinkAddress(), true
 		}
 	}
 	return "", false
 }
 
-// watchersPerCenter is how many routers of a data centre watch the store.
+// watchersPerCenter is the number of routers per data centre that watch the store.
 const watchersPerCenter = 2
 
-// Watcher says whether this process is among the few that watch the store:
-// the first routers of its data centre by rendezvous. Lists that disagree for
-// a moment cost a watch too many or too few, nothing else.
+// Watcher reports whether this process is one of the few that watch the store: the routers of its
+// data centre that rank first by rendezvous hashing. Members that disagree for a moment only cause
+// a watch too many or too few.
 func (l *List) Watcher() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
