--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -16,9 +16,9 @@
 	// MaxWaiting limits the queue, in requests.
 	MaxWaiting int
 	// HalfLife is the half-life of past offers and admissions in the shares of ranks, and
-	// PaceHalfLife that of admissions in the admission rate.
+	// RateHalfLife that of admissions in the admission rate.
 	HalfLife     time.Duration
-	PaceHalfLife time.Duration
+	RateHalfLife time.Duration
 	// MinRetryAfter is the shortest time after which a refused caller retries.
 	MinRetryAfter time.Duration
 }
@@ -30,7 +30,7 @@
 		MinShare:      0.5,
 		MaxWaiting:    256,
 		HalfLife:      2 * time.Second,
-		PaceHalfLife:  time.Second,
+		RateHalfLife:  time.Second,
 		MinRetryAfter: 100 * time.Millisecond,
 	}
 }
@@ -154,7 +154,7 @@
 		l.waiting--
 		l.granted++
 		l.admitted[rank].add(1, now, l.options.HalfLife)
-		l.admissions.add(1, now, l.options.PaceHalfLife)
+		l.admissions.add(1, now, l.options.RateHalfLife)
 		close(first.decided)
 	}
 }
@@ -202,7 +202,7 @@
 
 // admissionRate returns the recent admissions per second; l.mu is held.
 func (l *Limiter) admissionRate(now time.Time) float64 {
-	return l.admissions.rate(now, l.options.PaceHalfLife)
+	return l.admissions.rate(now, l.options.RateHalfLife)
 }
 
 const (
@@ -216,7 +216,7 @@
 // estimateWait estimates how long a newly queued request will wait; it returns zero if there were
 // too few admissions to tell. l.mu is held.
 func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
-	if l.admissions.valueAt(now, l.options.PaceHalfLife) < minAdmissionsForEstimate {
+	if l.admissions.valueAt(now, l.options.RateHalfLife) < minAdmissionsForEstimate {
 		return 0
 	}
 	ahead := l.queues[turn.rank].aheadOf(turn.waiter)
