--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -188,8 +188,8 @@
 			}
 		}()
 		synctest.Wait()
-		stop := false
-		for !stop {
+		done := false
+		for !done {
 			next := make(chan *Place, 1)
 			go func() {
 				got, _ := g.Admit(t.Context(), Ticket{Workspace: "clinic", Wait: true})
@@ -202,7 +202,7 @@
 			select {
 			case waited := <-served:
 				is.New(t).True(waited <= options.Patience+time.Second)
-				stop = true
+				done = true
 			default:
 				is.New(t).True(time.Since(began) < time.Minute)
 			}
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -130,12 +130,12 @@
 	return l.waiting + l.granted
 }
 
-// RetryAfter returns the time after which a caller whose request was refused should retry. left is
-// the time until the caller's deadline, zero if unknown.
-func (l *Limiter) RetryAfter(left time.Duration, now time.Time) time.Duration {
+// RetryAfter returns the time after which a caller whose request was refused should retry.
+// remaining is the time until the caller's deadline, zero if unknown.
+func (l *Limiter) RetryAfter(remaining time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.retryAfter(left, now)
+	return l.retryAfter(remaining, now)
 }
 
 // Admit admits queued requests while there is room.
@@ -149,20 +149,20 @@
 func (l *Limiter) admit(room int, now time.Time) {
 	for l.granted < room && l.waiting > 0 {
 		rank := l.nextRank(now)
-		first := l.queues[rank].pop()
-		first.state = waiterAdmitted
+		next := l.queues[rank].pop()
+		next.state = waiterAdmitted
 		l.waiting--
 		l.granted++
 		l.admitted[rank].add(1, now, l.options.HalfLife)
 		l.admissions.add(1, now, l.options.RateHalfLife)
-		close(first.decided)
+		close(next.decided)
 	}
 }
 
 // nextRank returns the rank to serve next: the most urgent rank whose admitted share is below the
 // minimum, or else the most urgent one with a waiting request; l.mu is held.
 func (l *Limiter) nextRank(now time.Time) int {
-	first := -1
+	mostUrgent := -1
 	minShare := l.options.MinShare * l.meanShare(now)
 	for rank, queue := range l.queues {
 		if queue.count == 0 {
@@ -171,11 +171,11 @@
 		if l.admittedShare(rank, now) < minShare {
 			return rank
 		}
-		if first < 0 {
-			first = rank
+		if mostUrgent < 0 {
+			mostUrgent = rank
 		}
 	}
-	return first
+	return mostUrgent
 }
 
 // admittedShare returns the recently admitted part of a rank's offers; l.mu is held.
@@ -241,8 +241,8 @@
 
 // retryAfter returns the time after which a refused caller should retry. Successive refused
 // callers are spaced out at the spare rate; l.mu is held.
-func (l *Limiter) retryAfter(left time.Duration, now time.Time) time.Duration {
-	longest := max(time.Duration(maxRetryFraction*float64(left)), l.options.MinRetryAfter)
+func (l *Limiter) retryAfter(remaining time.Duration, now time.Time) time.Duration {
+	longest := max(time.Duration(maxRetryFraction*float64(remaining)), l.options.MinRetryAfter)
 	gap := longest
 	if pace := l.spareRate(now); pace >= minSpareRate {
 		gap = time.Duration(float64(time.Second) / pace)
@@ -282,7 +282,7 @@
 
 // Leave takes a request out of the queue and returns the time after which its caller may retry. It
 // returns false if the request has been admitted in the meantime.
-func (t *Turn) Leave(left time.Duration, now time.Time) (time.Duration, bool) {
+func (t *Turn) Leave(remaining time.Duration, now time.Time) (time.Duration, bool) {
 	l := t.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -290,5 +290,5 @@
 		return 0, false
 	}
 	l.remove(t)
-	return l.retryAfter(left, now), true
+	return l.retryAfter(remaining, now), true
 }
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -36,16 +36,16 @@
 		busy := 0
 		var waiting []*admission.Turn
 		settle := func() {
-			var still []*admission.Turn
+			var stillWaiting []*admission.Turn
 			for _, turn := range waiting {
 				if isAdmitted(turn) {
 					turn.Begin()
 					busy++
 				} else {
-					still = append(still, turn)
+					stillWaiting = append(stillWaiting, turn)
 				}
 			}
-			waiting = still
+			waiting = stillWaiting
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
@@ -135,20 +135,20 @@
 		if turn, _ := limiter.Offer(next, room, now); turn != nil {
 			waiting = append(waiting, queued{turn, next, now.Add(60 * time.Millisecond)})
 		}
-		var still []queued
-		for _, one := range waiting {
+		var stillWaiting []queued
+		for _, request := range waiting {
 			switch {
-			case isAdmitted(one.turn):
-				one.turn.Begin()
+			case isAdmitted(request.turn):
+				request.turn.Begin()
 				room--
-				served[by(one.entry)]++
-			case now.After(one.until):
-				one.turn.Leave(time.Second, now)
+				served[by(request.entry)]++
+			case now.After(request.until):
+				request.turn.Leave(time.Second, now)
 			default:
-				still = append(still, one)
+				stillWaiting = append(stillWaiting, request)
 			}
 		}
-		waiting = still
+		waiting = stillWaiting
 	}
 	return offered, served
 }
--- a/internal/admission/limiters.go
+++ b/internal/admission/limiters.go
@@ -22,20 +22,20 @@
 func (l *Limiters) Of(service string) *Limiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, ok := l.byService[service]
+	limiter, ok := l.byService[service]
 	if !ok {
-		known = NewLimiter(l.options)
-		l.byService[service] = known
+		limiter = NewLimiter(l.options)
+		l.byService[service] = limiter
 	}
-	return known
+	return limiter
 }
 
 // Each calls visit for each service that has a limiter.
 func (l *Limiters) Each(visit func(service string, limiter *Limiter)) {
 	l.mu.Lock()
-	known := maps.Clone(l.byService)
+	limiters := maps.Clone(l.byService)
 	l.mu.Unlock()
-	for service, limiter := range known {
+	for service, limiter := range limiters {
 		visit(service, limiter)
 	}
 }
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -122,9 +122,9 @@
 	if len(content.Placements) == 0 && len(content.Targets) == 0 {
 		return
 	}
-	known := Content{Placements: sorted(content.Placements), Targets: content.Targets, HeldBack: content.HeldBack}
+	sortedContent := Content{Placements: sorted(content.Placements), Targets: content.Targets, HeldBack: content.HeldBack}
 	now := clock.Now()
-	if known.equal(s.last) || now.Sub(s.savedAt) < maxAge && known.isMinorChange(s.last) {
+	if sortedContent.equal(s.last) || now.Sub(s.savedAt) < maxAge && sortedContent.isMinorChange(s.last) {
 		return
 	}
 	data, err := Encode(content)
@@ -137,7 +137,7 @@
 	err = s.store.SaveCheckpoint(ctx, data, content.Gateways)
 	s.onCall(err)
 	if err == nil {
-		s.last, s.savedAt = known, now
+		s.last, s.savedAt = sortedContent, now
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	added := 0
 	for _, placement := range c.Placements {
-		if _, known := slices.BinarySearchFunc(other.Placements, placement, balance.ComparePlacements); !known {
+		if _, found := slices.BinarySearchFunc(other.Placements, placement, balance.ComparePlacements); !found {
 			added++
 		}
 	}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -51,22 +51,22 @@
 	saver.save(t.Context()) // nothing new
 	is.Equal(store.saves, 1)
 	is.Equal(calls, 1)
-	kept, err := Decode(store.data)
+	content, err := Decode(store.data)
 	is.NoErr(err)
-	is.Equal(kept.Gateways, 7)
+	is.Equal(content.Gateways, 7)
 	is.Equal(store.gateways, 7)
 	other := balance.New(balance.DefaultOptions())
-	other.Learn(kept.Placements)
-	is.Equal(kept.Targets, []balance.Target{{ID: "t", Service: "s", Address: "10.0.0.1:80", DataCenter: "a", Slots: 6}}) // a leaving target is not saved
+	other.Learn(content.Placements)
+	is.Equal(content.Targets, []balance.Target{{ID: "t", Service: "s", Address: "10.0.0.1:80", DataCenter: "a", Slots: 6}}) // a leaving target is not saved
 	is.Equal(len(other.AllPlacements(10)), 2)
 	balancer.Confirm("t", balance.Query{Parts: []uint64{3 << 32}})
 	store.err = errors.New("store unreachable")
 	saver.save(t.Context())
 	store.err = nil
 	saver.save(t.Context()) // retries the failed save
-	kept, err = Decode(store.data)
+	content, err = Decode(store.data)
 	is.NoErr(err)
-	is.Equal(len(kept.Placements), 3)
+	is.Equal(len(content.Placements), 3)
 }
 
 // A checkpoint is soon written again when much of it, or a target, has changed; otherwise only
@@ -114,17 +114,17 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		kept, err := Decode(data)
+		content, err := Decode(data)
 		if err != nil {
 			return
 		}
-		again, err := Encode(kept)
+		encoded, err := Encode(content)
 		if err != nil {
 			t.Fatal(err)
 		}
-		read, err := Decode(again)
-		if err != nil || !read.equal(kept) {
-			t.Fatalf("%v, %v of %v", err, read, kept)
+		decoded, err := Decode(encoded)
+		if err != nil || !decoded.equal(content) {
+			t.Fatalf("%v, %v of %v", err, decoded, content)
 		}
 	})
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -35,9 +35,9 @@
 		states := []*State{NewState(), NewState(), NewState()}
 		var delayed []*wire.Delta
 		highest := make([]uint64, len(states))
-		check := func(i int) {
-			if have := states[i].Revision(); have < highest[i] {
-				rt.Fatalf("process %d went from revision %d to %d", i, highest[i], have)
+		checkNotDecreased := func(i int) {
+			if current := states[i].Revision(); current < highest[i] {
+				rt.Fatalf("process %d went from revision %d to %d", i, highest[i], current)
 			}
 			highest[i] = states[i].Revision()
 		}
@@ -57,7 +57,7 @@
 				if err != nil {
 					rt.Fatal(err)
 				}
-				check(0)
+				checkNotDecreased(0)
 			},
 			"pull": func(rt *rapid.T) {
 				from := rapid.IntRange(0, 2).Draw(rt, "from")
@@ -68,7 +68,7 @@
 					return
 				}
 				_, _ = states[to].Apply(delta)
-				check(to)
+				checkNotDecreased(to)
 			},
 			"late": func(rt *rapid.T) {
 				if len(delayed) == 0 {
@@ -76,7 +76,7 @@
 				}
 				to := rapid.IntRange(0, 2).Draw(rt, "to")
 				_, _ = states[to].Apply(delayed[rapid.IntRange(0, len(delayed)-1).Draw(rt, "which")])
-				check(to)
+				checkNotDecreased(to)
 			},
 		})
 		for i := range states {
@@ -215,9 +215,9 @@
 	first := Command{ID: "a", Changes: []Change{{Name: "model/m", Value: json.RawMessage(`{}`)}}}
 	_, err := editor.Do(t.Context(), first)
 	is.NoErr(err)
-	again, err := editor.Do(t.Context(), first)
+	repeat, err := editor.Do(t.Context(), first)
 	is.NoErr(err)
-	is.True(again.Repeat)
+	is.True(repeat.Repeat)
 	_, err = editor.Do(t.Context(), Command{ID: "a", Changes: []Change{{Name: "model/n", Value: json.RawMessage(`{}`)}}})
 	is.Equal(fault.KindOf(err), fault.Conflict)
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -74,59 +74,59 @@
 }
 
 // SplitName splits a document's name into kind and name.
-func SplitName(full string) (kind, name string, err error) {
-	kind, name, ok := strings.Cut(full, "/")
+func SplitName(fullName string) (kind, name string, err error) {
+	kind, name, ok := strings.Cut(fullName, "/")
 	if !ok || kind == "" || name == "" {
-		return "", "", errors.Newf("document name %q does not have the form kind/name", full)
+		return "", "", errors.Newf("document name %q does not have the form kind/name", fullName)
 	}
 	return kind, name, nil
 }
 
 // CheckDocument validates a document by its kind. An unknown kind or field and an invalid value
 // are errors, which say what is expected.
-func CheckDocument(full string, value json.RawMessage) error {
-	kind, _, err := SplitName(full)
+func CheckDocument(fullName string, value json.RawMessage) error {
+	kind, _, err := SplitName(fullName)
 	if err != nil {
 		return err
 	}
 	switch kind {
 	case KindWorkspace:
-		return checkWorkspace(full, value)
+		return checkWorkspace(fullName, value)
 	case KindModel:
-		return decodeStrict(full, value, new(Model))
+		return decodeStrict(fullName, value, new(Model))
 	case KindService:
-		return checkService(full, value)
+		return checkService(fullName, value)
 	case KindRoute:
-		return decodeStrict(full, value, new(Route))
+		return decodeStrict(fullName, value, new(Route))
 	case KindMark:
-		return decodeStrict(full, value, new(Mark))
+		return decodeStrict(fullName, value, new(Mark))
 	case KindPlacement:
-		return checkPlacement(full, value)
+		return checkPlacement(fullName, value)
 	}
-	return errors.Newf("document %q: unknown kind %q; want workspace, model, service, route, mark or placement", full, kind)
+	return errors.Newf("document %q: unknown kind %q; want workspace, model, service, route, mark or placement", fullName, kind)
 }
 
-func decodeStrict(full string, value json.RawMessage, into any) error {
+func decodeStrict(fullName string, value json.RawMessage, into any) error {
 	decoder := json.NewDecoder(strings.NewReader(string(value)))
 	decoder.DisallowUnknownFields()
-	return errors.Wrapf(decoder.Decode(into), "document %q", full)
+	return errors.Wrapf(decoder.Decode(into), "document %q", fullName)
 }
 
 // hashLength is the length of a hex-encoded SHA-256 hash.
 const hashLength = 64
 
-func checkWorkspace(full string, value json.RawMessage) error {
+func checkWorkspace(fullName string, value json.RawMessage) error {
 	var workspace Workspace
-	if err := decodeStrict(full, value, &workspace); err != nil {
+	if err := decodeStrict(fullName, value, &workspace); err != nil {
 		return err
 	}
 	for _, hash := range workspace.KeyHashes {
 		if len(hash) != hashLength {
-			return errors.Newf("document %q: key hash %q is not a hex-encoded SHA-256 hash of %d characters", full, hash, hashLength)
+			return errors.Newf("document %q: key hash %q is not a hex-encoded SHA-256 hash of %d characters", fullName, hash, hashLength)
 		}
 	}
 	if workspace.Share < 0 || workspace.MaxInFlight < 0 {
-		return errors.Newf("document %q: share and most_in_flight must not be negative", full)
+		return errors.Newf("document %q: share and most_in_flight must not be negative", fullName)
 	}
 	return nil
 }
@@ -134,24 +134,24 @@
 // maxSlots keeps a slot table well below a megabyte.
 const maxSlots = 4096
 
-func checkService(full string, value json.RawMessage) error {
+func checkService(fullName string, value json.RawMessage) error {
 	var service Service
-	if err := decodeStrict(full, value, &service); err != nil {
+	if err := decodeStrict(fullName, value, &service); err != nil {
 		return err
 	}
 	if service.Slots < 0 || service.Slots > maxSlots {
-		return errors.Newf("document %q: slots is %d; want 0 to %d", full, service.Slots, maxSlots)
+		return errors.Newf("document %q: slots is %d; want 0 to %d", fullName, service.Slots, maxSlots)
 	}
 	return nil
 }
 
-func checkPlacement(full string, value json.RawMessage) error {
+func checkPlacement(fullName string, value json.RawMessage) error {
 	var placement Placement
-	if err := decodeStrict(full, value, &placement); err != nil {
+	if err := decodeStrict(fullName, value, &placement); err != nil {
 		return err
 	}
 	if placement.Replicas < 0 {
-		return errors.Newf("document %q: replicas is %d; want 0 or more", full, placement.Replicas)
+		return errors.Newf("document %q: replicas is %d; want 0 or more", fullName, placement.Replicas)
 	}
 	return nil
 }
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -84,19 +84,19 @@
 // pullLoop pulls later revisions from peers.
 func (f *Follower) pullLoop(ctx context.Context) {
 	for wait.For(ctx, pullInterval) {
-		have := f.state.Revision()
-		address, ok := f.peers.Ahead(have)
+		revision := f.state.Revision()
+		address, ok := f.peers.Ahead(revision)
 		if !ok {
 			continue
 		}
-		f.pull(ctx, address, have)
+		f.pull(ctx, address, revision)
 	}
 }
 
-func (f *Follower) pull(ctx context.Context, address string, have uint64) {
+func (f *Follower) pull(ctx context.Context, address string, revision uint64) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	delta, err := f.peers.Pull(ctx, address, have)
+	delta, err := f.peers.Pull(ctx, address, revision)
 	if err != nil {
 		f.log.Debug("configuration pull failed", "peer", address, "error", err)
 		return
--- a/internal/config/manifest.go
+++ b/internal/config/manifest.go
@@ -154,13 +154,13 @@
 // to the manifest's revision.
 func (r *repository) load(ctx context.Context, manifest *Manifest, state *State, known *Manifest) (*wire.Delta, error) {
 	delta := &wire.Delta{From: state.Revision(), To: manifest.Revision}
-	held := make(map[int]map[string]bool)
+	heldNames := make(map[int]map[string]bool)
 	for _, document := range state.Documents() {
 		bucket := bucketOf(document.Name)
-		if held[bucket] == nil {
-			held[bucket] = make(map[string]bool)
+		if heldNames[bucket] == nil {
+			heldNames[bucket] = make(map[string]bool)
 		}
-		held[bucket][document.Name] = true
+		heldNames[bucket][document.Name] = true
 	}
 	for bucket := range bucketCount {
 		if known != nil && known.Buckets[bucket] == manifest.Buckets[bucket] {
@@ -171,10 +171,10 @@
 			return nil, err
 		}
 		for _, document := range documents {
-			delete(held[bucket], document.Name)
+			delete(heldNames[bucket], document.Name)
 			delta.Documents = append(delta.Documents, &wire.Document{Name: document.Name, Value: document.Value, Revision: document.Revision})
 		}
-		for name := range held[bucket] {
+		for name := range heldNames[bucket] {
 			delta.Documents = append(delta.Documents, &wire.Document{Name: name, Revision: manifest.Revision})
 		}
 	}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -126,22 +126,22 @@
 }
 
 // DeltaSince returns the delta for a peer that holds a revision.
-func (s *State) DeltaSince(have uint64) *wire.Delta {
+func (s *State) DeltaSince(base uint64) *wire.Delta {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delta := &wire.Delta{From: have, To: s.view.Load().Revision}
-	if have == 0 || have < s.fullDeltaBelow {
+	delta := &wire.Delta{From: base, To: s.view.Load().Revision}
+	if base == 0 || base < s.fullDeltaBelow {
 		delta.Whole = true
-		have = 0
+		base = 0
 	}
 	for name, document := range s.documents {
-		if document.Revision > have {
+		if document.Revision > base {
 			delta.Documents = append(delta.Documents, &wire.Document{Name: name, Value: document.Value, Revision: document.Revision})
 		}
 	}
 	if !delta.GetWhole() {
 		for name, revision := range s.removals {
-			if revision > have {
+			if revision > base {
 				delta.Documents = append(delta.Documents, &wire.Document{Name: name, Revision: revision})
 			}
 		}
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -38,8 +38,8 @@
 func buildView(revision uint64, documents map[string]Document) *View {
 	view := emptyView()
 	view.Revision = revision
-	for full, document := range documents {
-		kind, name, err := SplitName(full)
+	for fullName, document := range documents {
+		kind, name, err := SplitName(fullName)
 		if err != nil || len(document.Value) == 0 {
 			continue
 		}
--- a/internal/member/bench_test.go
+++ b/internal/member/bench_test.go
@@ -72,8 +72,8 @@
 // BenchmarkCompose measures composing one heartbeat in steady state.
 func BenchmarkCompose(b *testing.B) {
 	eachSize(b, func(b *testing.B, l *List) {
-		for _, known := range l.entries {
-			known.timesSent = 100
+		for _, e := range l.entries {
+			e.timesSent = 100
 		}
 		bytes, loads := 0, 0
 		for b.Loop() {
--- a/internal/member/heartbeat.go
+++ b/internal/member/heartbeat.go
@@ -40,9 +40,9 @@
 func (l *List) addUpdates(beat *wire.Beat, size int) {
 	maxSends := gossipFactor * int(math.Ceil(math.Log2(float64(len(l.entries)+1))))
 	var updates []*entry
-	for _, known := range l.entries {
-		if known.timesSent < maxSends {
-			updates = append(updates, known)
+	for _, e := range l.entries {
+		if e.timesSent < maxSends {
+			updates = append(updates, e)
 		}
 	}
 	slices.SortFunc(updates, func(a, b *entry) int {
@@ -52,18 +52,18 @@
 	// time knows where to answer.
 	beat.Members = append(beat.Members, l.self)
 	used := proto.Size(beat)
-	for _, known := range updates {
-		if known.member == l.self {
-			known.timesSent++
+	for _, e := range updates {
+		if e.member == l.self {
+			e.timesSent++
 			continue
 		}
-		cost := proto.Size(known.member) + fieldOverhead
+		cost := proto.Size(e.member) + fieldOverhead
 		if used+cost > size {
 			continue
 		}
 		used += cost
-		known.timesSent++
-		beat.Members = append(beat.Members, known.member)
+		e.timesSent++
+		beat.Members = append(beat.Members, e.member)
 	}
 }
 
@@ -98,12 +98,12 @@
 		if i >= 0 {
 			id = l.order[(start+i)%len(l.order)]
 		}
-		known := l.entries[id]
-		age := now.Sub(known.loadsAt)
-		if len(known.loads) == 0 || age > l.options.MaxLoadAge || i >= 0 && id == l.self.GetId() {
+		e := l.entries[id]
+		age := now.Sub(e.loadsAt)
+		if len(e.loads) == 0 || age > l.options.MaxLoadAge || i >= 0 && id == l.self.GetId() {
 			continue
 		}
-		sample := sampleOf(id, known.loads, age)
+		sample := sampleOf(id, e.loads, age)
 		cost := proto.Size(sample) + fieldOverhead
 		if used+cost > size {
 			return
@@ -127,7 +127,7 @@
 func (l *List) Receive(beat *wire.Beat) (refuted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.self.GetIncarnation()
+	incarnation := l.self.GetIncarnation()
 	for _, m := range beat.GetMembers() {
 		l.merge(m)
 	}
@@ -135,42 +135,42 @@
 	for _, sample := range beat.GetLoads() {
 		l.mergeLoad(sample, now)
 	}
-	if known, ok := l.entries[beat.GetFrom()]; ok {
-		known.configRevision = beat.GetConfigRevision()
-		l.resendSuspicion(known)
+	if e, ok := l.entries[beat.GetFrom()]; ok {
+		e.configRevision = beat.GetConfigRevision()
+		l.resendSuspicion(e)
 	}
-	return l.self.GetIncarnation() != before
+	return l.self.GetIncarnation() != incarnation
 }
 
 // ResendSuspicion passes on the suspicion of a member again.
 func (l *List) ResendSuspicion(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known, ok := l.entries[id]; ok {
-		l.resendSuspicion(known)
+	if e, ok := l.entries[id]; ok {
+		l.resendSuspicion(e)
 	}
 }
 
 // resendSuspicion ensures that a member that is suspected but still sends learns of the suspicion
 // and can refute it.
-func (l *List) resendSuspicion(known *entry) {
-	if known.member.GetStanding() != wire.Standing_STANDING_ALIVE {
-		known.timesSent = 0
+func (l *List) resendSuspicion(e *entry) {
+	if e.member.GetStanding() != wire.Standing_STANDING_ALIVE {
+		e.timesSent = 0
 	}
 }
 
 func (l *List) mergeLoad(sample *wire.LoadSample, now time.Time) {
-	known, ok := l.entries[sample.GetId()]
+	e, ok := l.entries[sample.GetId()]
 	if !ok || sample.GetId() == l.self.GetId() || len(sample.GetLimit()) != len(sample.GetInFlight()) {
 		return
 	}
-	at := now.Add(-time.Duration(sample.GetAgeMs()) * time.Millisecond)
-	if !at.After(known.loadsAt) {
+	reportedAt := now.Add(-time.Duration(sample.GetAgeMs()) * time.Millisecond)
+	if !reportedAt.After(e.loadsAt) {
 		return
 	}
-	known.loadsAt = at
-	known.loads = make([]Load, 0, len(sample.GetInFlight()))
+	e.loadsAt = reportedAt
+	e.loads = make([]Load, 0, len(sample.GetInFlight()))
 	for i, inFlight := range sample.GetInFlight() {
-		known.loads = append(known.loads, Load{InFlight: inFlight, Limit: sample.GetLimit()[i]})
+		e.loads = append(e.loads, Load{InFlight: inFlight, Limit: sample.GetLimit()[i]})
 	}
 }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -134,35 +134,35 @@
 // put replaces a member's entry; l.mu is held.
 func (l *List) put(m *wire.Member) {
 	now := time.Now()
-	known, ok := l.entries[m.GetId()]
+	e, ok := l.entries[m.GetId()]
 	if !ok {
-		known = &entry{standingSince: now}
-		l.entries[m.GetId()] = known
+		e = &entry{standingSince: now}
+		l.entries[m.GetId()] = e
 		position := l.random.IntN(len(l.order) + 1)
 		l.order = slices.Insert(l.order, position, m.GetId())
 	} else {
-		l.digest ^= memberHash(known.member)
-		l.recordStanding(known, m, now)
-		known.refuted = m.GetStanding() == wire.Standing_STANDING_ALIVE && known.member.GetIncarnation() < m.GetIncarnation()
+		l.digest ^= memberHash(e.member)
+		l.recordStanding(e, m, now)
+		e.refuted = m.GetStanding() == wire.Standing_STANDING_ALIVE && e.member.GetIncarnation() < m.GetIncarnation()
 	}
-	known.member = m
-	known.timesSent = 0
-	known.probedAsSuspect = false
+	e.member = m
+	e.timesSent = 0
+	e.probedAsSuspect = false
 	l.digest ^= memberHash(m)
 	l.notifyChanged()
 }
 
 // recordStanding records the time of a change of standing and counts deaths.
-func (l *List) recordStanding(known *entry, m *wire.Member, now time.Time) {
-	if known.member.GetStanding() == m.GetStanding() && known.member.GetSession() == m.GetSession() {
+func (l *List) recordStanding(e *entry, m *wire.Member, now time.Time) {
+	if e.member.GetStanding() == m.GetStanding() && e.member.GetSession() == m.GetSession() {
 		return
 	}
-	known.standingSince = now
+	e.standingSince = now
 	died := m.GetStanding() == wire.Standing_STANDING_DEAD
-	restarted := known.member.GetSession() != m.GetSession()
-	if died || restarted && known.member.GetStanding() == wire.Standing_STANDING_ALIVE {
-		known.flaps = l.flapCount(known, now) + 1
-		known.flapsAt = now
+	restarted := e.member.GetSession() != m.GetSession()
+	if died || restarted && e.member.GetStanding() == wire.Standing_STANDING_ALIVE {
+		e.flaps = l.flapCount(e, now) + 1
+		e.flapsAt = now
 	}
 }
 
@@ -200,11 +200,11 @@
 		l.refute(m)
 		return
 	}
-	known, ok := l.entries[m.GetId()]
+	e, ok := l.entries[m.GetId()]
 	if !ok && m.GetStanding() == wire.Standing_STANDING_DEAD {
 		return
 	}
-	if !ok || supersedes(m, known.member) {
+	if !ok || supersedes(m, e.member) {
 		l.put(m)
 	}
 }
@@ -268,8 +268,8 @@
 func (l *List) RecordConfigRevision(id string, config uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if known, ok := l.entries[id]; ok {
-		known.configRevision = config
+	if e, ok := l.entries[id]; ok {
+		e.configRevision = config
 	}
 }
 
@@ -277,16 +277,16 @@
 func (l *List) Suspect(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, ok := l.entries[id]
-	if !ok || id == l.self.GetId() || known.member.GetStanding() != wire.Standing_STANDING_ALIVE {
+	e, ok := l.entries[id]
+	if !ok || id == l.self.GetId() || e.member.GetStanding() != wire.Standing_STANDING_ALIVE {
 		return
 	}
 	l.suspicionCount++
-	l.setStanding(known, wire.Standing_STANDING_SUSPECT)
+	l.setStanding(e, wire.Standing_STANDING_SUSPECT)
 }
 
-func (l *List) setStanding(known *entry, standing wire.Standing) {
-	next := cloneMember(known.member)
+func (l *List) setStanding(e *entry, standing wire.Standing) {
+	next := cloneMember(e.member)
 	next.Standing = standing
 	l.put(next)
 }
@@ -297,16 +297,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for id, known := range l.entries {
-		waited := now.Sub(known.standingSince)
-		switch known.member.GetStanding() {
+	for id, e := range l.entries {
+		waited := now.Sub(e.standingSince)
+		switch e.member.GetStanding() {
 		case wire.Standing_STANDING_SUSPECT:
 			if waited > l.suspicionTimeout() {
-				l.setStanding(known, wire.Standing_STANDING_DEAD)
+				l.setStanding(e, wire.Standing_STANDING_DEAD)
 			}
 		case wire.Standing_STANDING_DEAD:
 			if waited > l.options.DeadRetention {
-				l.forget(id, known)
+				l.forget(id, e)
 			}
 		}
 	}
@@ -321,8 +321,8 @@
 	return time.Duration(max(growth, 1) * float64(l.options.SuspicionTimeout))
 }
 
-func (l *List) forget(id string, known *entry) {
-	l.digest ^= memberHash(known.member)
+func (l *List) forget(id string, e *entry) {
+	l.digest ^= memberHash(e.member)
 	delete(l.entries, id)
 	l.order = slices.DeleteFunc(l.order, func(other string) bool { return other == id })
 	l.notifyChanged()
@@ -333,8 +333,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	members := make([]*wire.Member, 0, len(l.entries))
-	for _, known := range l.entries {
-		members = append(members, known.member)
+	for _, e := range l.entries {
+		members = append(members, e.member)
 	}
 	slices.SortFunc(members, func(a, b *wire.Member) int { return cmp.Compare(a.GetId(), b.GetId()) })
 	return members
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -15,12 +15,12 @@
 // way to this process only. l.mu is held.
 func (l *List) suspectToProbe(now time.Time) *entry {
 	for _, id := range l.order {
-		known := l.entries[id]
-		if known.probedAsSuspect || known.member.GetStanding() != wire.Standing_STANDING_SUSPECT {
+		e := l.entries[id]
+		if e.probedAsSuspect || e.member.GetStanding() != wire.Standing_STANDING_SUSPECT {
 			continue
 		}
-		if now.Sub(known.standingSince) > time.Duration(probeShare*float64(l.suspicionTimeout())) {
-			return known
+		if now.Sub(e.standingSince) > time.Duration(probeShare*float64(l.suspicionTimeout())) {
+			return e
 		}
 	}
 	return nil
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -287,9 +287,9 @@
 		return
 	}
 	s.digestMismatches++
-	first := s.lastRoster.IsZero()
+	neverRequested := s.lastRoster.IsZero()
 	due := s.digestMismatches >= rosterThreshold && time.Since(s.lastRoster) > rosterInterval
-	if !first && !due {
+	if !neverRequested && !due {
 		return
 	}
 	address := s.linkAddress(beat)
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -115,8 +115,8 @@
 		options.Seed = uint64(i + 1)
 		list := NewList(options, cloneMember(m))
 		list.Merge(members)
-		for _, known := range list.entries {
-			known.timesSent = 1000
+		for _, e := range list.entries {
+			e.timesSent = 1000
 		}
 		service := NewService(list, p.conns[i], ServiceOptions{
 			BytesPerSecond: bytesPerSecond,
@@ -218,8 +218,8 @@
 		p.conns[5].setDown(false)
 		time.Sleep(time.Minute)
 		is.Equal(p.deaths(), 0)
-		_, all := p.measureDetection()
-		is.True(all > 0)
+		_, allDetected := p.measureDetection()
+		is.True(allDetected > 0)
 	})
 }
 
@@ -252,8 +252,8 @@
 		next, ok := l.NextProbe()
 		is.True(ok)
 		is.Equal(next.GetId(), accused.GetId())
-		again, _ := l.NextProbe()
-		is.True(again.GetId() != accused.GetId()) // a suspect is probed once only
+		following, _ := l.NextProbe()
+		is.True(following.GetId() != accused.GetId()) // a suspect is probed once only
 		denied := cloneMember(members[17])
 		denied.Incarnation++
 		l.Merge([]*wire.Member{denied})
@@ -332,12 +332,12 @@
 		behind := 0
 		for i, list := range p.lists {
 			p.mu.Lock()
-			have := p.revision[i]
+			revision := p.revision[i]
 			p.mu.Unlock()
-			if have == newest {
+			if revision == newest {
 				continue
 			}
-			if _, ok := list.Ahead(have); !ok {
+			if _, ok := list.Ahead(revision); !ok {
 				behind++
 				continue
 			}
@@ -382,9 +382,9 @@
 	slices.Sort(spreads)
 	b.ReportMetric(spreads[len(spreads)/2].Seconds(), "spread-p50-s")
 	b.ReportMetric(spreads[len(spreads)-1].Seconds(), "spread-worst-s")
-	first, all := p.measureDetection()
-	b.ReportMetric(first.Seconds(), "dead-first-s")
-	b.ReportMetric(all.Seconds(), "dead-all-s")
+	firstDetected, allDetected := p.measureDetection()
+	b.ReportMetric(firstDetected.Seconds(), "dead-first-s")
+	b.ReportMetric(allDetected.Seconds(), "dead-all-s")
 }
 
 // runInBubble runs a function under virtual time from a benchmark, which synctest only supports in
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -55,15 +55,15 @@
 	defer l.mu.Unlock()
 	now := time.Now()
 	peers := make([]Peer, 0, len(l.entries))
-	for _, known := range l.entries {
-		peers = append(peers, l.peer(known, now))
+	for _, e := range l.entries {
+		peers = append(peers, l.peer(e, now))
 	}
 	slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	return peers
 }
 
-func (l *List) peer(known *entry, now time.Time) Peer {
-	m := known.member
+func (l *List) peer(e *entry, now time.Time) Peer {
+	m := e.member
 	peer := Peer{
 		ID:          m.GetId(),
 		Role:        m.GetRole(),
@@ -72,16 +72,16 @@
 		Session:     m.GetSession(),
 		Standing:    m.GetStanding(),
 		Leaving:     m.GetLeaving(),
-		Steady:      l.flapCount(known, now) <= l.options.MaxFlaps,
-		LoadAge:     now.Sub(known.loadsAt),
+		Steady:      l.flapCount(e, now) <= l.options.MaxFlaps,
+		LoadAge:     now.Sub(e.loadsAt),
 
-		ConfigRevision: known.configRevision,
+		ConfigRevision: e.configRevision,
 	}
 	fresh := peer.LoadAge <= l.options.MaxLoadAge
 	for i, target := range m.GetTargets() {
 		described := Target{ID: target.GetId(), Pool: target.GetPool(), Leaving: target.GetLeaving(), Service: target.GetService()}
-		if fresh && i < len(known.loads) {
-			described.Load = known.loads[i]
+		if fresh && i < len(e.loads) {
+			described.Load = e.loads[i]
 		}
 		peer.Targets = append(peer.Targets, described)
 	}
@@ -115,10 +115,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for _, known := range l.entries {
-		view := View{Member: known.member, Steady: l.flapCount(known, now) <= l.options.MaxFlaps}
-		if now.Sub(known.loadsAt) <= l.options.MaxLoadAge && len(known.loads) == len(known.member.GetTargets()) {
-			view.Loads = known.loads
+	for _, e := range l.entries {
+		view := View{Member: e.member, Steady: l.flapCount(e, now) <= l.options.MaxFlaps}
+		if now.Sub(e.loadsAt) <= l.options.MaxLoadAge && len(e.loads) == len(e.member.GetTargets()) {
+			view.Loads = e.loads
 		}
 		show(view)
 	}
@@ -128,11 +128,11 @@
 func (l *List) LinkAddress(id string) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, ok := l.entries[id]
+	e, ok := l.entries[id]
 	if !ok {
 		return "", false
 	}
-	return known.member.GetLinkAddress(), true
+	return e.member.GetLinkAddress(), true
 }
 
 // poolSum is the sum of the loads of a pool's targets.
@@ -172,10 +172,10 @@
 func (l *List) Ahead(revision uint64) (string, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, known := range l.entries {
-		up := known.member.GetStanding() == wire.Standing_STANDING_ALIVE
-		if up && known.configRevision > revision && known.member.GetId() != l.self.GetId() {
-			return known.member.GetLinkAddress(), true
+	for _, e := range l.entries {
+		up := e.member.GetStanding() == wire.Standing_STANDING_ALIVE
+		if up && e.configRevision > revision && e.member.GetId() != l.self.GetId() {
+			return e.member.GetLinkAddress(), true
 		}
 	}
 	return "", false
@@ -194,8 +194,8 @@
 		return false
 	}
 	var names []string
-	for id, known := range l.entries {
-		m := known.member
+	for id, e := range l.entries {
+		m := e.member
 		up := m.GetStanding() == wire.Standing_STANDING_ALIVE && !m.GetLeaving()
 		if up && m.GetRole() == RoleRouter && m.GetDataCenter() == l.self.GetDataCenter() {
 			names = append(names, id)
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -33,13 +33,13 @@
 // applyOwnership starts the slots that this agent now owns and drops those that it no longer owns.
 func (g *Guard) applyOwnership() {
 	for number, row := range g.table.Slots {
-		slot, have := g.owned[number]
+		slot, owned := g.owned[number]
 		mine := g.sameHolder(row.Owner, g.self)
 		switch {
-		case !mine && have:
+		case !mine && owned:
 			g.recordCount -= slot.records.order.Len()
 			delete(g.owned, number)
-		case mine && (!have || slot.epoch != row.Epoch) && !g.gaveUp(number, row):
+		case mine && (!owned || slot.epoch != row.Epoch) && !g.gaveUp(number, row):
 			g.beginEpoch(number, row)
 		}
 	}
@@ -62,16 +62,16 @@
 		g.recordCount -= old.records.order.Len()
 	}
 	slot := &ownedSlot{epoch: row.Epoch, records: newRecords()}
-	handed, ok := g.imports[number]
+	imported, ok := g.imports[number]
 	delete(g.imports, number)
 	if row.Epoch == firstEpoch {
 		g.owned[number] = slot
 		return
 	}
-	if ok && handed.epoch+1 == row.Epoch && handed.start.UnixMilli() == row.StartMS {
-		slot.start = handed.start
-		slot.records = handed.records
-		g.recordCount += handed.records.order.Len()
+	if ok && imported.epoch+1 == row.Epoch && imported.start.UnixMilli() == row.StartMS {
+		slot.start = imported.start
+		slot.records = imported.records
+		g.recordCount += imported.records.order.Len()
 	} else {
 		slot.start = laterTime(time.UnixMilli(row.StartMS), g.wall())
 	}
@@ -109,7 +109,7 @@
 		}
 		rows[number] = row.Owner
 		owners[row.Owner] = true
-		if before, ok := g.witnessed[number]; !ok || before != row.Owner {
+		if previous, ok := g.witnessed[number]; !ok || previous != row.Owner {
 			g.witnessSince[row.Owner] = now
 		}
 	}
--- a/internal/once/plan.go
+++ b/internal/once/plan.go
@@ -111,15 +111,15 @@
 // expired.
 func (p *planner) takeOver() {
 	for _, owner := range p.guard.expiredOwners() {
-		taken := 0
+		count := 0
 		for number, row := range p.guard.table.Slots {
 			if row.Owner == owner && row.Witness == p.guard.self {
 				p.takeOwnership(number)
-				taken++
+				count++
 			}
 		}
 		p.plan.TakesOver = append(p.plan.TakesOver, owner)
-		p.addReason("take over %d slots of %s as its witness", taken, owner.Agent)
+		p.addReason("take over %d slots of %s as its witness", count, owner.Agent)
 	}
 }
 
@@ -127,7 +127,7 @@
 // lease has expired, if this agent ranks first for them. It also takes back its own slots that it
 // had given up.
 func (p *planner) claim() {
-	claimed := 0
+	count := 0
 	for number, row := range p.guard.table.Slots {
 		orphan := p.isOrphaned(row) && p.preferred(number) == p.guard.self
 		givenUp := row.Owner == p.guard.self && p.guard.gaveUp(number, row)
@@ -135,10 +135,10 @@
 			continue
 		}
 		p.takeOwnership(number)
-		claimed++
+		count++
 	}
-	if claimed > 0 {
-		p.addReason("claim %d slots without an owner", claimed)
+	if count > 0 {
+		p.addReason("claim %d slots without an owner", count)
 	}
 }
 
@@ -203,16 +203,16 @@
 // moveSlots hands own slots to the agents that rank first for them, at most MaxMoves at a time. A
 // leaving agent never ranks first, so it hands over all of its slots.
 func (p *planner) moveSlots() {
-	moved := 0
+	count := 0
 	for number, row := range p.guard.table.Slots {
 		successor := p.preferred(number)
 		if row.Owner != p.guard.self || p.guard.gaveUp(number, row) || successor == p.guard.self || successor == (Holder{}) {
 			continue
 		}
-		if moved == p.input.MaxMoves {
+		if count == p.input.MaxMoves {
 			break
 		}
-		moved++
+		count++
 		p.plan.Moves[successor] = append(p.plan.Moves[successor], number)
 		next := &p.plan.Table.Slots[number]
 		next.Owner = successor
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -44,7 +44,7 @@
 	State       State
 	// Outcome is set when State is Done.
 	Outcome Outcome
-	// Why is set when State is Reopened.
+	// Cause is set when State is Reopened.
 	Cause *fault.Error
 	// ended is closed when State leaves Running.
 	ended chan struct{}
