--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -244,8 +244,8 @@
 func (l *Limiter) retryAfter(remaining time.Duration, now time.Time) time.Duration {
 	longest := max(time.Duration(maxRetryFraction*float64(remaining)), l.options.MinRetryAfter)
 	gap := longest
-	if pace := l.spareRate(now); pace >= minSpareRate {
-		gap = time.Duration(float64(time.Second) / pace)
+	if rate := l.spareRate(now); rate >= minSpareRate {
+		gap = time.Duration(float64(time.Second) / rate)
 	}
 	earliest := now.Add(l.options.MinRetryAfter)
 	next := l.lastRetryAt.Add(gap)
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -49,61 +49,61 @@
 	return &fairQueue{byWorkspace: make(map[string]*workspaceQueue), rotation: list.New()}
 }
 
-func (c *fairQueue) push(w *waiter) {
-	l, ok := c.byWorkspace[w.ticket.Workspace]
+func (f *fairQueue) push(w *waiter) {
+	q, ok := f.byWorkspace[w.ticket.Workspace]
 	if !ok {
-		l = &workspaceQueue{workspace: w.ticket.Workspace, waiters: list.New()}
-		l.element = c.rotation.PushBack(l)
-		c.byWorkspace[l.workspace] = l
+		q = &workspaceQueue{workspace: w.ticket.Workspace, waiters: list.New()}
+		q.element = f.rotation.PushBack(q)
+		f.byWorkspace[q.workspace] = q
 	}
-	w.queue = l
-	w.element = l.waiters.PushBack(w)
-	c.count++
+	w.queue = q
+	w.element = q.waiters.PushBack(w)
+	f.count++
 }
 
 // front returns the waiter to serve next, or nil if there is none.
-func (c *fairQueue) front() *waiter {
-	front := c.rotation.Front()
+func (f *fairQueue) front() *waiter {
+	front := f.rotation.Front()
 	if front == nil {
 		return nil
 	}
-	l := front.Value.(*workspaceQueue)
-	first := l.waiters.Front().Value.(*waiter)
-	if l.credit == 0 {
-		l.credit = max(first.ticket.Share, 1)
+	q := front.Value.(*workspaceQueue)
+	first := q.waiters.Front().Value.(*waiter)
+	if q.credit == 0 {
+		q.credit = max(first.ticket.Share, 1)
 	}
 	return first
 }
 
 // pop removes and returns the waiter to serve next.
-func (c *fairQueue) pop() *waiter {
-	w := c.front()
+func (f *fairQueue) pop() *waiter {
+	w := f.front()
 	if w == nil {
 		return nil
 	}
-	l := w.queue
-	l.credit--
-	c.remove(w)
-	if l.credit == 0 && l.waiters.Len() > 0 {
-		c.rotation.MoveToBack(l.element)
+	q := w.queue
+	q.credit--
+	f.remove(w)
+	if q.credit == 0 && q.waiters.Len() > 0 {
+		f.rotation.MoveToBack(q.element)
 	}
 	return w
 }
 
-func (c *fairQueue) remove(w *waiter) {
-	l := w.queue
-	l.waiters.Remove(w.element)
-	c.count--
-	if l.waiters.Len() == 0 {
-		c.rotation.Remove(l.element)
-		delete(c.byWorkspace, l.workspace)
+func (f *fairQueue) remove(w *waiter) {
+	q := w.queue
+	q.waiters.Remove(w.element)
+	f.count--
+	if q.waiters.Len() == 0 {
+		f.rotation.Remove(q.element)
+		delete(f.byWorkspace, q.workspace)
 	}
 }
 
 // oldest returns the longest waiting of the first waiters of all workspaces.
-func (c *fairQueue) oldest() *waiter {
+func (f *fairQueue) oldest() *waiter {
 	var oldest *waiter
-	for element := c.rotation.Front(); element != nil; element = element.Next() {
+	for element := f.rotation.Front(); element != nil; element = element.Next() {
 		w := element.Value.(*workspaceQueue).waiters.Front().Value.(*waiter)
 		if oldest == nil || w.queuedAt.Before(oldest.queuedAt) {
 			oldest = w
@@ -177,9 +177,9 @@
 	q.bytes -= w.ticket.Bytes
 }
 
-// ahead returns how many waiters would be served before a request that is queued now: those of its
-// class, for at most as many rounds as its workspace's own queue is long, and before a deferrable
-// request all urgent ones.
+// ahead returns how many waiters would be served before a request that is queued now. In its own
+// fairQueue these are at most those of as many rounds as its workspace's queue is long. Before a
+// deferrable request all urgent ones are served as well.
 func (q *queues) ahead(ticket Ticket) int {
 	count := q.queueFor(ticket).countAhead(ticket, 0)
 	if ticket.Deferrable {
@@ -189,27 +189,27 @@
 }
 
 // aheadOf returns how many waiters are served before one that has just been queued.
-func (c *fairQueue) aheadOf(w *waiter) int {
-	return c.countAhead(w.ticket, 1)
+func (f *fairQueue) aheadOf(w *waiter) int {
+	return f.countAhead(w.ticket, 1)
 }
 
 // countAhead returns how many waiters are served before the last request of a workspace. ownPlaces
 // is how many places of the workspace's queue belong to that request itself.
-func (c *fairQueue) countAhead(ticket Ticket, ownPlaces int) int {
+func (f *fairQueue) countAhead(ticket Ticket, ownPlaces int) int {
 	own := -ownPlaces
-	if l, ok := c.byWorkspace[ticket.Workspace]; ok {
-		own += l.waiters.Len()
+	if q, ok := f.byWorkspace[ticket.Workspace]; ok {
+		own += q.waiters.Len()
 	}
 	own = max(own, 0)
 	share := max(ticket.Share, 1)
 	rounds := own/share + 1
 	count := own
-	for name, l := range c.byWorkspace {
+	for name, q := range f.byWorkspace {
 		if name == ticket.Workspace {
 			continue
 		}
-		weight := max(l.waiters.Front().Value.(*waiter).ticket.Share, 1)
-		count += min(l.waiters.Len(), rounds*weight)
+		weight := max(q.waiters.Front().Value.(*waiter).ticket.Share, 1)
+		count += min(q.waiters.Len(), rounds*weight)
 	}
 	return count
 }
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -219,11 +219,11 @@
 // BeginChange must be called before a changed table is sent to the store, with the owners from
 // whom it takes slots over. Until a table later than the base version has been read, the change
 // may still take effect, so that promises are neither used nor granted to these owners.
-func (g *Guard) BeginChange(base uint64, takes []Holder) {
+func (g *Guard) BeginChange(base uint64, takesOver []Holder) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.openChangeBase = &base
-	for _, owner := range takes {
+	for _, owner := range takesOver {
 		g.takingOver[owner] = true
 	}
 }
