--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -54,16 +54,16 @@
 				busy--
 				limiter.Admit(capacity-busy, now)
 			case len(waiting) > 0 && rapid.IntRange(0, 5).Draw(t, "leave") == 0:
-				after, left := waiting[0].Leave(9*time.Second, now)
-				if !left || after <= 0 || after > 3*time.Second {
-					t.Fatalf("Leave: left %v, retry after %s", left, after)
+				retryAfter, left := waiting[0].Leave(9*time.Second, now)
+				if !left || retryAfter <= 0 || retryAfter > 3*time.Second {
+					t.Fatalf("Leave: left %v, retry after %s", left, retryAfter)
 				}
 				waiting = waiting[1:]
 			default:
 				workspace := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "workspace"))
-				turn, after := limiter.Offer(entry(workspace, rapid.IntRange(0, 3).Draw(t, "rank")), capacity-busy, now)
-				if turn == nil && (busy < capacity || after <= 0 || after > 3*time.Second) {
-					t.Fatalf("refused with %d of %d busy, retry after %s", busy, capacity, after)
+				turn, retryAfter := limiter.Offer(entry(workspace, rapid.IntRange(0, 3).Draw(t, "rank")), capacity-busy, now)
+				if turn == nil && (busy < capacity || retryAfter <= 0 || retryAfter > 3*time.Second) {
+					t.Fatalf("refused with %d of %d busy, retry after %s", busy, capacity, retryAfter)
 				}
 				if turn != nil {
 					waiting = append(waiting, turn)
@@ -200,10 +200,10 @@
 	patient := admission.Entry{Workspace: "a", Rank: 1, Patience: 250 * time.Millisecond, Left: 3 * time.Second}
 	first, _ := limiter.Offer(patient, 0, now)
 	second, _ := limiter.Offer(patient, 0, now)
-	third, after := limiter.Offer(patient, 0, now)
+	third, retryAfter := limiter.Offer(patient, 0, now)
 	is.True(first != nil && second != nil) // expected waits of 0.1 s and 0.2 s
 	is.True(third == nil)                  // expected wait of 0.3 s
-	is.True(after >= 100*time.Millisecond && after <= time.Second)
+	is.True(retryAfter >= 100*time.Millisecond && retryAfter <= time.Second)
 	urgent, _ := limiter.Offer(admission.Entry{Workspace: "a", Patience: 150 * time.Millisecond}, 0, now)
 	is.True(urgent != nil) // is served before the other two
 }
@@ -221,10 +221,10 @@
 	}
 	previous := time.Duration(0)
 	for range 40 {
-		after := limiter.RetryAfter(6*time.Second, now)
-		is.True(after > previous)
-		is.True(after <= 2*time.Second)
-		previous = after
+		retryAfter := limiter.RetryAfter(6*time.Second, now)
+		is.True(retryAfter > previous)
+		is.True(retryAfter <= 2*time.Second)
+		previous = retryAfter
 	}
 	for range 1000 {
 		is.True(limiter.RetryAfter(6*time.Second, now) <= 2*time.Second)
--- a/internal/crashstore/saver_test.go
+++ b/internal/crashstore/saver_test.go
@@ -69,7 +69,7 @@
 }
 
 // A process saves what its scope asks for, and nothing while it reaches all others.
-func TestSavedRecordsByMode(t *testing.T) {
+func TestSavedRecordsByScope(t *testing.T) {
 	cases := map[string]struct {
 		scope Scope
 		want  map[quarantine.Fingerprint]int
--- a/internal/once/once_test.go
+++ b/internal/once/once_test.go
@@ -43,12 +43,12 @@
 
 // Runs many more models than rapid can draw in the same time.
 func TestAtMostOnceManySeeds(t *testing.T) {
-	worlds := 4000
+	models := 4000
 	if testing.Short() {
-		worlds = 400
+		models = 400
 	}
 	ran, settled := 0, 0
-	for seed := range worlds {
+	for seed := range models {
 		w, broken := runModel(newSeeded(uint64(seed)), noMutation, modelSteps)
 		if broken != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, broken, strings.Join(w.trace, "\n"))
@@ -57,13 +57,13 @@
 		settled += len(w.notRun)
 	}
 	is := is.New(t)
-	is.True(ran > worlds)       // the models must run keys
-	is.True(settled > worlds/8) // and settle some as not run
-	t.Logf("%d models, %d keys ran, %d settled as not run", worlds, ran, settled)
+	is.True(ran > models)       // the models must run keys
+	is.True(settled > models/8) // and settle some as not run
+	t.Logf("%d models, %d keys ran, %d settled as not run", models, ran, settled)
 }
 
 // Each check is disabled in turn; some model must then break a guarantee.
-func TestEachGuardIsNeeded(t *testing.T) {
+func TestEachCheckIsNeeded(t *testing.T) {
 	tests := map[string]mutation{
 		"promise":      skipPromise,
 		"fence":        skipFence,
@@ -75,17 +75,17 @@
 		"incarnation":  skipIncarnation,
 		"long lease":   skipLongLease,
 	}
-	const maxWorlds = 6000
-	for name, guard := range tests {
+	const maxModels = 6000
+	for name, disabled := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for seed := range uint64(maxWorlds) {
-				if _, broken := runModel(newSeeded(seed), guard, modelSteps); broken != "" {
+			for seed := range uint64(maxModels) {
+				if _, broken := runModel(newSeeded(seed), disabled, modelSteps); broken != "" {
 					t.Logf("seed %d: %s", seed, broken)
 					return
 				}
 			}
-			t.Fatalf("none of %d models fails without this check", maxWorlds)
+			t.Fatalf("none of %d models fails without this check", maxModels)
 		})
 	}
 }
--- a/internal/once/scenario_test.go
+++ b/internal/once/scenario_test.go
@@ -20,8 +20,8 @@
 	key                   modelKey
 }
 
-func newScenario(removed mutation) *scenario {
-	w := newWorld(lastChooser{}, removed)
+func newScenario(disabled mutation) *scenario {
+	w := newWorld(lastChooser{}, disabled)
 	for _, host := range w.hosts {
 		host.clockError = 0
 	}
@@ -90,10 +90,10 @@
 }
 
 // Each scenario runs the key once with all checks, and twice with its own check disabled.
-func TestScenariosNeedTheirGuard(t *testing.T) {
+func TestScenariosNeedTheirCheck(t *testing.T) {
 	tests := map[string]struct {
-		removed mutation
-		run     func(c *scenario)
+		disabled mutation
+		run      func(c *scenario)
 	}{
 		"witness takes over before its promise expires": {skipWitnessWait, func(c *scenario) {
 			c.planAndWrite(c.witness, c.witness, c.spare)
@@ -173,7 +173,7 @@
 			unmodified := newScenario(noMutation)
 			tt.run(unmodified)
 			is.Equal(unmodified.violation(), "") // with all checks
-			mutated := newScenario(tt.removed)
+			mutated := newScenario(tt.disabled)
 			tt.run(mutated)
 			is.Equal(mutated.violation(), "key w/k ran 2 times") // without this check
 		})
