--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { rapidseed.Main(m) }
 
-func small() Options {
+func smallOptions() Options {
 	options := DefaultOptions()
 	options.Floor = 2
 	options.QueueCount = 8
@@ -24,12 +24,12 @@
 	return options
 }
 
-// The bound holds whatever is reported as the mean, late, stale or not at all:
-// a request is only admitted while the load is below max(floor, ceil(c x the
-// mean last reported within MeanAge)).
-func TestBoundHoldsWhateverTheMean(t *testing.T) {
+// The limit holds whatever mean is reported, also when reports are late, stale or missing: a
+// request is only admitted while the load is below max(floor, ceil(c x the mean last reported
+// within MeanAge)).
+func TestAdmissionNeverExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		options := small()
+		options := smallOptions()
 		g := NewGate(options)
 		var places []*Place
 		mean, reported := 0.0, false
@@ -58,7 +58,7 @@
 					rt.Fatalf("%d in flight, the bound is %d", len(places), bound)
 				}
 				if refusal != nil && (refusal.State != fault.NotRun || refusal.RetryAfter == 0) {
-					rt.Fatalf("refused without saying that it did not run and when to come back: %v", refusal)
+					rt.Fatalf("refused without state NotRun or without a time to retry: %v", refusal)
 				}
 			},
 			"release": func(rt *rapid.T) {
@@ -67,12 +67,12 @@
 				}
 				i := rapid.IntRange(0, len(places)-1).Draw(rt, "place")
 				places[i].Release()
-				places[i].Release() // twice counts once
+				places[i].Release() // a second Release has no effect
 				places = append(places[:i], places[i+1:]...)
 			},
 		})
 		if got := g.Load().InFlight; got != len(places) {
-			rt.Fatalf("the gate counts %d, there are %d", got, len(places))
+			rt.Fatalf("the gate counts %d in flight, want %d", got, len(places))
 		}
 	})
 }
@@ -82,22 +82,22 @@
 		mean float64
 		want int
 	}{
-		"idle pool keeps the floor":    {0, 2},
-		"exact multiple is not raised": {4, 5},
-		"fraction is rounded up":       {4.1, 6},
-		"most is never passed":         {10_000, 256},
+		"idle pool uses the floor":         {0, 2},
+		"exact multiple is not rounded up": {4, 5},
+		"fraction is rounded up":           {4.1, 6},
+		"maximum is not exceeded":          {10_000, 256},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(Limit(small(), tt.mean), tt.want)
+			is.New(t).Equal(Limit(smallOptions(), tt.mean), tt.want)
 		})
 	}
 }
 
-// What an engine runs without this process having admitted it counts too.
-func TestForeignLoadCounts(t *testing.T) {
+// Requests that an engine runs without this process having admitted them count towards the limit.
+func TestForeignLoadCountsTowardsLimit(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(small())
+	g := NewGate(smallOptions())
 	g.SetForeign(2)
 	_, refusal := g.Admit(context.Background(), Ticket{})
 	is.Equal(refusal.Kind, fault.Overloaded)
@@ -106,8 +106,9 @@
 	is.True(refusal == nil)
 }
 
-// run lets waiters in one after another and returns their order.
-func run(t *testing.T, options Options, tickets []Ticket, hold time.Duration) []string {
+// admissionOrder queues the tickets, admits them one after another and returns the order of their
+// workspaces.
+func admissionOrder(t *testing.T, options Options, tickets []Ticket, holdTime time.Duration) []string {
 	g := NewGate(options)
 	first, refusal := g.Admit(t.Context(), Ticket{})
 	is.New(t).True(refusal == nil)
@@ -127,7 +128,7 @@
 			mu.Lock()
 			order = append(order, ticket.Workspace)
 			mu.Unlock()
-			time.Sleep(hold)
+			time.Sleep(holdTime)
 			place.Release()
 		})
 		synctest.Wait()
@@ -137,43 +138,43 @@
 	return order
 }
 
-func TestOrderOfTheQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	urgent := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1} }
-	later := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1, Deferrable: true} }
-	heavy := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 2} }
+	deferrable := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 1, Deferrable: true} }
+	doubleShare := func(workspace string) Ticket { return Ticket{Workspace: workspace, Share: 2} }
 	tests := map[string]struct {
 		tickets []Ticket
 		want    []string
 	}{
-		"a surge queues behind itself": {
+		"a workspace's burst queues behind itself": {
 			[]Ticket{urgent("surge"), urgent("surge"), urgent("surge"), urgent("calm")},
 			[]string{"surge", "calm", "surge", "surge"},
 		},
 		"urgent goes before deferrable": {
-			[]Ticket{later("report"), urgent("clinic"), urgent("clinic")},
+			[]Ticket{deferrable("report"), urgent("clinic"), urgent("clinic")},
 			[]string{"clinic", "clinic", "report"},
 		},
-		"shares weigh": {
-			[]Ticket{heavy("large"), heavy("large"), heavy("large"), urgent("small"), urgent("small")},
+		"places are divided by share": {
+			[]Ticket{doubleShare("large"), doubleShare("large"), doubleShare("large"), urgent("small"), urgent("small")},
 			[]string{"large", "large", "small", "large", "small"},
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				options := small()
+				options := smallOptions()
 				options.Floor = 2
-				is.New(t).Equal(run(t, options, tt.tickets, time.Millisecond), tt.want)
+				is.New(t).Equal(admissionOrder(t, options, tt.tickets, time.Millisecond), tt.want)
 			})
 		})
 	}
 }
 
-// A deferrable request is served before urgent ones once its patience is out,
-// however many of these keep coming.
-func TestDeferrableNeverStarves(t *testing.T) {
+// A deferrable request is served before urgent ones once its patience is over, however many of
+// these keep arriving.
+func TestDeferrableRequestsAreNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
@@ -187,8 +188,8 @@
 			}
 		}()
 		synctest.Wait()
-		stop := false
-		for !stop {
+		done := false
+		for !done {
 			next := make(chan *Place, 1)
 			go func() {
 				got, _ := g.Admit(t.Context(), Ticket{Workspace: "clinic", Wait: true})
@@ -201,7 +202,7 @@
 			select {
 			case waited := <-served:
 				is.New(t).True(waited <= options.Patience+time.Second)
-				stop = true
+				done = true
 			default:
 				is.New(t).True(time.Since(began) < time.Minute)
 			}
@@ -210,15 +211,15 @@
 	})
 }
 
-// A request that can't be served in time is told so at once, with the time to
-// come back worked out from the queue.
-func TestHopelessWaitIsRefusedAtOnce(t *testing.T) {
+// A request that can't be admitted before its deadline is refused at once, with a time to retry
+// that is computed from the queue.
+func TestAdmitRefusesWaitBeyondDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
-		// One place comes free every two seconds.
+		// One place is released every two seconds.
 		for range 50 {
 			place, _ := g.Admit(t.Context(), Ticket{})
 			time.Sleep(2 * time.Second)
@@ -257,7 +258,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				options := small()
+				options := smallOptions()
 				options.Floor = 1
 				g := NewGate(options)
 				place, _ := g.Admit(t.Context(), Ticket{})
@@ -269,7 +270,7 @@
 				is.Equal(g.Load().Queued, tt.fits)
 				cancel()
 				synctest.Wait()
-				is.Equal(g.Load().Queued, 0) // who goes away leaves nothing behind
+				is.Equal(g.Load().Queued, 0) // canceled requests leave the queue
 				place.Release()
 				is.Equal(g.Load().InFlight, 0)
 			})
@@ -277,10 +278,10 @@
 	}
 }
 
-func TestLeavingRefusesAndDrains(t *testing.T) {
+func TestLeaveRefusesAndDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
@@ -307,11 +308,11 @@
 	})
 }
 
-// A chat that is worth waiting for queues only as long as that.
-func TestHomeWait(t *testing.T) {
+// A request with HomeWait queues at most that long.
+func TestHomeWaitLimitsQueueTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		options := small()
+		options := smallOptions()
 		options.Floor = 1
 		g := NewGate(options)
 		place, _ := g.Admit(t.Context(), Ticket{})
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -5,197 +5,194 @@
 	"time"
 )
 
-// ranks is how many ranks of urgency there are; 0 is the most urgent.
-const ranks = 10
+// rankCount is the number of priority ranks; 0 is the most urgent.
+const rankCount = 10
 
-// LimiterOptions bound the queue of one service.
+// LimiterOptions are the limits of a service's queue.
 type LimiterOptions struct {
-	// LeastShare is the part of the service's mean share of admitted requests
-	// that every rank gets, however much is more urgent; from 0 to 1.
-	LeastShare float64
-	// MostWaiting bounds the queue, in requests.
-	MostWaiting int
-	// HalfLife is how fast past admissions and offers lose their weight in the
-	// shares of ranks, and PaceHalfLife in the pace of admissions.
+	// MinShare is the part of the service's mean admitted share that every rank gets at least,
+	// however many more urgent requests there are; from 0 to 1.
+	MinShare float64
+	// MaxWaiting limits the queue, in requests.
+	MaxWaiting int
+	// HalfLife is the half-life of past offers and admissions in the shares of ranks, and
+	// RateHalfLife that of admissions in the admission rate.
 	HalfLife     time.Duration
-	PaceHalfLife time.Duration
-	// LeastReturn is the shortest time to come back after.
-	LeastReturn time.Duration
+	RateHalfLife time.Duration
+	// MinRetryAfter is the shortest time after which a refused caller retries.
+	MinRetryAfter time.Duration
 }
 
-// DefaultLimiterOptions are the bounds used unless settings say otherwise. The
-// figures come from the trials in docs/DECISIONS.md.
+// DefaultLimiterOptions returns the limits used unless settings override them. The values come
+// from the trials in docs/DECISIONS.md.
 func DefaultLimiterOptions() LimiterOptions {
 	return LimiterOptions{
-		LeastShare:   0.5,
-		MostWaiting:  256,
-		HalfLife:     2 * time.Second,
-		PaceHalfLife: time.Second,
-		LeastReturn:  100 * time.Millisecond,
+		MinShare:      0.5,
+		MaxWaiting:    256,
+		HalfLife:      2 * time.Second,
+		RateHalfLife:  time.Second,
+		MinRetryAfter: 100 * time.Millisecond,
 	}
 }
 
-// Entry is a request that asks to be admitted to a service.
+// Entry describes a request that asks for admission to a service.
 type Entry struct {
 	Workspace string
-	// Rank is the urgency, 0 first, below 10.
+	// Rank is the priority, below 10; 0 is served first.
 	Rank int
 	// Patience is how long the request may wait in the queue.
 	Patience time.Duration
-	// Left is how much of the caller's own time is left; zero if unknown.
+	// Left is the time until the caller's deadline; zero if unknown.
 	Left time.Duration
 }
 
-// Limiter is a gateway's queue before all targets of one service. A request is
-// admitted while the targets have room. Otherwise the most urgent waits ahead
-// of the less urgent, workspaces of the same rank take turns, and whoever would
-// wait longer than its patience is refused with a time to come back.
+// Limiter is a gateway's queue in front of all targets of one service. A request is admitted while
+// the targets have room. Otherwise requests wait: more urgent ones are served first, workspaces of
+// the same rank take turns, and a request that would wait longer than its patience is refused with
+// a time after which to retry.
 //
-// It does no I/O: the clock and the targets' room are handed in. It is safe
-// for concurrent use.
+// It does no I/O: callers pass in the time and the targets' room. It is safe for concurrent use.
 type Limiter struct {
 	options LimiterOptions
 
 	mu sync.Mutex
-	// lines hold those who wait, by rank.
-	lines [ranks]*class
-	// waiting counts all who wait.
+	// queues hold the waiting requests by rank.
+	queues [rankCount]*fairQueue
+	// waiting counts the requests in all queues.
 	waiting int
-	// granted counts those who were admitted and are not yet counted at a
-	// target.
+	// granted counts the requests that were admitted and are not yet counted at a target.
 	granted int
-	// offered and admitted are the faded counts of each rank.
-	offered  [ranks]decayed
-	admitted [ranks]decayed
-	// admissions is the faded count of all admissions.
-	admissions decayed
-	// lastReturn is when the last refused caller was asked to come back.
-	lastReturn time.Time
+	// offered and admitted are the decayed counts of each rank.
+	offered  [rankCount]decayingCount
+	admitted [rankCount]decayingCount
+	// admissions is the decayed count of all admissions.
+	admissions decayingCount
+	// lastRetryAt is the latest time at which a refused caller was asked to retry.
+	lastRetryAt time.Time
 }
 
-// NewLimiter returns a limiter in which nobody waits.
+// NewLimiter returns a limiter with an empty queue.
 func NewLimiter(options LimiterOptions) *Limiter {
 	l := &Limiter{options: options}
-	for i := range l.lines {
-		l.lines[i] = newClass()
+	for i := range l.queues {
+		l.queues[i] = newFairQueue()
 	}
 	return l
 }
 
-// Turn is a request's place in the queue, or its admission.
+// Turn is a request in the queue, or one that has been admitted.
 type Turn struct {
 	limiter *Limiter
 	waiter  *waiter
 	rank    int
-	// begun says that the admission has been used or given back.
+	// begun is set once the admission has been used or given back.
 	begun bool
 }
 
-// Offer asks for a request to be admitted. room is how many more requests the
-// service's targets can take now, this one not counted. The turn is nil if the
-// request is refused; its caller may then come back after the time returned.
+// Offer asks for a request to be admitted. room is how many more requests the service's targets
+// can take now, not counting this one. If the request is refused, the turn is nil and the caller
+// may retry after the returned time.
 func (l *Limiter) Offer(entry Entry, room int, now time.Time) (*Turn, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rank := min(max(entry.Rank, 0), ranks-1)
+	rank := min(max(entry.Rank, 0), rankCount-1)
 	l.offered[rank].add(1, now, l.options.HalfLife)
 	turn := &Turn{limiter: l, rank: rank, waiter: &waiter{
 		ticket:   Ticket{Workspace: entry.Workspace},
-		since:    now,
-		admitted: make(chan struct{}),
+		queuedAt: now,
+		decided:  make(chan struct{}),
 	}}
-	l.lines[rank].push(turn.waiter)
+	l.queues[rank].push(turn.waiter)
 	l.waiting++
 	l.admit(room, now)
 	if turn.waiter.state == waiterAdmitted {
 		return turn, 0
 	}
-	if l.waiting > l.options.MostWaiting || l.waitOf(turn, now) > entry.Patience {
+	if l.waiting > l.options.MaxWaiting || l.estimateWait(turn, now) > entry.Patience {
 		l.remove(turn)
-		return nil, l.comeBack(entry.Left, now)
+		return nil, l.retryAfter(entry.Left, now)
 	}
 	return turn, 0
 }
 
-// Waiting counts the requests in the queue.
+// Waiting returns the number of requests in the queue.
 func (l *Limiter) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting
 }
 
-// Wants is how much room would be enough for all who wait or were admitted and
+// Demand returns how much room would suffice for all requests that wait, or that were admitted and
 // are not yet counted at a target.
-func (l *Limiter) Wants() int {
+func (l *Limiter) Demand() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.waiting + l.granted
 }
 
-// ComeBack is the time after which a caller whose request was turned away is to
-// come back; left is how much of its own time is left, zero if unknown.
-func (l *Limiter) ComeBack(left time.Duration, now time.Time) time.Duration {
+// RetryAfter returns the time after which a caller whose request was refused should retry.
+// remaining is the time until the caller's deadline, zero if unknown.
+func (l *Limiter) RetryAfter(remaining time.Duration, now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.comeBack(left, now)
+	return l.retryAfter(remaining, now)
 }
 
-// Admit admits those who wait while there is room.
+// Admit admits queued requests while there is room.
 func (l *Limiter) Admit(room int, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.admit(room, now)
 }
 
-// admit gives room to those who wait, in order; l.mu is held.
+// admit admits queued requests in order while there is room; l.mu is held.
 func (l *Limiter) admit(room int, now time.Time) {
 	for l.granted < room && l.waiting > 0 {
 		rank := l.nextRank(now)
-		first := l.lines[rank].take()
-		first.state = waiterAdmitted
+		next := l.queues[rank].pop()
+		next.state = waiterAdmitted
 		l.waiting--
 		l.granted++
 		l.admitted[rank].add(1, now, l.options.HalfLife)
-		l.admissions.add(1, now, l.options.PaceHalfLife)
-		close(first.admitted)
+		l.admissions.add(1, now, l.options.RateHalfLife)
+		close(next.decided)
 	}
 }
 
-// nextRank is the rank whose turn it is: the most urgent one of those that get
-// less than their least share, else the most urgent one; l.mu is held.
+// nextRank returns the rank to serve next: the most urgent rank whose admitted share is below the
+// minimum, or else the most urgent one with a waiting request; l.mu is held.
 func (l *Limiter) nextRank(now time.Time) int {
-	first := -1
-	least := l.options.LeastShare * l.meanShare(now)
-	for rank, line := range l.lines {
-		if line.count == 0 {
+	mostUrgent := -1
+	minShare := l.options.MinShare * l.meanShare(now)
+	for rank, queue := range l.queues {
+		if queue.count == 0 {
 			continue
 		}
-		if l.shareOf(rank, now) < least {
+		if l.admittedShare(rank, now) < minShare {
 			return rank
 		}
-		if first < 0 {
-			first = rank
+		if mostUrgent < 0 {
+			mostUrgent = rank
 		}
 	}
-	return first
+	return mostUrgent
 }
 
-// shareOf is the part of a rank's offers that was admitted lately; l.mu is
-// held.
-func (l *Limiter) shareOf(rank int, now time.Time) float64 {
-	offered := l.offered[rank].read(now, l.options.HalfLife)
+// admittedShare returns the recently admitted part of a rank's offers; l.mu is held.
+func (l *Limiter) admittedShare(rank int, now time.Time) float64 {
+	offered := l.offered[rank].valueAt(now, l.options.HalfLife)
 	if offered == 0 {
 		return 1
 	}
-	return l.admitted[rank].read(now, l.options.HalfLife) / offered
+	return l.admitted[rank].valueAt(now, l.options.HalfLife) / offered
 }
 
-// meanShare is the part of all offers that was admitted lately; l.mu is held.
+// meanShare returns the recently admitted part of all offers; l.mu is held.
 func (l *Limiter) meanShare(now time.Time) float64 {
 	offered, admitted := 0.0, 0.0
-	for rank := range ranks {
-		offered += l.offered[rank].read(now, l.options.HalfLife)
-		admitted += l.admitted[rank].read(now, l.options.HalfLife)
+	for rank := range rankCount {
+		offered += l.offered[rank].valueAt(now, l.options.HalfLife)
+		admitted += l.admitted[rank].valueAt(now, l.options.HalfLife)
 	}
 	if offered == 0 {
 		return 1
@@ -203,79 +200,77 @@
 	return admitted / offered
 }
 
-// pace is how many requests a second were admitted lately; l.mu is held.
-func (l *Limiter) pace(now time.Time) float64 {
-	return l.admissions.perSecond(now, l.options.PaceHalfLife)
+// admissionRate returns the recent admissions per second; l.mu is held.
+func (l *Limiter) admissionRate(now time.Time) float64 {
+	return l.admissions.rate(now, l.options.RateHalfLife)
 }
 
 const (
-	// leastPace is the pace below which no time to come back is worked out, in
-	// requests a second.
-	leastPace = 1.0
-	// leastKnown is how many admissions must have been counted lately for a
-	// wait to be estimated.
-	leastKnown = 8.0
+	// minSpareRate is the spare rate, in requests per second, below which no time to retry is
+	// computed from it.
+	minSpareRate = 1.0
+	// minAdmissionsForEstimate is how many recent admissions are needed to estimate a wait.
+	minAdmissionsForEstimate = 8.0
 )
 
-// waitOf estimates how long a request that has just come will wait; l.mu is
-// held. Where too little is known it is zero.
-func (l *Limiter) waitOf(turn *Turn, now time.Time) time.Duration {
-	if l.admissions.read(now, l.options.PaceHalfLife) < leastKnown {
+// estimateWait estimates how long a newly queued request will wait; it returns zero if there were
+// too few admissions to tell. l.mu is held.
+func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
+	if l.admissions.valueAt(now, l.options.RateHalfLife) < minAdmissionsForEstimate {
 		return 0
 	}
-	ahead := l.lines[turn.rank].ahead(turn.waiter)
-	if l.shareOf(turn.rank, now) >= l.options.LeastShare*l.meanShare(now) {
+	ahead := l.queues[turn.rank].aheadOf(turn.waiter)
+	if l.admittedShare(turn.rank, now) >= l.options.MinShare*l.meanShare(now) {
 		for rank := range turn.rank {
-			ahead += l.lines[rank].count
+			ahead += l.queues[rank].count
 		}
 	}
-	return time.Duration(float64(ahead+1) / l.pace(now) * float64(time.Second))
+	return time.Duration(float64(ahead+1) / l.admissionRate(now) * float64(time.Second))
 }
 
-// returnPart is the largest part of the time that a caller has left after
-// which it comes back, whatever it is asked.
-const returnPart = 1.0 / 3
+// maxRetryFraction is the largest part of a caller's remaining time after which it is asked to
+// retry; a caller asked to wait longer comes back by itself.
+const maxRetryFraction = 1.0 / 3
 
-// spare is the part of the pace of admissions that is left for callers who come
-// back: none once half of the offers are refused, since those who come back
-// would only be refused again; l.mu is held.
-func (l *Limiter) spare(now time.Time) float64 {
-	return max(2*l.meanShare(now)-1, 0) * l.pace(now)
+// spareRate returns the part of the admission rate that is available to callers that retry. It is
+// zero once half of the offers are refused, since retries would only be refused again. l.mu is
+// held.
+func (l *Limiter) spareRate(now time.Time) float64 {
+	return max(2*l.meanShare(now)-1, 0) * l.admissionRate(now)
 }
 
-// comeBack is the time after which a refused caller is to come back: those
-// refused follow each other at the pace that is left for them; l.mu is held.
-func (l *Limiter) comeBack(left time.Duration, now time.Time) time.Duration {
-	most := max(time.Duration(returnPart*float64(left)), l.options.LeastReturn)
-	gap := most
-	if pace := l.spare(now); pace >= leastPace {
-		gap = time.Duration(float64(time.Second) / pace)
+// retryAfter returns the time after which a refused caller should retry. Successive refused
+// callers are spaced out at the spare rate; l.mu is held.
+func (l *Limiter) retryAfter(remaining time.Duration, now time.Time) time.Duration {
+	longest := max(time.Duration(maxRetryFraction*float64(remaining)), l.options.MinRetryAfter)
+	gap := longest
+	if rate := l.spareRate(now); rate >= minSpareRate {
+		gap = time.Duration(float64(time.Second) / rate)
 	}
-	earliest := now.Add(l.options.LeastReturn)
-	next := l.lastReturn.Add(gap)
+	earliest := now.Add(l.options.MinRetryAfter)
+	next := l.lastRetryAt.Add(gap)
 	if next.Before(earliest) {
 		next = earliest
 	}
-	l.lastReturn = next
-	if latest := now.Add(most); next.After(latest) {
-		next, l.lastReturn = latest, latest
+	l.lastRetryAt = next
+	if latest := now.Add(longest); next.After(latest) {
+		next, l.lastRetryAt = latest, latest
 	}
 	return next.Sub(now)
 }
 
-// remove takes a turn out of the queue; l.mu is held.
+// remove takes a request out of the queue; l.mu is held.
 func (l *Limiter) remove(turn *Turn) {
-	l.lines[turn.rank].remove(turn.waiter)
+	l.queues[turn.rank].remove(turn.waiter)
 	l.waiting--
 }
 
-// Admitted is closed when the request has been admitted.
+// Admitted returns a channel that is closed when the request has been admitted.
 func (t *Turn) Admitted() <-chan struct{} {
-	return t.waiter.admitted
+	return t.waiter.decided
 }
 
-// Begin notes that the request, which has been admitted, is now counted at a
-// target, or is given up.
+// Begin records that the admitted request is now counted at a target, or has been given up.
 func (t *Turn) Begin() {
 	t.limiter.mu.Lock()
 	defer t.limiter.mu.Unlock()
@@ -285,10 +280,9 @@
 	}
 }
 
-// Leave takes a request out of the queue. It returns false if the request has
-// been admitted meanwhile. Otherwise its caller may come back after the time
-// returned.
-func (t *Turn) Leave(left time.Duration, now time.Time) (time.Duration, bool) {
+// Leave takes a request out of the queue and returns the time after which its caller may retry. It
+// returns false if the request has been admitted in the meantime.
+func (t *Turn) Leave(remaining time.Duration, now time.Time) (time.Duration, bool) {
 	l := t.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -296,5 +290,5 @@
 		return 0, false
 	}
 	l.remove(t)
-	return l.comeBack(left, now), true
+	return l.retryAfter(remaining, now), true
 }
--- a/internal/admission/limiters.go
+++ b/internal/admission/limiters.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Limiters are a gateway's limiters, one for each service.
+// Limiters holds a gateway's limiters, one for each service.
 type Limiters struct {
 	options LimiterOptions
 
@@ -13,30 +13,29 @@
 	byService map[string]*Limiter
 }
 
-// NewLimiters returns a set in which each limiter is made when it is first
-// asked for.
+// NewLimiters returns a set that creates each limiter on first use.
 func NewLimiters(options LimiterOptions) *Limiters {
 	return &Limiters{options: options, byService: make(map[string]*Limiter)}
 }
 
-// Of is the limiter of a service.
+// Of returns the limiter of a service.
 func (l *Limiters) Of(service string) *Limiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known, ok := l.byService[service]
+	limiter, ok := l.byService[service]
 	if !ok {
-		known = NewLimiter(l.options)
-		l.byService[service] = known
+		limiter = NewLimiter(l.options)
+		l.byService[service] = limiter
 	}
-	return known
+	return limiter
 }
 
-// Each calls a function for each service that has a limiter.
+// Each calls visit for each service that has a limiter.
 func (l *Limiters) Each(visit func(service string, limiter *Limiter)) {
 	l.mu.Lock()
-	known := maps.Clone(l.byService)
+	limiters := maps.Clone(l.byService)
 	l.mu.Unlock()
-	for service, limiter := range known {
+	for service, limiter := range limiters {
 		visit(service, limiter)
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -15,120 +15,120 @@
 	waiterRefused
 )
 
-// waiter is one queued request; the gate's lock guards it.
+// waiter is one queued request. The lock of the gate or limiter that owns it guards it.
 type waiter struct {
-	ticket Ticket
-	since  time.Time
-	state  waiterState
-	// place is set with waiterAdmitted, and refusal with waiterRefused.
-	place    *Place
-	refusal  *fault.Error
-	admitted chan struct{}
-	element  *list.Element
-	lane     *lane
-}
-
-// lane is one workspace's queue within a class.
-type lane struct {
+	ticket   Ticket
+	queuedAt time.Time
+	state    waiterState
+	// place is set in state waiterAdmitted, and refusal in state waiterRefused.
+	place   *Place
+	refusal *fault.Error
+	decided chan struct{}
+	element *list.Element
+	queue   *workspaceQueue
+}
+
+// workspaceQueue is the queue of one workspace within a fairQueue.
+type workspaceQueue struct {
 	workspace string
 	waiters   *list.List
-	// credit is what the workspace may still take in this round.
+	// credit is how many requests the workspace may still have admitted in this round.
 	credit int
-	// element is the lane's place in the round; nil when it is empty.
+	// element is the queue's position in the rotation; nil when the queue is empty.
 	element *list.Element
 }
 
-// class shares places among workspaces by deficit round robin.
-type class struct {
-	lanes map[string]*lane
-	round *list.List
-	count int
+// fairQueue shares places among workspaces by deficit round robin.
+type fairQueue struct {
+	byWorkspace map[string]*workspaceQueue
+	rotation    *list.List
+	count       int
 }
 
-func newClass() *class {
-	return &class{lanes: make(map[string]*lane), round: list.New()}
+func newFairQueue() *fairQueue {
+	return &fairQueue{byWorkspace: make(map[string]*workspaceQueue), rotation: list.New()}
 }
 
-func (c *class) push(w *waiter) {
-	l, ok := c.lanes[w.ticket.Workspace]
+func (f *fairQueue) push(w *waiter) {
+	q, ok := f.byWorkspace[w.ticket.Workspace]
 	if !ok {
-		l = &lane{workspace: w.ticket.Workspace, waiters: list.New()}
-		l.element = c.round.PushBack(l)
-		c.lanes[l.workspace] = l
+		q = &workspaceQueue{workspace: w.ticket.Workspace, waiters: list.New()}
+		q.element = f.rotation.PushBack(q)
+		f.byWorkspace[q.workspace] = q
 	}
-	w.lane = l
-	w.element = l.waiters.PushBack(w)
-	c.count++
+	w.queue = q
+	w.element = q.waiters.PushBack(w)
+	f.count++
 }
 
-// next is the waiter whose turn it is; nil when none waits.
-func (c *class) next() *waiter {
-	front := c.round.Front()
+// front returns the waiter to serve next, or nil if there is none.
+func (f *fairQueue) front() *waiter {
+	front := f.rotation.Front()
 	if front == nil {
 		return nil
 	}
-	l := front.Value.(*lane)
-	first := l.waiters.Front().Value.(*waiter)
-	if l.credit == 0 {
-		l.credit = max(first.ticket.Share, 1)
+	q := front.Value.(*workspaceQueue)
+	first := q.waiters.Front().Value.(*waiter)
+	if q.credit == 0 {
+		q.credit = max(first.ticket.Share, 1)
 	}
 	return first
 }
 
-// take removes the waiter whose turn it is.
-func (c *class) take() *waiter {
-	w := c.next()
+// pop removes and returns the waiter to serve next.
+func (f *fairQueue) pop() *waiter {
+	w := f.front()
 	if w == nil {
 		return nil
 	}
-	l := w.lane
-	l.credit--
-	c.remove(w)
-	if l.credit == 0 && l.waiters.Len() > 0 {
-		c.round.MoveToBack(l.element)
+	q := w.queue
+	q.credit--
+	f.remove(w)
+	if q.credit == 0 && q.waiters.Len() > 0 {
+		f.rotation.MoveToBack(q.element)
 	}
 	return w
 }
 
-func (c *class) remove(w *waiter) {
-	l := w.lane
-	l.waiters.Remove(w.element)
-	c.count--
-	if l.waiters.Len() == 0 {
-		c.round.Remove(l.element)
-		delete(c.lanes, l.workspace)
+func (f *fairQueue) remove(w *waiter) {
+	q := w.queue
+	q.waiters.Remove(w.element)
+	f.count--
+	if q.waiters.Len() == 0 {
+		f.rotation.Remove(q.element)
+		delete(f.byWorkspace, q.workspace)
 	}
 }
 
-// oldest is the waiter that has waited longest at the head of any lane.
-func (c *class) oldest() *waiter {
+// oldest returns the longest waiting of the first waiters of all workspaces.
+func (f *fairQueue) oldest() *waiter {
 	var oldest *waiter
-	for element := c.round.Front(); element != nil; element = element.Next() {
-		w := element.Value.(*lane).waiters.Front().Value.(*waiter)
-		if oldest == nil || w.since.Before(oldest.since) {
+	for element := f.rotation.Front(); element != nil; element = element.Next() {
+		w := element.Value.(*workspaceQueue).waiters.Front().Value.(*waiter)
+		if oldest == nil || w.queuedAt.Before(oldest.queuedAt) {
 			oldest = w
 		}
 	}
 	return oldest
 }
 
-// queues are the two classes.
+// queues holds the urgent and the deferrable requests.
 type queues struct {
 	patience   time.Duration
-	urgent     *class
-	deferrable *class
+	urgent     *fairQueue
+	deferrable *fairQueue
 	bytes      int64
 }
 
 func newQueues(patience time.Duration) *queues {
-	return &queues{patience: patience, urgent: newClass(), deferrable: newClass()}
+	return &queues{patience: patience, urgent: newFairQueue(), deferrable: newFairQueue()}
 }
 
 func (q *queues) len() int {
 	return q.urgent.count + q.deferrable.count
 }
 
-func (q *queues) classOf(ticket Ticket) *class {
+func (q *queues) queueFor(ticket Ticket) *fairQueue {
 	if ticket.Deferrable {
 		return q.deferrable
 	}
@@ -136,20 +136,20 @@
 }
 
 func (q *queues) push(ticket Ticket) *waiter {
-	w := &waiter{ticket: ticket, since: time.Now(), admitted: make(chan struct{})}
-	q.classOf(ticket).push(w)
+	w := &waiter{ticket: ticket, queuedAt: time.Now(), decided: make(chan struct{})}
+	q.queueFor(ticket).push(w)
 	q.bytes += ticket.Bytes
 	return w
 }
 
-// pop takes the next waiter: urgent first, but a deferrable one that has run
-// out of patience goes before, so that it never starves.
+// pop removes and returns the next waiter. Urgent ones go first, except that a deferrable one that
+// has waited for the patience time goes before them, so that it is never starved.
 func (q *queues) pop() *waiter {
-	w := q.impatient()
+	w := q.overdueDeferrable()
 	if w != nil {
 		q.deferrable.remove(w)
-	} else if w = q.urgent.take(); w == nil {
-		w = q.deferrable.take()
+	} else if w = q.urgent.pop(); w == nil {
+		w = q.deferrable.pop()
 	}
 	if w != nil {
 		q.bytes -= w.ticket.Bytes
@@ -157,12 +157,13 @@
 	return w
 }
 
-func (q *queues) impatient() *waiter {
+// overdueDeferrable returns the oldest deferrable waiter if it has waited for the patience time.
+func (q *queues) overdueDeferrable() *waiter {
 	if q.deferrable.count == 0 {
 		return nil
 	}
 	w := q.deferrable.oldest()
-	if time.Since(w.since) < q.patience {
+	if time.Since(w.queuedAt) < q.patience {
 		return nil
 	}
 	return w
@@ -172,43 +173,43 @@
 	if w.state != waiterQueued {
 		return
 	}
-	q.classOf(w.ticket).remove(w)
+	q.queueFor(w.ticket).remove(w)
 	q.bytes -= w.ticket.Bytes
 }
 
-// ahead counts who would be served before a request that queues now: in its
-// class at most as many rounds as its own lane is long, and all urgent ones
-// before a deferrable one.
+// ahead returns how many waiters would be served before a request that is queued now. In its own
+// fairQueue these are at most those of as many rounds as its workspace's queue is long. Before a
+// deferrable request all urgent ones are served as well.
 func (q *queues) ahead(ticket Ticket) int {
-	count := q.classOf(ticket).before(ticket, 0)
+	count := q.queueFor(ticket).countAhead(ticket, 0)
 	if ticket.Deferrable {
 		count += q.urgent.count
 	}
 	return count
 }
 
-// ahead counts who is served before a waiter that has just been queued.
-func (c *class) ahead(w *waiter) int {
-	return c.before(w.ticket, 1)
+// aheadOf returns how many waiters are served before one that has just been queued.
+func (f *fairQueue) aheadOf(w *waiter) int {
+	return f.countAhead(w.ticket, 1)
 }
 
-// before counts who is served before a request of a workspace behind which no
-// other waits; queued is how many places of its lane are its own.
-func (c *class) before(ticket Ticket, queued int) int {
-	own := -queued
-	if l, ok := c.lanes[ticket.Workspace]; ok {
-		own += l.waiters.Len()
+// countAhead returns how many waiters are served before the last request of a workspace. ownPlaces
+// is how many places of the workspace's queue belong to that request itself.
+func (f *fairQueue) countAhead(ticket Ticket, ownPlaces int) int {
+	own := -ownPlaces
+	if q, ok := f.byWorkspace[ticket.Workspace]; ok {
+		own += q.waiters.Len()
 	}
 	own = max(own, 0)
 	share := max(ticket.Share, 1)
 	rounds := own/share + 1
 	count := own
-	for name, l := range c.lanes {
+	for name, q := range f.byWorkspace {
 		if name == ticket.Workspace {
 			continue
 		}
-		weight := max(l.waiters.Front().Value.(*waiter).ticket.Share, 1)
-		count += min(l.waiters.Len(), rounds*weight)
+		weight := max(q.waiters.Front().Value.(*waiter).ticket.Share, 1)
+		count += min(q.waiters.Len(), rounds*weight)
 	}
 	return count
 }
--- a/internal/admission/rest_test.go
+++ b/internal/admission/rest_test.go
@@ -11,9 +11,9 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// TestAGateRests: it refuses what comes and what waits, with the time that is left; then one
-// request tries, and the others that wait follow its answer.
-func TestAGateRests(t *testing.T) {
+// During a rest the gate refuses new and queued requests, with the time that remains. After it one
+// request probes the target, and the other queued ones wait for its answer.
+func TestRestRefusesThenProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
@@ -31,8 +31,8 @@
 		synctest.Wait()
 		g.Rest(3 * time.Second)
 		is.Equal((<-waiting).RetryAfter, 3*time.Second)
-		g.Rest(time.Second) // the longest holds
-		g.Answered()        // what was under way before says nothing
+		g.Rest(time.Second) // the longest rest applies
+		g.Answered()        // an answer to an earlier request doesn't end the rest
 		before[0].Release()
 		time.Sleep(2 * time.Second)
 		_, refusal := g.Admit(t.Context(), Ticket{Wait: true})
@@ -40,7 +40,7 @@
 		is.Equal(refusal.State, fault.NotRun)
 		is.Equal(refusal.RetryAfter, time.Second)
 		time.Sleep(time.Second)
-		try, refusal := g.Admit(t.Context(), Ticket{})
+		probe, refusal := g.Admit(t.Context(), Ticket{})
 		is.True(refusal == nil)
 		for range 2 {
 			go func() {
@@ -54,29 +54,29 @@
 		g.Answered()
 		synctest.Wait()
 		is.Equal(g.Load().Queued, 0)
-		try.Release()
+		probe.Release()
 		for _, place := range before[2:] {
 			place.Release()
 		}
-		is.Equal(g.Own(), 0)
+		is.Equal(g.OwnInFlight(), 0)
 	})
 }
 
-// TestATryThatEndsWithoutAnAnswer: the next one tries.
-func TestATryThatEndsWithoutAnAnswer(t *testing.T) {
+// If a probe ends without an answer, the next request probes the target.
+func TestNextRequestProbesAfterUnansweredProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
 		g.Rest(time.Second)
 		time.Sleep(time.Second)
 		for range 3 {
-			try, refusal := g.Admit(t.Context(), Ticket{})
+			probe, refusal := g.Admit(t.Context(), Ticket{})
 			is.True(refusal == nil)
-			short, cancel := context.WithTimeout(t.Context(), time.Second)
-			_, refusal = g.Admit(short, Ticket{Wait: true})
+			timeoutCtx, cancel := context.WithTimeout(t.Context(), time.Second)
+			_, refusal = g.Admit(timeoutCtx, Ticket{Wait: true})
 			is.True(refusal != nil)
 			cancel()
-			try.Release()
+			probe.Release()
 		}
 	})
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -68,7 +68,7 @@
 	if c.gateway.Limiters == nil {
 		return retryAfterShortage
 	}
-	return c.gateway.Limiters.Of(c.service).ComeBack(c.deadline.Sub(now), now)
+	return c.gateway.Limiters.Of(c.service).RetryAfter(c.deadline.Sub(now), now)
 }
 
 // retryAfterNoTarget returns the same for a request for which no target was open at all.
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -25,7 +25,7 @@
 	}
 	limiter := c.gateway.Limiters.Of(c.service)
 	began := clock.Now()
-	capacity := c.gateway.Balancer.Room(c.service, c.gateway.admittingVersions(c.service, began), limiter.Wants()+1, began)
+	capacity := c.gateway.Balancer.Room(c.service, c.gateway.admittingVersions(c.service, began), limiter.Demand()+1, began)
 	turn, retryAfter := limiter.Offer(c.queueEntry(began), capacity, began)
 	if turn == nil {
 		return overloadError(retryAfter)
@@ -115,5 +115,5 @@
 		return
 	}
 	now := clock.Now()
-	limiter.Admit(g.Balancer.Room(service, g.admittingVersions(service, now), limiter.Wants(), now), now)
+	limiter.Admit(g.Balancer.Room(service, g.admittingVersions(service, now), limiter.Demand(), now), now)
 }
--- a/internal/gateway/queue_test.go
+++ b/internal/gateway/queue_test.go
@@ -113,7 +113,7 @@
 		disconnected := w.serveAs(ctx, "/once/second")
 		is.True(disconnected.aborted)
 		is.Equal(disconnected.refusal, nil)
-		is.Equal(w.gateway.Limiters.Of("s").Wants(), 0)
+		is.Equal(w.gateway.Limiters.Of("s").Demand(), 0)
 		is.Equal(len(w.sender.sent), 1)
 		time.Sleep(time.Second)
 	})
--- a/internal/session/world_test.go
+++ b/internal/session/world_test.go
@@ -181,7 +181,7 @@
 // handle serves what all roles share, then the role's own.
 func (p *process) handle(ctx context.Context, open *wire.Open, stream link.Stream) {
 	if pull := open.GetPull(); pull != nil {
-		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: p.state.Since(pull.GetHave())}})
+		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: p.state.DeltaSince(pull.GetHave())}})
 		return
 	}
 	if p.agent != nil {
@@ -314,7 +314,7 @@
 			for _, to := range all {
 				if from != to && !from.isCut() && !to.isCut() {
 					beat := from.members.Compose(&wire.Beat{ConfigRevision: from.state.Revision()}, 1200)
-					to.members.Take(beat)
+					to.members.Receive(beat)
 				}
 			}
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -152,7 +152,7 @@
 	options := admission.DefaultOptions()
 	options.Factor = or(s.Admission.Factor, options.Factor)
 	options.Floor = or(s.Admission.Floor, options.Floor)
-	options.Most = or(s.Admission.Most, options.Most)
+	options.MaxInFlight = or(s.Admission.Most, options.MaxInFlight)
 	options.QueueCount = or(s.Admission.QueueCount, options.QueueCount)
 	options.QueueBytes = or(s.Admission.QueueBytes, options.QueueBytes)
 	options.Patience = orTime(s.Admission.Patience, options.Patience)
@@ -173,8 +173,8 @@
 func (s *Settings) OnceOptions() once.Options {
 	options := once.DefaultOptions()
 	options.ClockError = orTime(s.Once.ClockError, options.ClockError)
-	options.Ahead = orTime(s.Once.Ahead, options.Ahead)
-	options.Back = orTime(s.Once.Back, options.Back)
+	options.MaxAhead = orTime(s.Once.Ahead, options.MaxAhead)
+	options.MaxKeyAge = orTime(s.Once.Back, options.MaxKeyAge)
 	options.Keep = orTime(s.Once.Keep, options.Keep)
 	options.Promise = orTime(s.Once.Promise, options.Promise)
 	options.LongLease = orTime(s.Once.LongLease, options.LongLease)
@@ -184,7 +184,7 @@
 // MemberOptions fills in the defaults.
 func (s *Settings) MemberOptions() member.Options {
 	options := member.DefaultOptions()
-	options.Suspicion = orTime(s.Membership.Suspicion, options.Suspicion)
+	options.SuspicionTimeout = orTime(s.Membership.Suspicion, options.SuspicionTimeout)
 	return options
 }
 
