--- a/internal/rollout/baseline_test.go
+++ b/internal/rollout/baseline_test.go
@@ -40,7 +40,7 @@
 			// The service has had the prior share for long.
 			var service baseline
 			service.add(100_000, int(100_000*test.prior))
-			got := base.of(&service, baseFailures)
+			got := base.tolerated(&service, minBaseFailures)
 			t.Log(got)
 			is.True(got >= test.least)
 			is.True(got <= test.most)
@@ -55,7 +55,7 @@
 		lately      int
 		least, most float64
 	}{
-		"as ever":  {0, baseFailures, baseFailures},
+		"as ever":  {0, minBaseFailures, minBaseFailures},
 		"a rise":   {12, 0.1, 0.2},
 		"all fail": {30, 0.25, 0.5},
 	}
@@ -66,7 +66,7 @@
 			service.add(4000, 0)
 			route.add(400, 0)
 			service.add(30, test.lately)
-			got := route.of(&service, baseFailures)
+			got := route.tolerated(&service, minBaseFailures)
 			t.Log(got)
 			is.True(got >= test.least)
 			is.True(got <= test.most)
@@ -77,5 +77,5 @@
 	service.add(4000, 2000)
 	service.add(30, 0)
 	route.add(400, 100)
-	is.True(route.of(&service, baseFailures) >= 0.25)
+	is.True(route.tolerated(&service, minBaseFailures) >= 0.25)
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// stepEvery is the time between two looks at all roll-outs: short beside the time
+	// stepInterval is the time between two looks at all roll-outs: short beside the time
 	// between reports.
-	stepEvery = 100 * time.Millisecond
-	// moveStepEvery is the same in a move, whose last moment for a commit may not be missed:
+	stepInterval = 100 * time.Millisecond
+	// moveStepInterval is the same in a move, whose last moment for a commit may not be missed:
 	// commitReserve leaves the store some 150 ms after it, which a look every 100 ms made 50.
-	moveStepEvery = 20 * time.Millisecond
-	// stepLate is after what time without a look no report is answered: the process was
+	moveStepInterval = 20 * time.Millisecond
+	// maxStepGap is after what time without a look no report is answered: the process was
 	// held up, and another one may decide.
-	stepLate = 500 * time.Millisecond
-	// noticeEvery and noticeTimes have an end told again: datagrams get lost.
-	noticeEvery = 250 * time.Millisecond
-	noticeTimes = 4
-	// rememberPeers is how long a controller remembers how many gateways there were: long
+	maxStepGap = 500 * time.Millisecond
+	// noticeInterval and noticeRepeats have an end told again: datagrams get lost.
+	noticeInterval = 250 * time.Millisecond
+	noticeRepeats  = 4
+	// maxPeersTTL is how long a controller remembers how many gateways there were: long
 	// beside orders and cuts of the network. A fleet that shrinks to less than half has to
 	// wait so long for its next completion.
-	rememberPeers = time.Hour
-	// mostSteps bounds the steps kept for the watcher between two looks.
-	mostSteps = 256
+	maxPeersTTL = time.Hour
+	// maxPendingSteps bounds the steps kept for the watcher between two looks.
+	maxPendingSteps = 256
 )
 
 // Registry says which targets there are.
@@ -54,18 +54,18 @@
 	options ControllerOptions
 	gate    *Gate
 	// commit begins to write, and has committed called with the answer.
-	commit func(w writing)
-	wake   chan struct{}
-	cancel context.CancelFunc
-	ctx    context.Context
-	wait   sync.WaitGroup
+	startCommit func(w pendingCommit)
+	wake        chan struct{}
+	cancel      context.CancelFunc
+	ctx         context.Context
+	wait        sync.WaitGroup
 
-	mu     sync.Mutex
-	duties map[string]*duty
-	every  time.Duration
-	// most other gateways were heard at mostAt.
-	most   int
-	mostAt time.Time
+	mu             sync.Mutex
+	deciders       map[string]*deciderState
+	reportInterval time.Duration
+	// most other gateways were heard at maxPeersAt.
+	maxPeers   int
+	maxPeersAt time.Time
 	// steppedAt is when the roll-outs were last looked at.
 	steppedAt time.Time
 	notices   []notice
@@ -82,13 +82,13 @@
 // NewController returns a controller that Start begins.
 func NewController(options ControllerOptions) *Controller {
 	c := &Controller{
-		options: options,
-		gate:    NewGate(options.Options),
-		wake:    make(chan struct{}, 1),
-		duties:  make(map[string]*duty),
-		every:   reportEvery(options.Options, 1),
+		options:        options,
+		gate:           NewGate(options.Options),
+		wake:           make(chan struct{}, 1),
+		deciders:       make(map[string]*deciderState),
+		reportInterval: reportInterval(options.Options, 1),
 	}
-	c.commit = c.commitBeside
+	c.startCommit = c.commitAsync
 	return c
 }
 
@@ -103,7 +103,7 @@
 	c.wait.Go(func() {
 		for c.ctx.Err() == nil {
 			c.step(clock.Check())
-			timer := time.NewTimer(c.untilStep())
+			timer := time.NewTimer(c.nextStepDelay())
 			select {
 			case <-timer.C:
 			case <-c.wake:
@@ -115,14 +115,14 @@
 	return nil
 }
 
-// untilStep is the time until the next look at all roll-outs.
-func (c *Controller) untilStep() time.Duration {
+// nextStepDelay is the time until the next look at all roll-outs.
+func (c *Controller) nextStepDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := stepEvery
-	for _, d := range c.duties {
+	next := stepInterval
+	for _, d := range c.deciders {
 		if d.decides && d.decider != nil {
-			next = min(next, d.decider.stepEvery())
+			next = min(next, d.decider.stepInterval())
 		}
 	}
 	return next
@@ -136,7 +136,7 @@
 }
 
 // urge has the roll-outs looked at soon.
-func (c *Controller) urge() {
+func (c *Controller) requestStep() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -157,8 +157,8 @@
 	if !c.gate.ordered(order, listed, now) {
 		return
 	}
-	c.tell(Step{Kind: StepOrdered, Service: order.Service, Version: order.Version, Order: order.Revision})
-	c.urge()
+	c.addStep(Step{Kind: StepOrdered, Service: order.Service, Version: order.Version, Order: order.Revision})
+	c.requestStep()
 }
 
 // Withdrawn says that the store holds no order for a service any more.
@@ -168,7 +168,7 @@
 
 func (c *Controller) withdrawn(service string, now time.Time) {
 	c.gate.Withdrawn(service, now)
-	c.urge()
+	c.requestStep()
 }
 
 // Recorded takes a record and its revision from the replica of the store.
@@ -181,35 +181,35 @@
 	if !taken {
 		return
 	}
-	c.urge()
+	c.requestStep()
 	if before.Order.Revision == record.Order.Revision && before.State == record.State {
 		return // only the time since the order is another one
 	}
-	c.tell(Step{
+	c.addStep(Step{
 		Kind: StepRecorded, Service: record.Order.Service, Version: record.Order.Version,
 		Order: record.Order.Revision, State: record.State, Reason: reason, Age: record.Elapsed,
 	})
 }
 
 // tell keeps a step for the watcher.
-func (c *Controller) tell(step Step) {
+func (c *Controller) addStep(step Step) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tellHeld(step)
+	c.addStepLocked(step)
 }
 
-// tellHeld is tell while c.mu is held.
-func (c *Controller) tellHeld(step Step) {
-	if d := c.duties[step.Service]; d != nil && d.decider != nil {
-		step.Requests, step.Exposed = d.decider.sums()
+// addStepLocked is tell while c.mu is held.
+func (c *Controller) addStepLocked(step Step) {
+	if d := c.deciders[step.Service]; d != nil && d.decider != nil {
+		step.Requests, step.Exposed = d.decider.totals()
 	}
-	if len(c.steps) < mostSteps {
+	if len(c.steps) < maxPendingSteps {
 		c.steps = append(c.steps, step)
 	}
 }
 
 // outside is what the other parts say about a service.
-type outside struct {
+type serviceInput struct {
 	view     view
 	decides  bool
 	versions map[string]int
@@ -217,74 +217,74 @@
 
 // step looks at all roll-outs. While none is under way it only counts the gateways.
 func (c *Controller) step(now time.Time) {
-	var all []outside
+	var inputs []serviceInput
 	for _, v := range c.gate.views(now) {
-		if !v.running && v.left.Revision == 0 {
+		if !v.running && v.withdrawnOrder.Revision == 0 {
 			continue
 		}
-		one := outside{view: v, decides: c.options.Peers == nil || c.options.Peers.Decides(v.service)}
+		input := serviceInput{view: v, decides: c.options.Peers == nil || c.options.Peers.Decides(v.service)}
 		if v.running {
-			one.versions = c.options.Registry.Versions(v.service)
+			input.versions = c.options.Registry.Versions(v.service)
 		}
-		all = append(all, one)
+		inputs = append(inputs, input)
 	}
-	var live []string
+	var livePeers []string
 	if c.options.Peers != nil {
-		live = c.options.Peers.LiveIDs()
+		livePeers = c.options.Peers.LiveIDs()
 	}
-	steps, writings := c.stepAll(all, live, c.options.Store.Reachable(), now)
+	steps, commits := c.stepAll(inputs, livePeers, c.options.Store.Reachable(), now)
 	for _, step := range steps {
 		c.options.Watcher.RolloutStep(step)
 	}
-	for _, w := range writings {
-		c.commit(w)
+	for _, w := range commits {
+		c.startCommit(w)
 	}
 }
 
 // stepAll decides about the services whose roll-outs are under way.
-func (c *Controller) stepAll(all []outside, live []string, reachable bool, now time.Time) ([]Step, []writing) {
+func (c *Controller) stepAll(inputs []serviceInput, livePeers []string, reachable bool, now time.Time) ([]Step, []pendingCommit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.steppedAt = now
-	for name, d := range c.duties {
-		under := slices.ContainsFunc(all, func(one outside) bool { return one.view.service == name })
-		if !under && !d.writing {
-			delete(c.duties, name)
+	for name, d := range c.deciders {
+		active := slices.ContainsFunc(inputs, func(input serviceInput) bool { return input.view.service == name })
+		if !active && !d.commitInFlight {
+			delete(c.deciders, name)
 		}
 	}
-	var writings []writing
-	few := c.fewer(len(live), now)
-	if len(all) > 0 {
-		c.every = reportEvery(c.options.Options, len(live)+1)
+	var commits []pendingCommit
+	minority := c.inMinority(len(livePeers), now)
+	if len(inputs) > 0 {
+		c.reportInterval = reportInterval(c.options.Options, len(livePeers)+1)
 	}
-	for _, one := range all {
-		d := c.duty(one.view.service)
-		one.decides = one.decides && (reachable || !few)
-		d.back(reachable)
-		begun := one.decides && !d.decides
-		d.decides = one.decides
-		if !one.decides {
+	for _, input := range inputs {
+		d := c.deciderFor(input.view.service)
+		input.decides = input.decides && (reachable || !minority)
+		d.noteReachable(reachable)
+		tookOver := input.decides && !d.decides
+		d.decides = input.decides
+		if !input.decides {
 			continue
 		}
-		decision := c.stepOne(d, one, begun, situation{
-			view: one.view, every: c.every, live: live, few: few, most: c.most, reachable: reachable,
-			versions: one.versions, committing: d.writing, unsure: d.doubts(one.view),
+		decision := c.stepOne(d, input, tookOver, stepInput{
+			view: input.view, reportInterval: c.reportInterval, livePeers: livePeers, minority: minority, maxPeers: c.maxPeers, reachable: reachable,
+			versions: input.versions, committing: d.commitInFlight, completionUnresolved: d.hasUnresolved(input.view),
 		}, now)
-		if w, ok := d.due(decision, one.view.revision, now); ok {
-			writings = append(writings, w)
+		if w, ok := d.nextCommit(decision, input.view.revision, now); ok {
+			commits = append(commits, w)
 		}
 	}
 	steps := c.steps
 	c.steps = nil
-	return steps, writings
+	return steps, commits
 }
 
 // duty is that of a service, made at need; c.mu is held.
-func (c *Controller) duty(service string) *duty {
-	d := c.duties[service]
+func (c *Controller) deciderFor(service string) *deciderState {
+	d := c.deciders[service]
 	if d == nil {
-		d = new(duty)
-		c.duties[service] = d
+		d = new(deciderState)
+		c.deciders[service] = d
 	}
 	return d
 }
@@ -293,65 +293,65 @@
 // It is probably the one that is cut off then: it begins no move, completes nothing, and
 // judges nothing for lack of evidence. If it doesn't reach the store either nobody could
 // tell it of a halt, so it allows itself nothing. c.mu is held.
-func (c *Controller) fewer(live int, now time.Time) bool {
-	if live >= c.most || now.Sub(c.mostAt) > rememberPeers {
-		c.most, c.mostAt = live, now
+func (c *Controller) inMinority(livePeers int, now time.Time) bool {
+	if livePeers >= c.maxPeers || now.Sub(c.maxPeersAt) > maxPeersTTL {
+		c.maxPeers, c.maxPeersAt = livePeers, now
 	}
-	return 2*(live+1) < c.most+1
+	return 2*(livePeers+1) < c.maxPeers+1
 }
 
 // stepOne decides about one service; c.mu is held.
-func (c *Controller) stepOne(d *duty, one outside, begun bool, s situation, now time.Time) decision {
-	report, running := c.gate.report(one.view.service, now)
-	if !one.view.running || !running {
-		return c.stepWithdrawn(one.view, now)
+func (c *Controller) stepOne(d *deciderState, input serviceInput, tookOver bool, s stepInput, now time.Time) decision {
+	report, running := c.gate.report(input.view.service, now)
+	if !input.view.running || !running {
+		return c.stepWithdrawn(input.view, now)
 	}
 	s.report = report
-	if d.decider == nil || d.decider.order.Version != one.view.order.Version || d.decider.first != one.view.first {
-		d.decider = newDecider(c.options.Options, one.view, now)
+	if d.decider == nil || d.decider.order.Version != input.view.order.Version || d.decider.firstRevision != input.view.firstRevision {
+		d.decider = newDecider(c.options.Options, input.view, now)
 		d.stage, d.halted = Hold, false
 	}
-	if begun {
-		d.decider.rest(now)
+	if tookOver {
+		d.decider.reset(now)
 	}
 	decision := d.decider.step(s, now)
 	c.noteStage(d, decision, now)
 	// Nobody answers the own reports; what is granted holds as if they had been sent.
-	c.gate.obey(d.decider.answer(TallyName(one.view.service), now), now, now)
+	c.gate.obey(d.decider.answerReport(TallyName(input.view.service), now), now, now)
 	return decision
 }
 
 // noteStage tells of a change of what is allowed; c.mu is held.
-func (c *Controller) noteStage(d *duty, decision decision, now time.Time) {
+func (c *Controller) noteStage(d *deciderState, decision decision, now time.Time) {
 	step := Step{
 		Kind: StepStage, Service: d.decider.order.Service, Version: d.decider.order.Version,
 		Order: d.decider.order.Revision, Stage: d.decider.stage, Reason: decision.reason,
-		Age: now.Sub(d.decider.since),
+		Age: now.Sub(d.decider.knownSince),
 	}
-	halted := d.decider.reason != ""
+	halted := d.decider.haltReason != ""
 	switch {
 	case halted && !d.halted:
 		step.Kind = StepHalted
-		c.notifyHeld(d.decider.answer(TallyName(step.Service), now), now)
+		c.notifyEndLocked(d.decider.answerReport(TallyName(step.Service), now), now)
 	case d.stage == d.decider.stage || halted:
 		return
 	}
 	d.stage, d.halted = d.decider.stage, halted
-	c.tellHeld(step)
+	c.addStepLocked(step)
 }
 
-// notifyHeld has all other gateways told of an order's end; c.mu is held.
-func (c *Controller) notifyHeld(grant Grant, now time.Time) {
-	for i := range noticeTimes {
-		c.notices = append(c.notices, notice{grant: grant, at: now.Add(time.Duration(i) * noticeEvery)})
+// notifyEndLocked has all other gateways told of an order's end; c.mu is held.
+func (c *Controller) notifyEndLocked(grant Grant, now time.Time) {
+	for i := range noticeRepeats {
+		c.notices = append(c.notices, notice{grant: grant, at: now.Add(time.Duration(i) * noticeInterval)})
 	}
 }
 
 // stepWithdrawn has the end of an order written that was withdrawn before it.
 func (c *Controller) stepWithdrawn(v view, now time.Time) decision {
-	sure := v.seenGone || now.Sub(v.recordedAt) >= settleFor
-	if v.left.Revision == 0 || !sure {
+	confirmed := v.withdrawalSeen || now.Sub(v.recordedAt) >= replicaReadTime
+	if v.withdrawnOrder.Revision == 0 || !confirmed {
 		return decision{}
 	}
-	return decision{commit: withdraw(v, now), by: now.Add(commitTimeout), reason: "the order was withdrawn"}
+	return decision{commit: withdrawalCommit(v, now), by: now.Add(commitTimeout), reason: "the order was withdrawn"}
 }
--- a/internal/rollout/controller_peers.go
+++ b/internal/rollout/controller_peers.go
@@ -11,8 +11,8 @@
 func (c *Controller) Reports(now time.Time) []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.due(now, c.every, func(service string) bool {
-		d := c.duties[service]
+	return c.gate.due(now, c.reportInterval, func(service string) bool {
+		d := c.deciders[service]
 		return d != nil && !d.decides
 	})
 }
@@ -25,18 +25,18 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := c.duties[name]
+	d := c.deciders[name]
 	if d == nil || !d.decides || d.decider == nil || d.decider.order.Revision != report.Order {
 		return Grant{}, false
 	}
-	d.decider.hear(from, report, now)
+	d.decider.addReport(from, report, now)
 	if d.decider.stage == Move {
-		c.urge()
+		c.requestStep()
 	}
-	if now.Sub(c.steppedAt) > stepLate {
+	if now.Sub(c.steppedAt) > maxStepGap {
 		return Grant{}, false
 	}
-	return d.decider.answer(report.Service, now), true
+	return d.decider.answerReport(report.Service, now), true
 }
 
 // Grant takes the answer to a report that was sent at sentAt, or a notice if that is
@@ -46,11 +46,11 @@
 	if !halted {
 		return
 	}
-	c.tell(Step{
+	c.addStep(Step{
 		Kind: StepHalted, Service: order.Service, Version: order.Version, Order: order.Revision,
 		Age: grant.Age, Reason: "gateway " + from + " has halted the version; its log has the reason",
 	})
-	c.urge()
+	c.requestStep()
 }
 
 // Notices are to be sent to all other gateways at once; each is given out once.
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -24,7 +24,7 @@
 	c := NewController(ControllerOptions{
 		Options: theOptions, Store: p, Peers: p, Registry: p, Watcher: p,
 	})
-	c.commit = func(writing) {}
+	c.startCommit = func(pendingCommit) {}
 	c.ordered(orderOf("v2", 1), noon)
 	return c
 }
@@ -40,8 +40,8 @@
 	c.step(noon)
 	c.Grant("b", haltOf(1), time.Time{}, noon)
 	c.step(noon)
-	for i := range noticeTimes {
-		now := noon.Add(time.Duration(i) * noticeEvery)
+	for i := range noticeRepeats {
+		now := noon.Add(time.Duration(i) * noticeInterval)
 		is.Equal(c.Notices(now), []Grant{{Service: TallyName(theService), Order: 1, End: Halted}})
 		is.Equal(len(c.Notices(now)), 0)
 	}
@@ -58,7 +58,7 @@
 		err   error
 		want  int
 	}{
-		"completed":             {Completed, nil, noticeTimes},
+		"completed":             {Completed, nil, noticeRepeats},
 		"completed, no answer":  {Completed, errNoAnswer, 0},
 		"completed, outdated":   {Completed, ErrOutdated, 0},
 		"running":               {Running, nil, 0},
@@ -70,8 +70,8 @@
 			c := controllerOf(&parts{decides: true, live: []string{"b"}})
 			c.step(noon)
 			record := Record{Order: orderOf("v2", 1), State: test.state, Elapsed: time.Second}
-			c.committed(writing{commit: Commit{Record: record}}, 2, test.err, noon)
-			told := c.Notices(noon.Add(noticeTimes * noticeEvery))
+			c.commitDone(pendingCommit{commit: Commit{Record: record}}, 2, test.err, noon)
+			told := c.Notices(noon.Add(noticeRepeats * noticeInterval))
 			is.Equal(len(told), test.want)
 			for _, grant := range told {
 				want := doneOf(1)
@@ -95,12 +95,12 @@
 	is.True(!ok) // it hasn't looked yet
 	c.step(noon)
 	answer(noon)
-	c.step(noon.Add(stepEvery))
-	stage, ok := answer(noon.Add(stepEvery))
+	c.step(noon.Add(stepInterval))
+	stage, ok := answer(noon.Add(stepInterval))
 	is.True(ok)
 	is.Equal(stage, Canary)
-	is.Equal(len(c.Reports(noon.Add(stepEvery))), 0) // its own it takes itself
-	_, ok = answer(noon.Add(stepEvery + stepLate + 1))
+	is.Equal(len(c.Reports(noon.Add(stepInterval))), 0) // its own it takes itself
+	_, ok = answer(noon.Add(stepInterval + maxStepGap + 1))
 	is.True(!ok) // it was held up
 	p.decides = false
 	now := noon.Add(time.Second)
@@ -134,8 +134,8 @@
 			control := controllerOf(p)
 			control.step(noon)
 			p.live, p.away = c.live, c.away
-			control.step(noon.Add(stepEvery))
-			_, ok := control.Report("b", reportOf(Hold), noon.Add(stepEvery))
+			control.step(noon.Add(stepInterval))
+			_, ok := control.Report("b", reportOf(Hold), noon.Add(stepInterval))
 			is.Equal(ok, c.want)
 		})
 	}
@@ -151,6 +151,6 @@
 	c.recorded(Record{Order: orderOf("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", noon)
 	c.ordered(orderOf("v2", 3), noon)
 	c.step(noon)
-	requests, exposed := c.duties[theService].decider.sums()
+	requests, exposed := c.deciders[theService].decider.totals()
 	is.Equal([]int{requests, exposed}, []int{0, 0})
 }
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -8,7 +8,7 @@
 )
 
 func deciderOf(options Options) *decider {
-	v := view{service: theService, running: true, order: orderOf("v2", 1), since: noon}
+	v := view{service: theService, running: true, order: orderOf("v2", 1), knownSince: noon}
 	return newDecider(options, v, noon)
 }
 
@@ -18,16 +18,16 @@
 	is := is.New(t)
 	d := deciderOf(theOptions)
 	hear := func(requests, exposed int) (int, int) {
-		d.hear("a", Report{Order: 1, Requests: requests, Exposed: exposed}, noon)
-		return d.sums()
+		d.addReport("a", Report{Order: 1, Requests: requests, Exposed: exposed}, noon)
+		return d.totals()
 	}
 	hear(100, 10)
 	requests, exposed := hear(100, 9)
 	is.Equal([]int{requests, exposed}, []int{100, 9})
 	requests, exposed = hear(5, 1)
 	is.Equal([]int{requests, exposed}, []int{105, 10})
-	d.hear("a", Report{Order: 2, Requests: 900}, noon) // another order
-	requests, _ = d.sums()
+	d.addReport("a", Report{Order: 2, Requests: 900}, noon) // another order
+	requests, _ = d.totals()
 	is.Equal(requests, 105)
 }
 
@@ -36,10 +36,10 @@
 func TestAgeIsTheLongest(t *testing.T) {
 	is := is.New(t)
 	d := deciderOf(theOptions)
-	d.hear("a", Report{Order: 1, Age: 20 * time.Second}, noon)
-	d.hear("b", Report{Order: 1, Age: 5 * time.Second}, noon)
-	is.Equal(d.since, noon.Add(-20*time.Second))
-	is.Equal(d.answer(1, noon).Age, 20*time.Second)
+	d.addReport("a", Report{Order: 1, Age: 20 * time.Second}, noon)
+	d.addReport("b", Report{Order: 1, Age: 5 * time.Second}, noon)
+	is.Equal(d.knownSince, noon.Add(-20*time.Second))
+	is.Equal(d.answerReport(1, noon).Age, 20*time.Second)
 }
 
 // TestTimesOfReports: among more gateways reports come less often, but never so late
@@ -61,9 +61,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			options := Options{Rollback: c.rollback}
-			every := reportEvery(options, c.gateways)
+			every := reportInterval(options, c.gateways)
 			is.Equal(every, c.every)
-			is.Equal(grantFor(options, every), c.grant)
+			is.Equal(grantDuration(options, every), c.grant)
 		})
 	}
 }
@@ -72,38 +72,38 @@
 func TestAnswersEndAtTheDeadline(t *testing.T) {
 	is := is.New(t)
 	d := deciderOf(theOptions)
-	d.every, d.stage, d.deadline = usualEvery, Canary, noon.Add(time.Second)
-	is.Equal(d.answer(1, noon).For, time.Second)
-	grant := d.answer(1, noon.Add(time.Second))
+	d.reportInterval, d.stage, d.deadline = baseReportInterval, Canary, noon.Add(time.Second)
+	is.Equal(d.answerReport(1, noon).For, time.Second)
+	grant := d.answerReport(1, noon.Add(time.Second))
 	is.Equal(grant.Stage, Hold)
 	is.True(grant.For > 0) // but no halt
 	d.stage, d.moveUntil = Move, noon.Add(300*time.Millisecond)
-	is.Equal(d.answer(1, noon).For, 300*time.Millisecond)
-	d.reason = "bad"
-	grant = d.answer(1, noon)
+	is.Equal(d.answerReport(1, noon).For, 300*time.Millisecond)
+	d.haltReason = "bad"
+	grant = d.answerReport(1, noon)
 	is.Equal(grant.Stage, Hold)
 	is.Equal(grant.For, time.Duration(0))
 	is.Equal(grant.End, Halted)
 }
 
 // situationOf is a decider's whole view of two gateways of ten requests in 250 ms each.
-func situationOf(d *decider, now time.Time) situation {
-	d.hear("b", Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))}, now)
-	return situation{
-		view:      view{service: theService, running: true, order: d.order, since: noon, record: Record{Order: d.order, State: Running}},
-		report:    Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))},
-		every:     usualEvery,
-		live:      []string{"b"},
-		reachable: true,
-		versions:  map[string]int{"v1": 1, "v2": 1},
+func situationOf(d *decider, now time.Time) stepInput {
+	d.addReport("b", Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))}, now)
+	return stepInput{
+		view:           view{service: theService, running: true, order: d.order, knownSince: noon, record: Record{Order: d.order, State: Running}},
+		report:         Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))},
+		reportInterval: baseReportInterval,
+		livePeers:      []string{"b"},
+		reachable:      true,
+		versions:       map[string]int{"v1": 1, "v2": 1},
 	}
 }
 
 // play steps a decider of a version that answers well until a part of its time is over.
-func play(d *decider, from, to time.Duration, change func(s *situation)) {
-	for at := from; at < to; at += usualEvery {
+func play(d *decider, from, to time.Duration, change func(s *stepInput)) {
+	for at := from; at < to; at += baseReportInterval {
 		now := noon.Add(at)
-		answers := int(at/usualEvery) + 1
+		answers := int(at/baseReportInterval) + 1
 		d.judge.Take("c", []Tally{
 			{Route: 5, Answers: 20 * answers},
 			{Route: 5, Target: 1, Answers: answers},
@@ -122,15 +122,15 @@
 // decided had begun anew.
 func TestAMoveLeavesTheStoreItsTime(t *testing.T) {
 	const storeTakes = 100 * time.Millisecond
-	for phase := time.Duration(0); phase < stepEvery; phase += tick {
+	for phase := time.Duration(0); phase < stepInterval; phase += tick {
 		t.Run(phase.String(), func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			begins := part(time.Minute-orderLag, moveFrom)
-			play(d, 0, begins, func(*situation) {})
+			begins := scale(time.Minute-orderLag, moveStart)
+			play(d, 0, begins, func(*stepInput) {})
 			d.stage, d.moveBegan = Move, noon.Add(begins)
-			d.moveUntil = d.moveBegan.Add(d.leastMove())
-			for now := d.moveBegan.Add(phase); ; now = now.Add(d.stepEvery()) {
+			d.moveUntil = d.moveBegan.Add(d.minMoveDuration())
+			for now := d.moveBegan.Add(phase); ; now = now.Add(d.stepInterval()) {
 				made := d.step(situationOf(d, now), now)
 				is.True(now.Before(d.moveUntil)) // the move ended without a commit
 				if made.commit != nil && made.commit.Record.State == Completed {
@@ -146,30 +146,30 @@
 // record is under way, and the share is enough.
 func TestMoveBegins(t *testing.T) {
 	cases := map[string]struct {
-		change func(s *situation)
+		change func(s *stepInput)
 		want   Stage
 	}{
-		"all is well":              {func(*situation) {}, Move},
-		"one is not heard":         {func(s *situation) { s.live = append(s.live, "d") }, Canary},
-		"the store is away":        {func(s *situation) { s.reachable = false }, Canary},
-		"few are heard":            {func(s *situation) { s.few = true }, Canary},
-		"a completion is in doubt": {func(s *situation) { s.unsure = true }, Canary},
-		"a commit under way":       {func(s *situation) { s.committing = true }, Canary},
-		"no running record":        {func(s *situation) { s.view.record = Record{} }, Canary},
-		"no targets any more":      {func(s *situation) { s.versions = map[string]int{"v1": 1} }, Canary},
-		"the share is spent":       {func(s *situation) { s.report.Exposed = 1000 }, Canary},
+		"all is well":              {func(*stepInput) {}, Move},
+		"one is not heard":         {func(s *stepInput) { s.livePeers = append(s.livePeers, "d") }, Canary},
+		"the store is away":        {func(s *stepInput) { s.reachable = false }, Canary},
+		"few are heard":            {func(s *stepInput) { s.minority = true }, Canary},
+		"a completion is in doubt": {func(s *stepInput) { s.completionUnresolved = true }, Canary},
+		"a commit under way":       {func(s *stepInput) { s.committing = true }, Canary},
+		"no running record":        {func(s *stepInput) { s.view.record = Record{} }, Canary},
+		"no targets any more":      {func(s *stepInput) { s.versions = map[string]int{"v1": 1} }, Canary},
+		"the share is spent":       {func(s *stepInput) { s.report.Exposed = 1000 }, Canary},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			begins := part(time.Minute-orderLag, moveFrom)
-			play(d, 0, begins-usualEvery, func(*situation) {})
+			begins := scale(time.Minute-orderLag, moveStart)
+			play(d, 0, begins-baseReportInterval, func(*stepInput) {})
 			is.Equal(d.stage, Canary) // not before its time
 			play(d, begins, begins+time.Second, c.change)
 			is.Equal(d.stage, c.want)
 			is.Equal(d.moveBegan.IsZero(), c.want != Move)
-			is.Equal(d.reason, "")
+			is.Equal(d.haltReason, "")
 		})
 	}
 }
@@ -184,21 +184,21 @@
 		s := situationOf(d, now)
 		s.versions, s.reachable = map[string]int{"v2": 1}, reachable
 		d.step(s, now)
-		return d.standing(s, now)
+		return d.completeWithoutMove(s, now)
 	}
 	is.Equal(standing(0, true), "")
-	is.Equal(standing(aloneFor-time.Millisecond, false), "")
-	is.Equal(standing(aloneFor, true), "") // the store was away
-	is.True(standing(2*aloneFor, true) != "")
-	d.others["v1"] = true
-	is.Equal(standing(2*aloneFor, true), "") // it has not proved good, and others were there
+	is.Equal(standing(soleVersionDelay-time.Millisecond, false), "")
+	is.Equal(standing(soleVersionDelay, true), "") // the store was away
+	is.True(standing(2*soleVersionDelay, true) != "")
+	d.otherVersions["v1"] = true
+	is.Equal(standing(2*soleVersionDelay, true), "") // it has not proved good, and others were there
 }
 
 // TestClockWaitsForReports: what the clock says against a version waits until a new
 // decider has heard the others, but not for ever, and not after the deadline.
 func TestClockWaitsForReports(t *testing.T) {
-	late := part(time.Minute-orderLag, lastMoment) + time.Second
-	waits := 2*usualEvery + lateReports
+	late := scale(time.Minute-orderLag, verdictDeadline) + time.Second
+	waits := 2*baseReportInterval + reportGrace
 	cases := map[string]struct {
 		// live are heard at once as far as they have reported.
 		live, reported []string
@@ -220,21 +220,21 @@
 			is := is.New(t)
 			began, now := noon.Add(c.began), noon.Add(c.began+c.after)
 			v := view{
-				service: theService, running: true, order: orderOf("v2", 1), since: noon,
+				service: theService, running: true, order: orderOf("v2", 1), knownSince: noon,
 				record: Record{Order: orderOf("v2", 1), State: Running},
 			}
 			d := newDecider(theOptions, v, began)
-			d.every = usualEvery
+			d.reportInterval = baseReportInterval
 			for _, id := range c.reported {
-				d.hear(id, Report{Order: 1}, now)
+				d.addReport(id, Report{Order: 1}, now)
 			}
 			d.judge.Take("b", []Tally{{Route: 5, Answers: 20}, {Route: 5, Target: 1, Answers: 2, Failed: 1}})
-			s := situation{
-				view: v, report: Report{Order: 1}, every: usualEvery, live: c.live, reachable: true,
+			s := stepInput{
+				view: v, report: Report{Order: 1}, reportInterval: baseReportInterval, livePeers: c.live, reachable: true,
 				versions: map[string]int{"v1": 1, "v2": 1},
 			}
 			d.step(s, now)
-			is.Equal(d.reason != "", c.want)
+			is.Equal(d.haltReason != "", c.want)
 		})
 	}
 }
@@ -243,27 +243,27 @@
 // the service.
 func TestAloneAfterOthers(t *testing.T) {
 	cases := map[string]struct {
-		change func(s *situation)
+		change func(s *stepInput)
 		want   bool
 	}{
-		"never another":       {func(*situation) {}, true},
-		"one was current":     {func(s *situation) { s.view.record.Current = "v1" }, false},
-		"one is refused":      {func(s *situation) { s.view.refused = []string{"v1"} }, false},
-		"few gateways heard":  {func(s *situation) { s.few = true }, false},
-		"it was current once": {func(s *situation) { s.view.record.Current = "v2" }, true},
+		"never another":       {func(*stepInput) {}, true},
+		"one was current":     {func(s *stepInput) { s.view.record.Current = "v1" }, false},
+		"one is refused":      {func(s *stepInput) { s.view.refused = []string{"v1"} }, false},
+		"few gateways heard":  {func(s *stepInput) { s.minority = true }, false},
+		"it was current once": {func(s *stepInput) { s.view.record.Current = "v2" }, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			var s situation
-			for _, now := range []time.Time{noon, noon.Add(aloneFor)} {
+			var s stepInput
+			for _, now := range []time.Time{noon, noon.Add(soleVersionDelay)} {
 				s = situationOf(d, now)
 				s.versions = map[string]int{"v2": 1}
 				c.change(&s)
 				d.step(s, now)
 			}
-			is.Equal(d.standing(s, noon.Add(aloneFor)) != "", c.want)
+			is.Equal(d.completeWithoutMove(s, noon.Add(soleVersionDelay)) != "", c.want)
 		})
 	}
 }
@@ -271,52 +271,52 @@
 // TestCompletionWaits: for each live gateway to say that it obeys the move.
 func TestCompletionWaits(t *testing.T) {
 	cases := map[string]struct {
-		change func(d *decider, s *situation)
+		change func(d *decider, s *stepInput)
 		want   bool
 	}{
-		"all obey": {func(*decider, *situation) {}, true},
+		"all obey": {func(*decider, *stepInput) {}, true},
 		"one that was never heard": {
-			func(_ *decider, s *situation) { s.live = append(s.live, "d") }, false,
+			func(_ *decider, s *stepInput) { s.livePeers = append(s.livePeers, "d") }, false,
 		},
 		"one that has fallen back": {
-			func(d *decider, _ *situation) { d.gateways["b"].report.Stage = Canary }, false,
+			func(d *decider, _ *stepInput) { d.gateways["b"].report.Stage = Canary }, false,
 		},
 		"one that obeys a move before": {
-			func(d *decider, _ *situation) { d.gateways["b"].at = d.moveBegan.Add(-1) }, false,
+			func(d *decider, _ *stepInput) { d.gateways["b"].at = d.moveBegan.Add(-1) }, false,
 		},
 		"one that obeys another order's": {
-			func(d *decider, _ *situation) { d.gateways["b"].report.Order = 9 }, false,
+			func(d *decider, _ *stepInput) { d.gateways["b"].report.Order = 9 }, false,
 		},
 		"this one does not": {
-			func(_ *decider, s *situation) { s.report.Stage = Canary }, false,
+			func(_ *decider, s *stepInput) { s.report.Stage = Canary }, false,
 		},
 		"answers under way": {
-			func(d *decider, _ *situation) { d.gateways["b"].report.Others = 1 }, false,
+			func(d *decider, _ *stepInput) { d.gateways["b"].report.Others = 1 }, false,
 		},
 		"answers under way, and no more time": {
-			func(d *decider, _ *situation) {
+			func(d *decider, _ *stepInput) {
 				d.gateways["b"].report.Others = 1
-				d.moveUntil = d.moveBegan.Add(seenReports*d.entryEvery() + commitReserve - 1)
+				d.moveUntil = d.moveBegan.Add(minMoveReports*d.moveReportInterval() + commitReserve - 1)
 			}, true,
 		},
 		"all have obeyed for a moment only": {
-			func(d *decider, _ *situation) { d.moveBegan = d.moveBegan.Add(d.entryEvery()) }, false,
+			func(d *decider, _ *stepInput) { d.moveBegan = d.moveBegan.Add(d.moveReportInterval()) }, false,
 		},
 		"no time for the store's answer": {
-			func(d *decider, _ *situation) {
-				d.moveUntil = d.moveBegan.Add(seenReports*d.entryEvery() + holdMargin)
+			func(d *decider, _ *stepInput) {
+				d.moveUntil = d.moveBegan.Add(minMoveReports*d.moveReportInterval() + holdMargin)
 			}, false,
 		},
-		"the store is away": {func(_ *decider, s *situation) { s.reachable = false }, false},
-		"few are heard":     {func(_ *decider, s *situation) { s.few = true }, false},
+		"the store is away": {func(_ *decider, s *stepInput) { s.reachable = false }, false},
+		"few are heard":     {func(_ *decider, s *stepInput) { s.minority = true }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
 			d.stage, d.moveBegan, d.moveUntil = Move, noon.Add(time.Second), noon.Add(3*time.Second)
-			d.every = usualEvery
-			now := d.moveBegan.Add(seenReports * d.entryEvery())
+			d.reportInterval = baseReportInterval
+			now := d.moveBegan.Add(minMoveReports * d.moveReportInterval())
 			s := situationOf(d, now)
 			c.change(d, &s)
 			commit := d.step(s, now).commit
@@ -340,22 +340,22 @@
 		"by a life before": {func(d *decider) { d.gateways["b"].exposed = 40 }, bound - 40},
 		"ordered again":    {func(d *decider) { d.requestsBefore = 600 }, bound - 60},
 		"one not heard any more": {
-			func(d *decider) { d.gateways["c"] = new(heard) }, bound - theOptions.Slack/3,
+			func(d *decider) { d.gateways["c"] = new(gatewayReports) }, bound - theOptions.Slack/3,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			d.every, d.deadline = usualEvery, noon.Add(time.Minute)
-			for _, id := range []string{own, "b"} {
-				d.hear(id, Report{Order: 1, Requests: 460}, noon)
-				d.hear(id, Report{Order: 1, Requests: 500}, noon.Add(time.Second))
+			d.reportInterval, d.deadline = baseReportInterval, noon.Add(time.Minute)
+			for _, id := range []string{selfID, "b"} {
+				d.addReport(id, Report{Order: 1, Requests: 460}, noon)
+				d.addReport(id, Report{Order: 1, Requests: 500}, noon.Add(time.Second))
 			}
-			now := noon.Add(time.Second + usualEvery) // all reports are due
+			now := noon.Add(time.Second + baseReportInterval) // all reports are due
 			c.change(d)
-			lasts := d.affords(situation{live: []string{"b"}}, now)
-			want := min(longestMove.Seconds(), c.want/(rate*rateMargin))
+			lasts := d.affordableMove(stepInput{livePeers: []string{"b"}}, now)
+			want := min(maxMove.Seconds(), c.want/(rate*rateMargin))
 			is.True(lasts.Seconds() > want-0.001 && lasts.Seconds() < want+0.001)
 		})
 	}
@@ -378,9 +378,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			d.hear(own, Report{Order: 1}, noon)
-			d.hear("b", Report{Order: 1}, noon)
-			is.Equal(d.slack(situation{live: c.live, most: c.most}), c.want)
+			d.addReport(selfID, Report{Order: 1}, noon)
+			d.addReport("b", Report{Order: 1}, noon)
+			is.Equal(d.usableSlack(stepInput{livePeers: c.live, maxPeers: c.most}), c.want)
 		})
 	}
 }
@@ -392,7 +392,7 @@
 	d.stage, d.moveBegan, d.moveUntil = Move, noon, noon.Add(3*time.Second)
 	s := situationOf(d, noon)
 	s.view.order.Revision = 2
-	d.learn(s, noon)
+	d.update(s, noon)
 	is.Equal(d.stage, Canary)
 	is.Equal(d.order.Revision, int64(2))
 }
@@ -410,21 +410,21 @@
 		"no doubt":                         {false, -time.Second, "", ""},
 		"after the move":                   {true, -time.Second, "", Running},
 		"too late for another try":         {true, holdMargin, "", Running},
-		"time for another try":             {true, longestMove / 2, "", Completed},
+		"time for another try":             {true, maxMove / 2, "", Completed},
 		"the version is halted":            {true, -time.Second, "bad", RolledBack},
-		"the version is halted in a move":  {true, longestMove / 2, "bad", RolledBack},
+		"the version is halted in a move":  {true, maxMove / 2, "bad", RolledBack},
 		"the version is halted, no doubt":  {false, -time.Second, "bad", RolledBack},
-		"in a move that nobody has doubts": {false, longestMove / 2, "", Completed},
+		"in a move that nobody has doubts": {false, maxMove / 2, "", Completed},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := deciderOf(theOptions)
-			d.every, d.reason = usualEvery, c.reason
-			now := noon.Add(part(time.Minute-orderLag, cleanFrom)).Add(time.Second)
-			d.stage, d.moveBegan, d.moveUntil = Move, now.Add(-longestMove/2), now.Add(c.left)
+			d.reportInterval, d.haltReason = baseReportInterval, c.reason
+			now := noon.Add(scale(time.Minute-orderLag, cleanMoveStart)).Add(time.Second)
+			d.stage, d.moveBegan, d.moveUntil = Move, now.Add(-maxMove/2), now.Add(c.left)
 			s := situationOf(d, now)
-			s.unsure, s.view.record.Elapsed = c.unsure, now.Sub(noon)
+			s.completionUnresolved, s.view.record.Elapsed = c.unsure, now.Sub(noon)
 			decision := d.step(s, now)
 			if c.want == "" {
 				is.Equal(decision.commit, nil)
@@ -440,55 +440,55 @@
 // ends when the store answers again.
 func TestFailuresAreTold(t *testing.T) {
 	is := is.New(t)
-	d := new(duty)
-	wait := func() time.Duration { return d.again.Sub(noon) }
-	is.True(d.fail(Running, errNoAnswer, noon))
-	is.Equal(wait(), commitAgain)
-	is.True(!d.fail(Running, errNoAnswer, noon))
-	is.Equal(wait(), 2*commitAgain)
-	is.True(d.fail(RolledBack, errNoAnswer, noon)) // another state
+	d := new(deciderState)
+	wait := func() time.Duration { return d.retryAt.Sub(noon) }
+	is.True(d.noteFailure(Running, errNoAnswer, noon))
+	is.Equal(wait(), commitRetryDelay)
+	is.True(!d.noteFailure(Running, errNoAnswer, noon))
+	is.Equal(wait(), 2*commitRetryDelay)
+	is.True(d.noteFailure(RolledBack, errNoAnswer, noon)) // another state
 	for range 100 {
-		is.True(!d.fail(RolledBack, errNoAnswer, noon))
+		is.True(!d.noteFailure(RolledBack, errNoAnswer, noon))
 	}
-	is.Equal(wait(), commitAgainMost)
-	is.Equal(d.againInMove.Sub(noon), commitAgain)
+	is.Equal(wait(), maxCommitRetryDelay)
+	is.Equal(d.moveRetryAt.Sub(noon), commitRetryDelay)
 	commit := decision{commit: &Commit{}, by: noon.Add(time.Minute)}
-	now := noon.Add(commitAgain)
-	_, due := d.due(commit, 7, now)
+	now := noon.Add(commitRetryDelay)
+	_, due := d.nextCommit(commit, 7, now)
 	is.True(!due)
-	d.back(false)
-	d.back(true)
-	_, due = d.due(commit, 7, now)
+	d.noteReachable(false)
+	d.noteReachable(true)
+	_, due = d.nextCommit(commit, 7, now)
 	is.True(due)
-	is.True(d.fail(RolledBack, ErrOutdated, noon)) // another error
-	is.Equal(wait(), outdatedAgain)
+	is.True(d.noteFailure(RolledBack, ErrOutdated, noon)) // another error
+	is.Equal(wait(), outdatedRetryDelay)
 }
 
 // TestCommitsAgain: one at a time, after a while, or at once when what it was too late
 // for is known.
 func TestCommitsAgain(t *testing.T) {
 	commit := decision{commit: &Commit{}, by: noon.Add(time.Second)}
-	again := noon.Add(commitAgain)
+	again := noon.Add(commitRetryDelay)
 	cases := map[string]struct {
-		duty     duty
+		duty     deciderState
 		decision decision
 		want     bool
 	}{
-		"the first":                   {duty{}, commit, true},
-		"nothing to write":            {duty{}, decision{by: commit.by}, false},
-		"no time":                     {duty{}, decision{commit: commit.commit, by: noon}, false},
-		"one under way":               {duty{writing: true}, commit, false},
-		"failed just now":             {duty{failed: errNoAnswer, again: again}, commit, false},
-		"a completion just now":       {duty{failed: errNoAnswer, unsure: &Commit{}, completing: true, again: again}, commit, true},
-		"failed after a completion":   {duty{failed: errNoAnswer, again: again}, commit, false},
-		"failed a while ago":          {duty{failed: errNoAnswer, again: noon}, commit, true},
-		"outdated, nothing new":       {duty{failed: ErrOutdated, over: 7, again: again}, commit, false},
-		"outdated, and a record came": {duty{failed: ErrOutdated, over: 6, again: again}, commit, true},
+		"the first":                   {deciderState{}, commit, true},
+		"nothing to write":            {deciderState{}, decision{by: commit.by}, false},
+		"no time":                     {deciderState{}, decision{commit: commit.commit, by: noon}, false},
+		"one under way":               {deciderState{commitInFlight: true}, commit, false},
+		"failed just now":             {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
+		"a completion just now":       {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: again}, commit, true},
+		"failed after a completion":   {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
+		"failed a while ago":          {deciderState{lastErr: errNoAnswer, retryAt: noon}, commit, true},
+		"outdated, nothing new":       {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: again}, commit, false},
+		"outdated, and a record came": {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: again}, commit, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, due := c.duty.due(c.decision, 7, noon)
+			_, due := c.duty.nextCommit(c.decision, 7, noon)
 			is.Equal(due, c.want)
 		})
 	}
--- a/internal/rollout/evidence.go
+++ b/internal/rollout/evidence.go
@@ -22,18 +22,18 @@
 	// bad later needn't outweigh what was good. Nearer to zero, luck alone would come to
 	// badWeight in a long order.
 	watchWeight = -2.0
-	// doubtWeight is where a passed test is no longer so. One test of some ten weighs more
+	// suspectWeight is where a passed test is no longer so. One test of some ten weighs more
 	// than this against one good version in eight, and none says which it would be.
-	doubtWeight = 2.0
-	// mostBase is the largest share of troubled answers that a good version is thought
+	suspectWeight = 2.0
+	// maxBase is the largest share of troubled answers that a good version is thought
 	// to have: it leaves room for the step above it.
-	mostBase = 0.75
+	maxBase = 0.75
 )
 
 const (
-	// loneAnswers is how many answers it takes while one target alone has answered: its
+	// minLoneAnswers is how many answers it takes while one target alone has answered: its
 	// neighbours' may only be late. A version with a single target has them soon.
-	loneAnswers = 10
+	minLoneAnswers = 10
 	// capFactor is what as many targets as are needed may weigh together, in parts of
 	// what makes a version bad: above one, so that they do, and so little above that one
 	// less of them doesn't even if a good neighbour fails once.
@@ -43,9 +43,9 @@
 	manyTargets = 4
 	manyNeeded  = 3
 	fewNeeded   = 2
-	// answersOfTarget is how many answers make a target one of many: one that has
+	// minTargetAnswers is how many answers make a target one of many: one that has
 	// had fewer can't bear its part of the evidence.
-	answersOfTarget = 4
+	minTargetAnswers = 4
 )
 
 var (
@@ -55,21 +55,21 @@
 )
 
 // odds are the weights of single answers.
-type odds struct {
+type logOdds struct {
 	troubled, fine float64
 }
 
-// oddsOver are the weights of answers where a share of a good version's are troubled.
-func oddsOver(base float64) odds {
-	base = min(base, mostBase)
+// newLogOdds are the weights of answers where a share of a good version's are troubled.
+func newLogOdds(base float64) logOdds {
+	base = min(base, maxBase)
 	bad := base + badStep
-	return odds{
+	return logOdds{
 		troubled: math.Log(bad / base),
 		fine:     math.Log((1 - bad) / (1 - base)),
 	}
 }
 
-func (o odds) weight(answers, troubled int) float64 {
+func (o logOdds) weight(answers, troubled int) float64 {
 	return o.troubled*float64(troubled) + o.fine*float64(answers-troubled)
 }
 
@@ -77,22 +77,22 @@
 // "Continuous Inspection Schemes", Biometrika 41, 1954): good answers don't pile up that
 // what turns bad later would have to outweigh. Each target's part is cut from above, so
 // that one target alone can't make a version bad.
-type evidence struct {
-	targets []targetEvidence
+type sequentialTest struct {
+	targets []targetWeight
 	// at is where in targets each one is, by its name.
-	at map[uint32]int
-	// answers are those of all targets, and many is how many targets have answersOfTarget
+	index map[uint32]int
+	// answers are those of all targets, and many is how many targets have minTargetAnswers
 	// of them.
-	answers, many int
+	answers, qualified int
 	// weight is the sum over the targets, and sound the sum without those that are
 	// broken, if they are too few to make the version bad.
-	weight, sound float64
+	weight, soundWeight float64
 	// passed is set at goodWeight, and unset as soon as the sound targets speak against
 	// the version.
 	passed bool
 }
 
-type targetEvidence struct {
+type targetWeight struct {
 	answers int
 	// weight is that of its answers alone; at badWeight, where it is cut, the target is
 	// broken whatever the version is.
@@ -100,47 +100,47 @@
 }
 
 // add takes answers of one target; settle must follow before the test is asked.
-func (e *evidence) add(target uint32, answers int, weight float64) {
-	at, ok := e.at[target]
+func (e *sequentialTest) add(target uint32, answers int, weight float64) {
+	at, ok := e.index[target]
 	if !ok {
-		if e.at == nil {
-			e.at = make(map[uint32]int)
+		if e.index == nil {
+			e.index = make(map[uint32]int)
 		}
 		at = len(e.targets)
-		e.at[target] = at
-		e.targets = append(e.targets, targetEvidence{})
+		e.index[target] = at
+		e.targets = append(e.targets, targetWeight{})
 	}
 	known := &e.targets[at]
 	e.answers += answers
-	was := known.answers
+	previous := known.answers
 	known.answers += answers
 	known.weight += weight
-	if was < answersOfTarget && known.answers >= answersOfTarget {
-		e.many++
+	if previous < minTargetAnswers && known.answers >= minTargetAnswers {
+		e.qualified++
 	}
 }
 
 // settle sums up and cuts.
-func (e *evidence) settle() {
+func (e *sequentialTest) update() {
 	e.sum()
-	if e.sound <= goodWeight {
+	if e.soundWeight <= goodWeight {
 		e.passed = true
 	}
-	if e.sound > doubtWeight {
+	if e.soundWeight > suspectWeight {
 		e.passed = false
 	}
 	least := goodWeight
 	if e.passed {
 		least = watchWeight
 	}
-	if e.sound < least {
-		e.raise(least)
+	if e.soundWeight < least {
+		e.raiseTo(least)
 	}
 }
 
 // sum cuts what single targets weigh, and sums up.
-func (e *evidence) sum() {
-	most, needed := e.mostOfTarget()
+func (e *sequentialTest) sum() {
+	limit, needed := e.targetLimit()
 	broken := 0
 	e.weight = 0
 	for i := range e.targets {
@@ -149,38 +149,38 @@
 			target.weight = badWeight
 			broken++
 		}
-		e.weight += min(target.weight, most)
+		e.weight += min(target.weight, limit)
 	}
-	e.sound = e.weight
+	e.soundWeight = e.weight
 	if broken < needed {
-		e.sound -= float64(broken) * most
+		e.soundWeight -= float64(broken) * limit
 	}
 }
 
 // raise takes what speaks in favour back, for all targets by the same part, until the
 // sound ones weigh so much together.
-func (e *evidence) raise(least float64) {
+func (e *sequentialTest) raiseTo(floor float64) {
 	inFavour := 0.0
 	for _, target := range e.targets {
 		inFavour += min(target.weight, 0)
 	}
-	excess := least - e.sound
+	excess := floor - e.soundWeight
 	for i := range e.targets {
 		if e.targets[i].weight < 0 {
 			e.targets[i].weight *= 1 + excess/inFavour
 		}
 	}
-	e.sound += excess
+	e.soundWeight += excess
 	e.weight += excess
 }
 
-// mostOfTarget is how much a single target may weigh against the version, and how many
+// targetLimit is how much a single target may weigh against the version, and how many
 // are needed to make it bad.
-func (e *evidence) mostOfTarget() (most float64, needed int) {
+func (e *sequentialTest) targetLimit() (most float64, needed int) {
 	switch {
 	case len(e.targets) == 1:
 		return badWeight, 1
-	case e.many >= manyTargets:
+	case e.qualified >= manyTargets:
 		return capFactor * badWeight / manyNeeded, manyNeeded
 	default:
 		return capFactor * badWeight / fewNeeded, fewNeeded
@@ -188,8 +188,8 @@
 }
 
 // bad says whether it is enough to call the version bad.
-func (e *evidence) bad() bool {
-	if len(e.targets) == 1 && e.answers < loneAnswers {
+func (e *sequentialTest) bad() bool {
+	if len(e.targets) == 1 && e.answers < minLoneAnswers {
 		return false
 	}
 	return e.weight >= badWeight
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/evidence_test.go
@@ -21,7 +21,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got := oddsOver(test.base)
+			got := newLogOdds(test.base)
 			is.True(math.Abs(got.troubled-test.troubled) < 1e-9)
 			is.True(math.Abs(got.fine-test.fine) < 1e-9)
 			is.True(math.Abs(got.weight(5, 2)-(2*test.troubled+3*test.fine)) < 1e-9)
@@ -31,15 +31,15 @@
 
 // weighed plays answers with a share of trouble, one by one over some targets, until the
 // test says bad or, unless it is to go on watching, has passed.
-func weighed(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test evidence, at int) {
-	weights := oddsOver(base)
+func weighed(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test sequentialTest, at int) {
+	weights := newLogOdds(base)
 	for at = 1; at <= answers; at++ {
 		troubled := 0
 		if random.Float64() < share {
 			troubled = 1
 		}
 		test.add(uint32(random.IntN(targets)+1), 1, weights.weight(1, troubled))
-		test.settle()
+		test.update()
 		if test.bad() || test.passed && !watch {
 			break
 		}
@@ -105,14 +105,14 @@
 			falselyBad++
 			continue
 		}
-		weights := oddsOver(0.02)
+		weights := newLogOdds(0.02)
 		for !test.bad() {
 			troubled := 0
 			if random.Float64() < 0.5 {
 				troubled = 1
 			}
 			test.add(uint32(random.IntN(5)+1), 1, weights.weight(1, troubled))
-			test.settle()
+			test.update()
 			answers++
 		}
 	}
@@ -130,13 +130,13 @@
 		if targets >= manyTargets {
 			needed = manyNeeded
 		}
-		weights := oddsOver(baseFailures)
-		var test evidence
+		weights := newLogOdds(minBaseFailures)
+		var test sequentialTest
 		// Each target has answered well before the first ones fail.
 		for target := range targets {
-			test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+			test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 		}
-		test.settle()
+		test.update()
 		for range rapid.IntRange(1, 40).Draw(t, "rounds") {
 			for target := range targets {
 				answers := rapid.IntRange(0, 3).Draw(t, "answers")
@@ -146,7 +146,7 @@
 				}
 				test.add(uint32(target+1), answers, weights.weight(answers, troubled))
 			}
-			test.settle()
+			test.update()
 			if test.bad() {
 				t.Fatalf("bad by %d of %d targets", needed-1, targets)
 			}
@@ -159,9 +159,9 @@
 				test.add(uint32(target+1), share, weights.weight(share, 0))
 			}
 		}
-		test.settle()
+		test.update()
 		if !test.passed {
-			t.Fatalf("not passed by %d sound targets, weight %g", targets-needed+1, test.sound)
+			t.Fatalf("not passed by %d sound targets, weight %g", targets-needed+1, test.soundWeight)
 		}
 	})
 }
@@ -170,23 +170,23 @@
 func TestEnoughTargetsConvict(t *testing.T) {
 	for targets, needed := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 16: 3} {
 		is := is.New(t)
-		weights := oddsOver(baseFailures)
-		var test evidence
+		weights := newLogOdds(minBaseFailures)
+		var test sequentialTest
 		for target := range targets {
-			test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+			test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 		}
-		test.settle()
+		test.update()
 		for target := range needed {
 			is.True(!test.bad())
 			test.add(uint32(target+1), 30, weights.weight(30, 30))
-			test.settle()
+			test.update()
 		}
 		// The good answers of the others weigh something too.
 		is.True(test.weight >= badWeight || targets > needed)
 		for target := range targets {
 			test.add(uint32(target+1), 5, weights.weight(5, 2))
 		}
-		test.settle()
+		test.update()
 		is.True(test.bad()) // targets
 	}
 }
@@ -194,27 +194,27 @@
 // Two broken ones of four, and a neighbour that fails once, are luck.
 func TestBrokenTargetsAndAFailure(t *testing.T) {
 	is := is.New(t)
-	weights := oddsOver(baseFailures)
-	var test evidence
+	weights := newLogOdds(minBaseFailures)
+	var test sequentialTest
 	for target := range manyTargets {
-		test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+		test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 	}
 	test.add(1, 30, weights.weight(30, 30))
 	test.add(2, 30, weights.weight(30, 30))
 	test.add(3, 1, weights.weight(1, 1))
-	test.settle()
+	test.update()
 	is.True(!test.bad())
 }
 
 // One target that answers before its neighbours do isn't taken for the only one.
 func TestFirstAnswersOfOneTarget(t *testing.T) {
 	is := is.New(t)
-	weights := oddsOver(baseFailures)
-	var test evidence
-	test.add(1, loneAnswers-1, weights.weight(loneAnswers-1, loneAnswers-1))
-	test.settle()
+	weights := newLogOdds(minBaseFailures)
+	var test sequentialTest
+	test.add(1, minLoneAnswers-1, weights.weight(minLoneAnswers-1, minLoneAnswers-1))
+	test.update()
 	is.True(!test.bad())
 	test.add(2, 1, weights.weight(1, 0))
-	test.settle()
+	test.update()
 	is.True(!test.bad())
 }
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -19,7 +19,7 @@
 }
 
 // trial is one roll-out of a service, played in memory. Times are seconds since the order.
-type trial struct {
+type simulation struct {
 	routes   []trialRoute
 	gateways int
 	// targets are those of the version that take the share.
@@ -69,7 +69,7 @@
 
 // trialRun is a trial under way.
 type trialRun struct {
-	trial
+	simulation
 	random  *rand.Rand
 	judge   *Judge
 	shares  []*Share
@@ -87,8 +87,8 @@
 	haltAt   float64
 }
 
-func (t trial) run(seed uint64) trialEnd {
-	r := &trialRun{trial: t, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
+func (t simulation) run(seed uint64) trialEnd {
+	r := &trialRun{simulation: t, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
 	for range t.gateways {
 		share := NewShare(t.share)
 		share.random = r.random.Float64
@@ -231,8 +231,8 @@
 }
 
 // short is an order of 12 s, of which the last 0.7 s may be the move.
-func short(routes []trialRoute, targets int) trial {
-	return trial{
+func short(routes []trialRoute, targets int) simulation {
+	return simulation{
 		routes: routes, gateways: 28, targets: targets, share: 0.1, moveAt: 11.3, until: 12, most: 64,
 		added: func(float64, string, int, bool) trouble { return trouble{} },
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -32,7 +32,7 @@
 	// byHash are the services by the upper half of the hash of their name.
 	byHash map[uint32]*service
 	// news is closed, and another one made, when an order or a record becomes known.
-	news chan struct{}
+	changed chan struct{}
 }
 
 // NewGate returns a gate that knows of no order.
@@ -40,32 +40,32 @@
 	return &Gate{
 		options: options, random: rand.Float64,
 		services: make(map[string]*service), byHash: make(map[uint32]*service),
-		news: make(chan struct{}),
+		changed: make(chan struct{}),
 	}
 }
 
 // announce wakes those that wait for news; g.mu is held.
-func (g *Gate) announce() {
-	close(g.news)
-	g.news = make(chan struct{})
+func (g *Gate) notifyChange() {
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
 // Await is for a request that has found no target though the version of a running order may
 // have some: the order may be completed, and the news of that on its way. It gives a channel
 // that is closed when an order or a record becomes known, and until when to wait for that;
 // false where there is nothing to wait for, or no more.
-func (g *Gate) Await(service string, now time.Time) (news <-chan struct{}, until time.Time, ok bool) {
+func (g *Gate) Await(service string, now time.Time) (changed <-chan struct{}, until time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[service]
 	if s == nil || s.trial == nil || s.trial.halted || s.trial.current {
 		return nil, time.Time{}, false
 	}
-	if s.bareSince.IsZero() {
-		s.bareSince = now
+	if s.noTargetSince.IsZero() {
+		s.noTargetSince = now
 	}
-	until = s.bareSince.Add(newsLag)
-	return g.news, until, now.Before(until)
+	until = s.noTargetSince.Add(changeLag)
+	return g.changed, until, now.Before(until)
 }
 
 // Ask is a request that needs a target.
@@ -84,9 +84,9 @@
 	// Otherwise takes its place where no target of Versions is open; nil for nothing.
 	Otherwise *balance.Versions
 	service   string
-	again     bool
+	isRetry   bool
 	// reserved is the trial whose share holds a part for the request; nil for none.
-	reserved *probation
+	reserved *trial
 }
 
 // Assign says where a request may go. Each is followed by one call of Chosen, or of
@@ -94,16 +94,16 @@
 func (g *Gate) Assign(ask Ask, now time.Time) Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	assignment := Assignment{service: ask.Service, again: ask.Again}
+	assignment := Assignment{service: ask.Service, isRetry: ask.Again}
 	s := g.services[ask.Service]
 	if s == nil {
 		return assignment
 	}
-	assignment.Versions = s.base
+	assignment.Versions = s.baseVersions
 	if s.trial == nil {
 		return assignment
 	}
-	if s.trial.lately(now) || s.trial.succeeds(ask, s.base) {
+	if s.trial.recentlyMoved(now) || s.trial.replacesOthers(ask, s.baseVersions) {
 		assignment.Otherwise = &balance.Versions{Only: s.trial.order.Version}
 	}
 	switch s.trial.stageAt(now) {
@@ -114,7 +114,7 @@
 		if ask.Again || !s.trial.reserve(TallyName(ask.Route)) {
 			break
 		}
-		base := s.base
+		base := s.baseVersions
 		assignment.Otherwise = &base
 		assignment.reserved = s.trial
 		assignment.Versions = balance.Versions{
@@ -132,11 +132,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(assignment.service)
-	s.flight[version]++
-	s.noteChosen(version, now)
+	s.inFlight[version]++
+	s.noteUse(version, now)
 	t := s.trial
 	if t == nil || version != t.order.Version {
-		s.bareSince = time.Time{}
+		s.noTargetSince = time.Time{}
 	}
 	reserved := assignment.reserved
 	if reserved != nil && (reserved != t || version != reserved.order.Version) {
@@ -146,11 +146,11 @@
 	if t == nil {
 		return
 	}
-	if !assignment.again {
+	if !assignment.isRetry {
 		t.share.Request()
 	}
 	if version == t.order.Version && reserved == nil {
-		t.moved++
+		t.moveSends++
 	}
 }
 
@@ -175,7 +175,7 @@
 	if s.trial != nil && s.trial.stageAt(now) == Move {
 		return balance.Versions{Only: s.trial.order.Version}
 	}
-	return s.base
+	return s.baseVersions
 }
 
 // Ending is how a sending ended, as far as it says something of the target's version.
@@ -216,9 +216,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(outcome.Service)
-	s.flight[outcome.Version]--
-	if s.flight[outcome.Version] <= 0 {
-		delete(s.flight, outcome.Version)
+	s.inFlight[outcome.Version]--
+	if s.inFlight[outcome.Version] <= 0 {
+		delete(s.inFlight, outcome.Version)
 	}
 	if outcome.Ending == Neutral {
 		return
@@ -267,12 +267,12 @@
 	if order.Revision <= s.lastOrder {
 		return false
 	}
-	s.noteServed(order, listed, now)
+	s.noteInitialVersions(order, listed, now)
 	s.lastOrder = order.Revision
 	s.order = order
 	s.withdrawn = false
-	s.settle(now)
-	g.announce()
+	s.reconcile(now)
+	g.notifyChange()
 	return true
 }
 
@@ -286,8 +286,8 @@
 	}
 	s.order = Order{}
 	s.withdrawn = true
-	s.settle(now)
-	g.announce()
+	s.reconcile(now)
+	g.notifyChange()
 }
 
 // Recorded takes a record with its revision in the store, and says whether it is new.
@@ -306,8 +306,8 @@
 		return before, false
 	}
 	s.record, s.revision, s.recordedAt = record, revision, now
-	s.settle(now)
-	g.announce()
+	s.reconcile(now)
+	g.notifyChange()
 	return before, true
 }
 
@@ -320,7 +320,7 @@
 	if s == nil || s.trial == nil || s.trial.order.Revision != grant.Order {
 		return Order{}, false
 	}
-	return s.trial.order, s.trial.obey(grant, sentAt, now)
+	return s.trial.order, s.trial.apply(grant, sentAt, now)
 }
 
 // report is what there is to say about a service; false for no running order.
@@ -335,18 +335,18 @@
 }
 
 // due are the reports to be sent now, but for services that are left out.
-func (g *Gate) due(now time.Time, every time.Duration, wanted func(service string) bool) []Report {
+func (g *Gate) due(now time.Time, every time.Duration, include func(service string) bool) []Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var reports []Report
 	for name, s := range g.services {
-		if s.trial == nil || !wanted(name) {
+		if s.trial == nil || !include(name) {
 			continue
 		}
-		if !s.trial.due(now, every) {
+		if !s.trial.reportDue(now, every) {
 			continue
 		}
-		s.trial.urgent, s.trial.reportedAt = false, now
+		s.trial.reportNow, s.trial.reportedAt = false, now
 		s.trial.unanswered++
 		reports = append(reports, s.report(now))
 	}
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -92,7 +92,7 @@
 		},
 		"the first order is for a version that came in another's place": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon.Add(-servedWithin))
+				send(g, 1, "v1", "v1", noon.Add(-servedWindow))
 				send(g, 1, "v2", "v2", noon)
 				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
 			},
@@ -100,8 +100,8 @@
 		},
 		"the first order is for a version that came in another's place long ago": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon.Add(-servedWithin-time.Second))
-				send(g, 1, "v2", "v2", noon.Add(-servedWithin))
+				send(g, 1, "v1", "v1", noon.Add(-servedWindow-time.Second))
+				send(g, 1, "v2", "v2", noon.Add(-servedWindow))
 				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
 			},
 			balance.Versions{Rather: "v2"},
@@ -370,14 +370,14 @@
 	send(g, 1000, "v2", "v1", noon)
 	g.Ordered(second, noon.Add(time.Second))
 	v := g.views(noon)[0]
-	is.Equal(v.first, int64(1))
+	is.Equal(v.firstRevision, int64(1))
 	is.Equal(v.requests, 1000)
-	is.Equal(deadlineOf(v.order, v.since, v.notBefore), deadlineOf(first, noon, time.Time{}))
+	is.Equal(deadlineOf(v.order, v.knownSince, v.notBefore), deadlineOf(first, noon, time.Time{}))
 	g.obey(grantOf(2, Canary, time.Minute), noon.Add(time.Second), noon.Add(time.Second))
 	is.Equal(send(g, 5, "v2", "v1", noon.Add(time.Second)), 0)
 	g.Recorded(Record{Order: first, State: RolledBack, Refused: []string{"v2"}}, 3, noon)
 	v = g.views(noon)[0]
-	is.Equal(v.first, int64(2)) // the one before ended: this one begins anew
+	is.Equal(v.firstRevision, int64(2)) // the one before ended: this one begins anew
 	is.Equal(v.requests, 0)
 	is.True(!slices.Contains(v.refused, "v2"))
 }
@@ -393,14 +393,14 @@
 	}
 	is.Equal(due(0), 1)
 	is.Equal(due(10*time.Millisecond), 0)
-	is.Equal(due(reportAgain), 1)
-	is.Equal(due(2*reportAgain), 1)
-	is.Equal(due(3*reportAgain), 0) // no more than that
-	is.Equal(due(2*reportAgain+time.Second), 1)
+	is.Equal(due(reportRetryDelay), 1)
+	is.Equal(due(2*reportRetryDelay), 1)
+	is.Equal(due(3*reportRetryDelay), 0) // no more than that
+	is.Equal(due(2*reportRetryDelay+time.Second), 1)
 	g.obey(grantOf(1, Canary, time.Minute), noon.Add(2*time.Second), noon.Add(2*time.Second))
 	is.Equal(due(2*time.Second), 1) // another stage
 	g.obey(grantOf(1, Canary, time.Minute), noon.Add(2*time.Second), noon.Add(2*time.Second))
-	is.Equal(due(2*time.Second+reportAgain), 0) // answered
+	is.Equal(due(2*time.Second+reportRetryDelay), 0) // answered
 	is.Equal(due(3*time.Second), 1)
 	is.Equal(len(g.due(noon.Add(time.Minute), time.Second, func(string) bool { return false })), 0)
 	short := orderOf("v2", 2)
@@ -431,7 +431,7 @@
 		exposed += report.Exposed
 	}
 	is.Equal(requests, gateways*each)
-	share := canaryShare * theOptions.Share * float64(requests)
+	share := maxCanaryPart * theOptions.Share * float64(requests)
 	is.True(float64(exposed) > share/2)
 	is.True(float64(exposed) < share+theOptions.Slack/2)
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// routeTraffic is how many answers of the others make a route one with traffic: of
+	// minRouteAnswers is how many answers of the others make a route one with traffic: of
 	// fewer requests, the version can't have got a share.
-	routeTraffic = 4
-	// rarePart is the part of the service's answers below which a route is rare: a tenth
+	minRouteAnswers = 4
+	// rareRoutePart is the part of the service's answers below which a route is rare: a tenth
 	// of the requests of a short order holds no sample of its own for it.
-	rarePart = 0.05
-	// waitOthers and waitRounds are how long the version's news waits for the others':
+	rareRoutePart = 0.05
+	// maxDeferOthers and maxDeferRounds are how long the version's news waits for the others':
 	// until they gave so many answers on the route, or all gateways have had time for so
 	// many reports. Trouble that begins on both sides shows in the others' shares only then.
-	waitOthers = 30
-	waitRounds = 2
-	// waitMost is by how many answers what waits may exceed what the others gave since:
+	maxDeferOthers = 30
+	maxDeferRounds = 2
+	// maxDeferExcess is by how many answers what waits may exceed what the others gave since:
 	// there are more only in the move, when the others get no requests.
-	waitMost = 6
-	// cleanEvidence is the least that the tests of all routes together must say in favour
+	maxDeferExcess = 6
+	// cleanWeight is the least that the tests of all routes together must say in favour
 	// of a version that is called clean: that of some three good answers. Without any,
 	// nothing is known.
-	cleanEvidence = -1.0
+	cleanWeight = -1.0
 )
 
 // Verdict is what is known of a version.
@@ -54,19 +54,19 @@
 	Answers, Failed, Slow int
 }
 
-func (c Counts) plus(more Counts) Counts {
-	return Counts{c.Answers + more.Answers, c.Failed + more.Failed, c.Slow + more.Slow}
+func (c Counts) add(other Counts) Counts {
+	return Counts{c.Answers + other.Answers, c.Failed + other.Failed, c.Slow + other.Slow}
 }
 
 // since is what came after an earlier sum; false if this one isn't a later sum of the
 // same counter.
-func (c Counts) since(earlier Counts) (Counts, bool) {
-	news := Counts{c.Answers - earlier.Answers, c.Failed - earlier.Failed, c.Slow - earlier.Slow}
-	return news, news.valid()
+func (c Counts) delta(earlier Counts) (Counts, bool) {
+	delta := Counts{c.Answers - earlier.Answers, c.Failed - earlier.Failed, c.Slow - earlier.Slow}
+	return delta, delta.valid()
 }
 
 // whole are the answers that did not fail: those that have a pace.
-func (c Counts) whole() int {
+func (c Counts) succeeded() int {
 	return c.Answers - c.Failed
 }
 
@@ -91,42 +91,42 @@
 	known  map[string]map[tallyKey]Counts
 	routes map[uint32]*judgedRoute
 	// names are the keys of routes, in order.
-	names []uint32
+	routeKeys []uint32
 	// rare are the common tests of the routes with few requests, and whole those of all
 	// routes: they find soonest what strikes all of them.
-	rare, whole tests
+	rareRoutes, allRoutes routeTests
 	// failures and slow are the troubles of the others lately, on all routes.
-	failures, slow baseline
+	failureBaseline, slowBaseline baseline
 	// bad is why the version is bad; empty until it is.
 	bad string
 	// takes is how many reports were taken, and ignored how many sums were of no use.
-	takes, ignored int
+	reports, ignored int
 }
 
 type judgedRoute struct {
-	tests
-	failuresBase, slowBase baseline
+	routeTests
+	failureBaseline, slowBaseline baseline
 	// waiting is, from the first on, the version's news that is not judged yet, the oldest
-	// first, and waitingAnswers how many answers that is.
-	waiting               []waitingNews
-	first, waitingAnswers int
+	// first, and deferredAnswers how many answers that is.
+	deferred              []deferredTally
+	head, deferredAnswers int
 }
 
-// waitingNews waits until the others' answers show how it was at its time.
-type waitingNews struct {
-	news Tally
+// deferredTally waits until the others' answers show how it was at its time.
+type deferredTally struct {
+	tally Tally
 	// others is how many answers the others had given on the route when it came, and
 	// takes the number of Judge.Take that brought it.
-	others, takes int
+	othersAnswers, report int
 }
 
 // NewJudge returns a judge that has seen no answers.
 func NewJudge() *Judge {
 	return &Judge{
-		known:  make(map[string]map[tallyKey]Counts),
-		routes: make(map[uint32]*judgedRoute),
-		rare:   tests{what: "routes with few requests together"},
-		whole:  tests{what: "all routes together"},
+		known:      make(map[string]map[tallyKey]Counts),
+		routes:     make(map[uint32]*judgedRoute),
+		rareRoutes: routeTests{scope: "routes with few requests together"},
+		allRoutes:  routeTests{scope: "all routes together"},
 	}
 }
 
@@ -139,53 +139,53 @@
 		known = make(map[tallyKey]Counts)
 		j.known[gateway] = known
 	}
-	j.takes++
-	for _, tally := range j.newsOf(known, tallies) {
+	j.reports++
+	for _, tally := range j.increments(known, tallies) {
 		if tally.Target == 0 {
-			j.takeOthers(tally)
+			j.addOthers(tally)
 		} else {
-			j.routeOf(tally.Route).wait(tally, j.takes)
+			j.routeFor(tally.Route).deferTally(tally, j.reports)
 		}
 	}
-	weighed := false
-	for _, name := range j.names {
-		if route := j.routes[name]; j.judge(route) {
-			j.settle(&route.tests)
-			weighed = true
+	evaluated := false
+	for _, name := range j.routeKeys {
+		if route := j.routes[name]; j.evaluate(route) {
+			j.update(&route.routeTests)
+			evaluated = true
 		}
 	}
-	if weighed {
-		j.settle(&j.rare)
-		j.settle(&j.whole)
+	if evaluated {
+		j.update(&j.rareRoutes)
+		j.update(&j.allRoutes)
 	}
 }
 
 // settle sums up tests that have news; the first that make the version bad say why.
-func (j *Judge) settle(t *tests) {
-	t.settle()
+func (j *Judge) update(t *routeTests) {
+	t.update()
 	if j.bad == "" && t.bad() {
-		j.bad = t.why()
+		j.bad = t.explain()
 	}
 }
 
-// newsOf is what is new in sums, as tallies of the news alone.
-func (j *Judge) newsOf(known map[tallyKey]Counts, tallies []Tally) []Tally {
-	news := make([]Tally, 0, len(tallies))
+// increments is what is new in sums, as tallies of the news alone.
+func (j *Judge) increments(known map[tallyKey]Counts, tallies []Tally) []Tally {
+	increments := make([]Tally, 0, len(tallies))
 	for _, tally := range tallies {
 		key := tallyKey{tally.Route, tally.Target}
 		sum := Counts{tally.Answers, tally.Failed, tally.Slow}
-		fresh, ok := sum.since(known[key])
+		delta, ok := sum.delta(known[key])
 		if !ok {
 			j.ignored++
 			continue
 		}
-		if fresh.Answers == 0 {
+		if delta.Answers == 0 {
 			continue
 		}
 		known[key] = sum
-		news = append(news, Tally{tally.Route, tally.Target, fresh.Answers, fresh.Failed, fresh.Slow})
+		increments = append(increments, Tally{tally.Route, tally.Target, delta.Answers, delta.Failed, delta.Slow})
 	}
-	return news
+	return increments
 }
 
 // Ignored is how many sums were of no use: older than what was known, or impossible.
@@ -193,77 +193,77 @@
 	return j.ignored
 }
 
-func (j *Judge) routeOf(name uint32) *judgedRoute {
+func (j *Judge) routeFor(name uint32) *judgedRoute {
 	route, ok := j.routes[name]
 	if !ok {
-		route = &judgedRoute{tests: tests{what: fmt.Sprintf("route %08x", name)}}
+		route = &judgedRoute{routeTests: routeTests{scope: fmt.Sprintf("route %08x", name)}}
 		j.routes[name] = route
-		at, _ := slices.BinarySearch(j.names, name)
-		j.names = slices.Insert(j.names, at, name)
+		index, _ := slices.BinarySearch(j.routeKeys, name)
+		j.routeKeys = slices.Insert(j.routeKeys, index, name)
 	}
 	return route
 }
 
-func (j *Judge) takeOthers(news Tally) {
-	route := j.routeOf(news.Route)
-	counts := Counts{news.Answers, news.Failed, news.Slow}
-	route.others = route.others.plus(counts)
-	j.whole.others = j.whole.others.plus(counts)
+func (j *Judge) addOthers(tally Tally) {
+	route := j.routeFor(tally.Route)
+	counts := Counts{tally.Answers, tally.Failed, tally.Slow}
+	route.others = route.others.add(counts)
+	j.allRoutes.others = j.allRoutes.others.add(counts)
 	if j.isRare(route) {
-		j.rare.others = j.rare.others.plus(counts)
+		j.rareRoutes.others = j.rareRoutes.others.add(counts)
 	}
-	route.failuresBase.add(counts.Answers, counts.Failed)
-	route.slowBase.add(counts.whole(), counts.Slow)
-	j.failures.add(counts.Answers, counts.Failed)
-	j.slow.add(counts.whole(), counts.Slow)
+	route.failureBaseline.add(counts.Answers, counts.Failed)
+	route.slowBaseline.add(counts.succeeded(), counts.Slow)
+	j.failureBaseline.add(counts.Answers, counts.Failed)
+	j.slowBaseline.add(counts.succeeded(), counts.Slow)
 }
 
 // wait puts the version's news off.
-func (r *judgedRoute) wait(news Tally, takes int) {
-	r.waiting = append(r.waiting, waitingNews{news: news, others: r.others.Answers, takes: takes})
-	r.waitingAnswers += news.Answers
+func (r *judgedRoute) deferTally(tally Tally, report int) {
+	r.deferred = append(r.deferred, deferredTally{tally: tally, othersAnswers: r.others.Answers, report: report})
+	r.deferredAnswers += tally.Answers
 }
 
 // due says whether the oldest of what waits can be judged: the others have answered since,
 // or all gateways have had time to say so, or they answer no more.
-func (r *judgedRoute) due(takes int) bool {
-	if r.first == len(r.waiting) {
+func (r *judgedRoute) ready(oldestRound int) bool {
+	if r.head == len(r.deferred) {
 		return false
 	}
-	oldest := r.waiting[r.first]
-	others := r.others.Answers - oldest.others
-	return others >= waitOthers || takes >= oldest.takes || r.waitingAnswers > others+waitMost
+	oldest := r.deferred[r.head]
+	others := r.others.Answers - oldest.othersAnswers
+	return others >= maxDeferOthers || oldestRound >= oldest.report || r.deferredAnswers > others+maxDeferExcess
 }
 
 // next takes the oldest of what waits; compact must follow.
-func (r *judgedRoute) next() Tally {
-	news := r.waiting[r.first].news
-	r.waitingAnswers -= news.Answers
-	r.first++
+func (r *judgedRoute) pop() Tally {
+	news := r.deferred[r.head].tally
+	r.deferredAnswers -= news.Answers
+	r.head++
 	return news
 }
 
 func (r *judgedRoute) compact() {
-	r.waiting = slices.Delete(r.waiting, 0, r.first)
-	r.first = 0
+	r.deferred = slices.Delete(r.deferred, 0, r.head)
+	r.head = 0
 }
 
 // judge weighs the news of a route that is due; false if none is.
-func (j *Judge) judge(route *judgedRoute) bool {
-	earliest := j.takes - waitRounds*len(j.known)
-	if !route.due(earliest) {
+func (j *Judge) evaluate(route *judgedRoute) bool {
+	oldestRound := j.reports - maxDeferRounds*len(j.known)
+	if !route.ready(oldestRound) {
 		return false
 	}
-	failureOdds := oddsOver(route.failuresBase.of(&j.failures, baseFailures))
-	slowOdds := oddsOver(route.slowBase.of(&j.slow, baseSlow))
+	failureOdds := newLogOdds(route.failureBaseline.tolerated(&j.failureBaseline, minBaseFailures))
+	slowOdds := newLogOdds(route.slowBaseline.tolerated(&j.slowBaseline, minBaseSlow))
 	rare := j.isRare(route)
-	for route.due(earliest) {
-		news := route.next()
-		counts := Counts{news.Answers, news.Failed, news.Slow}
-		route.take(news.Target, counts, failureOdds, slowOdds)
-		j.whole.take(news.Target, counts, failureOdds, slowOdds)
+	for route.ready(oldestRound) {
+		tally := route.pop()
+		counts := Counts{tally.Answers, tally.Failed, tally.Slow}
+		route.add(tally.Target, counts, failureOdds, slowOdds)
+		j.allRoutes.add(tally.Target, counts, failureOdds, slowOdds)
 		if rare {
-			j.rare.take(news.Target, counts, failureOdds, slowOdds)
+			j.rareRoutes.add(tally.Target, counts, failureOdds, slowOdds)
 		}
 	}
 	route.compact()
@@ -272,13 +272,13 @@
 
 // isRare says whether a route has few of the service's requests.
 func (j *Judge) isRare(route *judgedRoute) bool {
-	return float64(route.others.Answers) < rarePart*float64(j.whole.others.Answers)
+	return float64(route.others.Answers) < rareRoutePart*float64(j.allRoutes.others.Answers)
 }
 
 // passed says whether a route with traffic is good by its own tests or, if it is rare, by
 // the common ones.
 func (j *Judge) passed(route *judgedRoute) bool {
-	return route.passed() || j.isRare(route) && j.rare.passed()
+	return route.passed() || j.isRare(route) && j.rareRoutes.passed()
 }
 
 // Verdict is what is known now, and why, in plain words with the figures. A version is
@@ -287,18 +287,18 @@
 	if j.bad != "" {
 		return Bad, j.bad
 	}
-	busy, passed := 0, 0
+	withTraffic, passed := 0, 0
 	for _, route := range j.routes {
-		if !route.busy() {
+		if !route.hasTraffic() {
 			continue
 		}
-		busy++
+		withTraffic++
 		if j.passed(route) {
 			passed++
 		}
 	}
-	reason := fmt.Sprintf("%d of %d routes with traffic have passed", passed, busy)
-	if busy > 0 && passed == busy && j.whole.passed() {
+	reason := fmt.Sprintf("%d of %d routes with traffic have passed", passed, withTraffic)
+	if withTraffic > 0 && passed == withTraffic && j.allRoutes.passed() {
 		return Good, reason
 	}
 	return Undecided, reason
@@ -310,19 +310,19 @@
 	if j.bad != "" {
 		return nil
 	}
-	var busy, wanted []uint32
-	for _, name := range j.names {
+	var withTraffic, wanted []uint32
+	for _, name := range j.routeKeys {
 		route := j.routes[name]
-		if !route.busy() {
+		if !route.hasTraffic() {
 			continue
 		}
-		busy = append(busy, name)
+		withTraffic = append(withTraffic, name)
 		if !j.passed(route) {
 			wanted = append(wanted, name)
 		}
 	}
-	if len(wanted) == 0 && !j.whole.passed() {
-		return busy
+	if len(wanted) == 0 && !j.allRoutes.passed() {
+		return withTraffic
 	}
 	return wanted
 }
@@ -330,21 +330,21 @@
 // Clean says that nothing speaks against the version so far, and something in favour of
 // it, although samples may be small. It is what can be said when the time is over.
 func (j *Judge) Clean() bool {
-	if j.bad != "" || j.rare.doubted() {
+	if j.bad != "" || j.rareRoutes.suspect() {
 		return false
 	}
 	for _, route := range j.routes {
-		if route.doubted() {
+		if route.suspect() {
 			return false
 		}
 	}
-	return j.whole.failures.sound+j.whole.slow.sound <= cleanEvidence
+	return j.allRoutes.failures.soundWeight+j.allRoutes.slow.soundWeight <= cleanWeight
 }
 
 // Routes are the sums of each route, for operators, in the order of their names.
 func (j *Judge) Routes() []RouteSum {
-	sums := make([]RouteSum, 0, len(j.names))
-	for _, name := range j.names {
+	sums := make([]RouteSum, 0, len(j.routeKeys))
+	for _, name := range j.routeKeys {
 		route := j.routes[name]
 		sums = append(sums, RouteSum{
 			Route:   name,
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -18,7 +18,7 @@
 
 // takeRounds lets a gateway report often enough that nothing waits any more.
 func takeRounds(judge *Judge, tallies ...Tally) {
-	for range waitRounds + 1 {
+	for range maxDeferRounds + 1 {
 		judge.Take("gateway", tallies)
 	}
 }
@@ -47,7 +47,7 @@
 			verdict: Undecided, reason: "1 of 2 routes", wanted: []uint32{b}, clean: true,
 		},
 		"a route without traffic needs no sample": {
-			tallies: append(slices.Clone(good), usual(rare, routeTraffic-1)),
+			tallies: append(slices.Clone(good), usual(rare, minRouteAnswers-1)),
 			verdict: Good, reason: "2 of 2 routes", clean: true,
 		},
 		"bad on one route": {
@@ -172,7 +172,7 @@
 		judge.Take(fmt.Sprint("gateway-", gateway), []Tally{usual(1, 4)})
 	}
 	judge.Take("gateway-0", []Tally{{1, 1, 3, 3, 0}, {1, 2, 3, 3, 0}})
-	judge.Take("gateway-1", []Tally{usual(1, 4+waitOthers-1)})
+	judge.Take("gateway-1", []Tally{usual(1, 4+maxDeferOthers-1)})
 	judge.Take("gateway-2", []Tally{usual(1, 4)})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Undecided)
@@ -244,9 +244,9 @@
 				sum := want[TallyName(route)]
 				sum.Route = TallyName(route)
 				if target == "" {
-					sum.Others = sum.Others.plus(counts)
+					sum.Others = sum.Others.add(counts)
 				} else {
-					sum.Version = sum.Version.plus(counts)
+					sum.Version = sum.Version.add(counts)
 				}
 				want[TallyName(route)] = sum
 				last[name] = report{name, tallies.List(99)}
@@ -261,7 +261,7 @@
 			delivered := rapid.SampledFrom(reports).Draw(t, "report")
 			judge.Take(delivered.gateway, delivered.tallies)
 		}
-		for range waitRounds + 1 {
+		for range maxDeferRounds + 1 {
 			for _, delivered := range last {
 				judge.Take(delivered.gateway, delivered.tallies)
 			}
@@ -282,7 +282,7 @@
 	for i := range 1000 {
 		judge.Take("gateway", []Tally{usual(1, 10*i), {1, 1, i, 0, 0}})
 	}
-	is.True(len(judge.routes[1].waiting) <= waitRounds+1)
+	is.True(len(judge.routes[1].deferred) <= maxDeferRounds+1)
 }
 
 func TestSumsOfNoUse(t *testing.T) {
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -65,7 +65,7 @@
 					record, revision := w.store.record, w.store.recordRevision
 					n.control.recorded(record, revision, "", w.now)
 				}
-				w.run(settleFor + time.Second)
+				w.run(replicaReadTime + time.Second)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
@@ -82,7 +82,7 @@
 				w.order(newVersion, lasts)
 				w.run(lasts)
 				w.store.withdraw()
-				w.run(settleFor + time.Second)
+				w.run(replicaReadTime + time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
@@ -185,7 +185,7 @@
 			func(w *world) {
 				delete(w.targets, oldVersion)
 				w.order(newVersion, lasts)
-				w.run(aloneFor + time.Second)
+				w.run(soleVersionDelay + time.Second)
 			},
 			Record{State: Completed, Current: "v2"},
 		},
@@ -194,7 +194,7 @@
 				w.form = forms["fails at once"]
 				w.order(newVersion, lasts)
 				delete(w.targets, oldVersion)
-				w.run(aloneFor - time.Second)
+				w.run(soleVersionDelay - time.Second)
 				w.targets[oldVersion] = 10
 				w.run(lasts)
 			},
@@ -207,7 +207,7 @@
 				w.run(time.Second)
 				w.store.down = true
 				delete(w.targets, oldVersion)
-				w.run(aloneFor + time.Second)
+				w.run(soleVersionDelay + time.Second)
 				w.store.down = false
 				w.run(time.Second)
 				w.targets[oldVersion] = 10
@@ -314,7 +314,7 @@
 					w.after(mends, faults[name](w, n))
 				}
 			}
-			end = later(end, w.ordered.Add(lasts))
+			end = laterTime(end, w.ordered.Add(lasts))
 		}
 		w.run(8 * time.Second) // all is mended
 		if n := w.nodes[0]; n.dead {
@@ -323,7 +323,7 @@
 		// If all have begun anew, the time that no record has kept is lost.
 		w.run(max(end.Sub(w.now), 0) + lasts + 4*time.Second)
 		w.end()
-		if !w.store.record.final() {
+		if !w.store.record.isFinal() {
 			rt.Fatalf("no end: %v, order %d", w.store.record, w.store.order)
 		}
 		// Of fewer requests the share is too few answers to tell; the bound holds anyway.
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -15,47 +15,47 @@
 	// slowSlack is added to the usual time, so that the scheduling of a busy host
 	// doesn't make answers slow that take a few milliseconds.
 	slowSlack = 2 * time.Millisecond
-	// paceMemory is how many answers a usual time is the mean of: a gateway with a few
+	// paceWindow is how many answers a usual time is the mean of: a gateway with a few
 	// answers of a route a second follows the load within half a minute.
-	paceMemory = 64
-	// paceLeast is how many answers make a usual time known; of fewer, one stray answer
+	paceWindow = 64
+	// minPaceAnswers is how many answers make a usual time known; of fewer, one stray answer
 	// would be a large part.
-	paceLeast = 8
-	// paceStray is the most, in natural logarithms, that one answer counts as being
+	minPaceAnswers = 8
+	// maxPaceDeviation is the most, in natural logarithms, that one answer counts as being
 	// away from the usual: a stream that was stuck must not make slow ones usual.
-	paceStray = math.Ln2
-	// paceEvents is the fewest events whose mean gap is judged: two gaps, as the
+	maxPaceDeviation = math.Ln2
+	// minGapEvents is the fewest events whose mean gap is judged: two gaps, as the
 	// shortest answers have three events.
-	paceEvents = 3
-	// paceFloor is the shortest time that is told from none; logarithms need one.
-	paceFloor = 100 * time.Microsecond
-	// paceRoutes is how many routes are kept; some 150 bytes each, so that thousands of
+	minGapEvents = 3
+	// minPaceTime is the shortest time that is told from none; logarithms need one.
+	minPaceTime = 100 * time.Microsecond
+	// maxPaceRoutes is how many routes are kept; some 150 bytes each, so that thousands of
 	// routes with little traffic can't fill the memory of a small host.
-	paceRoutes = 2048
-	// paceToken is the least cost of reading a token, in seconds: far below any engine's,
+	maxPaceRoutes = 2048
+	// minTokenSeconds is the least cost of reading a token, in seconds: far below any engine's,
 	// but above zero, as costs are corrected by factors.
-	paceToken = 1e-7
+	minTokenSeconds = 1e-7
 )
 
 // Pace knows how long answers usually take, by route, from the answers of versions that
 // are not on trial, and says which are slow. All of it is by factors, that is on a log
 // scale, as times of answers are spread. It is not safe for concurrent use.
 type Pace struct {
-	routes *simplelru.LRU[paceRoute, *routePace]
+	routes *simplelru.LRU[routeKey, *routePace]
 }
 
-type paceRoute struct {
+type routeKey struct {
 	service, route string
 }
 
 type routePace struct {
-	gap  usualTime
-	head usualHead
+	gap  meanTime
+	head headModel
 }
 
 // NewPace returns a pace that has learned nothing.
 func NewPace() *Pace {
-	routes, err := simplelru.NewLRU[paceRoute, *routePace](paceRoutes, nil)
+	routes, err := simplelru.NewLRU[routeKey, *routePace](maxPaceRoutes, nil)
 	if err != nil {
 		panic(err) // only for a size that is not positive
 	}
@@ -68,7 +68,7 @@
 	if outcome.Cold || outcome.Ending != Answered {
 		return
 	}
-	key := paceRoute{outcome.Service, outcome.Route}
+	key := routeKey{outcome.Service, outcome.Route}
 	known, ok := p.routes.Get(key)
 	if !ok {
 		known = &routePace{}
@@ -89,75 +89,75 @@
 	if outcome.Cold || outcome.Ending == Failed {
 		return false, false
 	}
-	usual, ok := p.routes.Get(paceRoute{outcome.Service, outcome.Route})
+	usual, ok := p.routes.Get(routeKey{outcome.Service, outcome.Route})
 	if !ok {
 		return false, false
 	}
-	if outcome.Head > 0 && usual.head.knows(outcome.Unread) {
+	if outcome.Head > 0 && usual.head.ready(outcome.Unread) {
 		known = true
-		slow = tooLong(outcome.Head, usual.head.expected(outcome.Unread))
+		slow = exceedsUsual(outcome.Head, usual.head.expected(outcome.Unread))
 	}
-	if gap, ok := outcome.gap(); ok && usual.gap.answers >= paceLeast {
+	if gap, ok := outcome.gap(); ok && usual.gap.answers >= minPaceAnswers {
 		known = true
-		slow = slow || tooLong(gap, usual.gap.seconds())
+		slow = slow || exceedsUsual(gap, usual.gap.seconds())
 	}
 	return slow, known
 }
 
 // gap is the mean time between events; false if there were too few.
 func (o Outcome) gap() (time.Duration, bool) {
-	if o.Events < paceEvents {
+	if o.Events < minGapEvents {
 		return 0, false
 	}
 	return o.Span / time.Duration(o.Events-1), true
 }
 
-// tooLong compares a time with the usual one, in seconds.
-func tooLong(took time.Duration, usual float64) bool {
+// exceedsUsual compares a time with the usual one, in seconds.
+func exceedsUsual(took time.Duration, usual float64) bool {
 	return took.Seconds() > slowFactor*usual+slowSlack.Seconds()
 }
 
-// usualTime is a running mean of logarithms of seconds.
-type usualTime struct {
+// meanTime is a running mean of logarithms of seconds.
+type meanTime struct {
 	mean    float64
 	answers int
 }
 
-func (u *usualTime) learn(took time.Duration) {
-	value := math.Log(max(took, paceFloor).Seconds())
+func (u *meanTime) learn(took time.Duration) {
+	value := math.Log(max(took, minPaceTime).Seconds())
 	if u.answers == 0 {
 		u.mean = value
 	}
-	u.mean += strayLimited(value-u.mean) * learningRate(u.answers)
+	u.mean += clampDeviation(value-u.mean) * learningRate(u.answers)
 	u.answers++
 }
 
-func (u *usualTime) seconds() float64 {
+func (u *meanTime) seconds() float64 {
 	return math.Exp(u.mean)
 }
 
-// usualHead is the time to the head of an answer: a part that is always there, and the
+// headModel is the time to the head of an answer: a part that is always there, and the
 // reading of the prompt's unread tokens.
-type usualHead struct {
+type headModel struct {
 	// base is in seconds, and perToken in seconds for each unread token; zero is unknown.
 	base, perToken float64
 	answers        int
 }
 
 // knows says whether enough was learned to expect anything.
-func (u *usualHead) knows(unread int) bool {
-	return u.answers >= paceLeast && (unread == 0 || u.perToken > 0)
+func (u *headModel) ready(unread int) bool {
+	return u.answers >= minPaceAnswers && (unread == 0 || u.perToken > 0)
 }
 
-func (u *usualHead) expected(unread int) float64 {
+func (u *headModel) expected(unread int) float64 {
 	return u.base + u.perToken*float64(unread)
 }
 
-func (u *usualHead) learn(took time.Duration, unread int) {
-	seconds := max(took, paceFloor).Seconds()
-	u.begin(seconds, unread)
+func (u *headModel) learn(took time.Duration, unread int) {
+	seconds := max(took, minPaceTime).Seconds()
+	u.initialize(seconds, unread)
 	expected := u.expected(unread)
-	step := strayLimited(math.Log(seconds/expected)) * learningRate(u.answers)
+	step := clampDeviation(math.Log(seconds/expected)) * learningRate(u.answers)
 	// Each part is corrected as far as it makes up the whole: the parts come apart
 	// as prompts with few and with many unread tokens are seen.
 	ofBase := u.base / expected
@@ -167,7 +167,7 @@
 }
 
 // begin sets the parts that are unknown yet.
-func (u *usualHead) begin(seconds float64, unread int) {
+func (u *headModel) initialize(seconds float64, unread int) {
 	if u.base == 0 {
 		u.base = seconds
 		if unread > 0 {
@@ -175,15 +175,15 @@
 		}
 	}
 	if u.perToken == 0 && unread > 0 {
-		u.perToken = max((seconds-u.base)/float64(unread), paceToken)
+		u.perToken = max((seconds-u.base)/float64(unread), minTokenSeconds)
 	}
 }
 
 // learningRate is the weight of the next answer after so many.
 func learningRate(answers int) float64 {
-	return 1 / float64(min(answers+1, paceMemory))
+	return 1 / float64(min(answers+1, paceWindow))
 }
 
-func strayLimited(distance float64) float64 {
-	return min(max(distance, -paceStray), paceStray)
+func clampDeviation(distance float64) float64 {
+	return min(max(distance, -maxPaceDeviation), maxPaceDeviation)
 }
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -91,7 +91,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			pace := NewPace()
-			for range paceLeast {
+			for range minPaceAnswers {
 				pace.Learn(with(stream(), test.change))
 			}
 			_, known := pace.Slow(stream())
@@ -106,7 +106,7 @@
 	is := is.New(t)
 	pace := NewPace()
 	late := with(plain(), func(o *Outcome) { o.Head *= 9 })
-	for range paceLeast - 1 {
+	for range minPaceAnswers - 1 {
 		pace.Learn(plain())
 	}
 	_, known := pace.Slow(late)
@@ -196,15 +196,15 @@
 	routeOf := func(i int) Outcome {
 		return with(plain(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
 	}
-	for i := range paceRoutes + 100 {
-		for range paceLeast {
+	for i := range maxPaceRoutes + 100 {
+		for range minPaceAnswers {
 			pace.Learn(routeOf(i))
 		}
 	}
-	is.Equal(pace.routes.Len(), paceRoutes)
+	is.Equal(pace.routes.Len(), maxPaceRoutes)
 	_, known := pace.Slow(routeOf(0))
 	is.True(!known)
-	_, known = pace.Slow(routeOf(paceRoutes + 99))
+	_, known = pace.Slow(routeOf(maxPaceRoutes + 99))
 	is.True(known)
 }
 
@@ -213,7 +213,7 @@
 	outcomes := make([]Outcome, 30)
 	for i := range outcomes {
 		outcomes[i] = with(stream(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
-		for range paceLeast {
+		for range minPaceAnswers {
 			pace.Learn(outcomes[i])
 		}
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -41,17 +41,17 @@
 }
 
 // final says whether the record ends its order.
-func (r *Record) final() bool {
+func (r *Record) isFinal() bool {
 	return r.State == Completed || r.State == RolledBack
 }
 
 // serves says whether a version has nothing to prove.
-func (r *Record) serves(version string) bool {
+func (r *Record) isProven(version string) bool {
 	return version == r.Current || slices.Contains(r.Served, version)
 }
 
 // stored is a record in the store. Durations are in nanoseconds.
-type stored struct {
+type storedRecord struct {
 	Service  string        `json:"service"`
 	Version  string        `json:"version"`
 	Duration time.Duration `json:"duration_ns"`
@@ -66,10 +66,10 @@
 // Encode writes a record for the store, as JSON. It fails for one that Decode would
 // not take.
 func Encode(record Record) ([]byte, error) {
-	if err := record.check(); err != nil {
+	if err := record.validate(); err != nil {
 		return nil, err
 	}
-	data, err := json.Marshal(stored{
+	data, err := json.Marshal(storedRecord{
 		Service:  record.Order.Service,
 		Version:  record.Order.Version,
 		Duration: record.Order.Duration,
@@ -86,31 +86,31 @@
 // Decode reads a record from the store. Fields that it doesn't know are passed over:
 // a later release may have written them.
 func Decode(data []byte) (Record, error) {
-	var read stored
-	if err := json.Unmarshal(data, &read); err != nil {
+	var decoded storedRecord
+	if err := json.Unmarshal(data, &decoded); err != nil {
 		return Record{}, errors.Wrap(err, "decode a roll-out's record")
 	}
 	record := Record{
 		Order: Order{
-			Service:  read.Service,
-			Version:  read.Version,
-			Duration: read.Duration,
-			Revision: read.Revision,
+			Service:  decoded.Service,
+			Version:  decoded.Version,
+			Duration: decoded.Duration,
+			Revision: decoded.Revision,
 		},
-		State:   read.State,
-		Elapsed: read.Elapsed,
-		Current: read.Current,
-		Refused: read.Refused,
-		Served:  read.Served,
+		State:   decoded.State,
+		Elapsed: decoded.Elapsed,
+		Current: decoded.Current,
+		Refused: decoded.Refused,
+		Served:  decoded.Served,
 	}
-	if err := record.check(); err != nil {
+	if err := record.validate(); err != nil {
 		return Record{}, err
 	}
 	return record, nil
 }
 
 // check says what is wrong with a record.
-func (r *Record) check() error {
+func (r *Record) validate() error {
 	order := r.Order
 	switch {
 	case order.Service == "" || order.Version == "":
@@ -121,7 +121,7 @@
 		return errors.Newf("the record of %q has the unknown state %q", order.Service, r.State)
 	case r.State == Completed && r.Current != order.Version:
 		return errors.Newf("the record of %q has completed %q, but its current version is %q", order.Service, order.Version, r.Current)
-	case r.State == RolledBack && !r.serves(order.Version) && !slices.Contains(r.Refused, order.Version):
+	case r.State == RolledBack && !r.isProven(order.Version) && !slices.Contains(r.Refused, order.Version):
 		return errors.Newf("the record of %q has rolled %q back, but doesn't refuse it", order.Service, order.Version)
 	}
 	for i, version := range r.Refused {
@@ -142,11 +142,11 @@
 	return nil
 }
 
-// namesOf is a list of versions in order, each once, without those left out.
-func namesOf(versions []string, without ...string) []string {
+// sortedVersions is a list of versions in order, each once, without those left out.
+func sortedVersions(versions []string, excluded ...string) []string {
 	kept := make([]string, 0, len(versions))
 	for _, version := range versions {
-		if version != "" && !slices.Contains(without, version) {
+		if version != "" && !slices.Contains(excluded, version) {
 			kept = append(kept, version)
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -158,7 +158,7 @@
 					if f.bad() {
 						want = RolledBack
 					}
-					if noTime[faultName+", "+momentName] && !f.bad() && w.store.record.final() {
+					if noTime[faultName+", "+momentName] && !f.bad() && w.store.record.isFinal() {
 						w.end()
 						return
 					}
@@ -201,9 +201,9 @@
 				w.run(5 * time.Second)
 				lone := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.Decides(theService) })]
 				lone.cutOff = true
-				commit := lone.control.commit
-				lone.control.commit = func(c writing) {
-					if c.commit.Record.final() && w.now.Sub(w.ordered) < 39*time.Second {
+				commit := lone.control.startCommit
+				lone.control.startCommit = func(c pendingCommit) {
+					if c.commit.Record.isFinal() && w.now.Sub(w.ordered) < 39*time.Second {
 						w.fault("%s alone ends the order: %s, %s", lone.id, c.commit.Record.State, c.reason)
 					}
 					commit(c)
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// mostTallies bounds a report: two datagrams hold as many, and services have fewer
+	// maxReportTallies bounds a report: two datagrams hold as many, and services have fewer
 	// routes times targets of one version, or those with news come first.
-	mostTallies = 64
-	// canaryShare is how much of the share the canary may use at most: the rest, with
+	maxReportTallies = 64
+	// maxCanaryPart is how much of the share the canary may use at most: the rest, with
 	// the slack, pays for the move, in which the version gets everything.
-	canaryShare = 0.8
-	// leastCanaryShare is what it may use where the order's time is so short that the
+	maxCanaryPart = 0.8
+	// minCanaryPart is what it may use where the order's time is so short that the
 	// move needs most of the share: less would give the judge too few answers.
-	leastCanaryShare = 0.4
-	// usualMove is how long a move usually lasts: gateways hear of it with their next
+	minCanaryPart = 0.4
+	// typicalMove is how long a move usually lasts: gateways hear of it with their next
 	// report, and the store answers.
-	usualMove = 600 * time.Millisecond
+	typicalMove = 600 * time.Millisecond
 	// hurry is how many times more often gateways report from shortly before a move on,
 	// where the order's time is short: twice the messages, for a few seconds.
-	hurry = 2
-	// headStartSlack is the least slack, in requests, with which gateways begin as if they
+	shortOrderReportFactor = 2
+	// minHeadStartSlack is the least slack, in requests, with which gateways begin as if they
 	// had sent some requests before. Together they stay at the share on average, and
 	// above it by a handful at most (the root of a twelfth of their number, times three).
-	headStartSlack = 16
-	// reportAgain is after what time a report is repeated whose answer is missing, up to
-	// mostAgain times: packets get lost, and a move is short. Answers take a round trip.
-	reportAgain = 100 * time.Millisecond
-	mostAgain   = 2
+	minHeadStartSlack = 16
+	// reportRetryDelay is after what time a report is repeated whose answer is missing, up to
+	// maxReportRetries times: packets get lost, and a move is short. Answers take a round trip.
+	reportRetryDelay = 100 * time.Millisecond
+	maxReportRetries = 2
 	// recordLag is how long the record of a move may be on its way to gateways: the old
 	// targets stop as soon as the store has it.
 	recordLag = 5 * time.Second
-	// newsLag is how long the store's changes may be on their way to a gateway.
-	newsLag = 300 * time.Millisecond
-	// servedWithin is how long after its last request a version that the first order
+	// changeLag is how long the store's changes may be on their way to a gateway.
+	changeLag = 300 * time.Millisecond
+	// servedWindow is how long after its last request a version that the first order
 	// doesn't name counts as serving: entries that lapsed are back by then, and versions
 	// that were replaced without an order are forgotten.
-	servedWithin = time.Minute
+	servedWindow = time.Minute
 )
 
 // service is one gateway's part in the roll-outs of a service.
@@ -60,28 +60,28 @@
 	revision   int64
 	recordedAt time.Time
 	// overtaken are orders that ended here before a record of their end was seen.
-	overtaken []Order
+	unrecordedEnds []Order
 	// trial is that of the running order; nil for none.
-	trial *probation
+	trial *trial
 	// base says which versions take what the version on trial doesn't.
-	base balance.Versions
+	baseVersions balance.Versions
 	// flight counts the requests under way by version, since the process began: an
 	// order may come while they are.
-	flight map[string]int
+	inFlight map[string]int
 	// chosen is when each version last got a request, before any order was known.
-	chosen map[string]time.Time
+	lastUsed map[string]time.Time
 	// served are the versions that served when the first order came, by chosen.
-	served []string
-	pace   *Pace
-	// bareSince is when a request first found no target besides those of the version on trial;
+	initialVersions []string
+	pace            *Pace
+	// noTargetSince is when a request first found no target besides those of the version on trial;
 	// zero if the last one found some.
-	bareSince time.Time
+	noTargetSince time.Time
 }
 
 func newService(name string, options Options, random func() float64) *service {
 	return &service{
 		name: name, options: options, random: random, pace: NewPace(),
-		flight: make(map[string]int), chosen: make(map[string]time.Time),
+		inFlight: make(map[string]int), lastUsed: make(map[string]time.Time),
 	}
 }
 
@@ -91,79 +91,79 @@
 	case s.order.Revision == 0 || s.order.Revision < s.record.Order.Revision:
 		return false
 	case s.order.Revision == s.record.Order.Revision:
-		return !s.record.final()
+		return !s.record.isFinal()
 	}
 	return true
 }
 
 // settle brings trial and base in line with order and record.
-func (s *service) settle(now time.Time) {
+func (s *service) reconcile(now time.Time) {
 	before := s.trial
-	s.settleTrial(now)
+	s.reconcileTrial(now)
 	if before != nil && before != s.trial {
-		s.overtaken = append(s.overtaken, before.order)
+		s.unrecordedEnds = append(s.unrecordedEnds, before.order)
 	}
-	s.overtaken = slices.DeleteFunc(s.overtaken, func(order Order) bool {
+	s.unrecordedEnds = slices.DeleteFunc(s.unrecordedEnds, func(order Order) bool {
 		same := order.Revision == s.record.Order.Revision
-		return order.Revision < s.record.Order.Revision || same && s.record.final()
+		return order.Revision < s.record.Order.Revision || same && s.record.isFinal()
 	})
 	if s.trial != nil && s.record.Order.Revision == s.trial.order.Revision {
-		s.trial.known(s.record.Elapsed, now)
+		s.trial.noteAge(s.record.Elapsed, now)
 	}
-	not := s.refused()
+	excluded := s.refused()
 	if s.trial != nil && !s.isCurrent() {
-		not = namesOf(append(not, s.trial.order.Version))
+		excluded = sortedVersions(append(excluded, s.trial.order.Version))
 	}
-	if len(not) == 0 {
-		not = nil
+	if len(excluded) == 0 {
+		excluded = nil
 	}
-	s.base = balance.Versions{Not: not, Rather: s.record.Current}
+	s.baseVersions = balance.Versions{Not: excluded, Rather: s.record.Current}
 	if s.trial != nil && s.trial.current {
-		s.base.Rather = s.trial.order.Version
+		s.baseVersions.Rather = s.trial.order.Version
 	}
 }
 
-// noteChosen notes which versions serve, as long as nothing was ordered.
-func (s *service) noteChosen(version string, now time.Time) {
+// noteUse notes which versions serve, as long as nothing was ordered.
+func (s *service) noteUse(version string, now time.Time) {
 	if s.lastOrder > 0 || s.revision > 0 {
 		return
 	}
-	if _, known := s.chosen[version]; !known {
-		maps.DeleteFunc(s.chosen, func(_ string, at time.Time) bool { return now.Sub(at) > servedWithin })
+	if _, known := s.lastUsed[version]; !known {
+		maps.DeleteFunc(s.lastUsed, func(_ string, at time.Time) bool { return now.Sub(at) > servedWindow })
 	}
-	s.chosen[version] = now
+	s.lastUsed[version] = now
 }
 
-// noteServed takes up the first order. Its version has served if no other has, and none
+// noteInitialVersions takes up the first order. Its version has served if no other has, and none
 // has targets: beside others it may be unproven, with targets that were started for the
 // order.
-func (s *service) noteServed(order Order, listed map[string]int, now time.Time) {
+func (s *service) noteInitialVersions(order Order, listed map[string]int, now time.Time) {
 	if s.lastOrder > 0 || s.revision > 0 {
 		return
 	}
-	maps.DeleteFunc(s.chosen, func(version string, at time.Time) bool {
-		return version != order.Version && now.Sub(at) > servedWithin
+	maps.DeleteFunc(s.lastUsed, func(version string, at time.Time) bool {
+		return version != order.Version && now.Sub(at) > servedWindow
 	})
-	s.served = namesOf(slices.Collect(maps.Keys(s.chosen)))
-	if len(s.chosen) > 1 || listed[order.Version] == 0 || len(listed) > 1 {
-		s.served = namesOf(s.served, order.Version)
+	s.initialVersions = sortedVersions(slices.Collect(maps.Keys(s.lastUsed)))
+	if len(s.lastUsed) > 1 || listed[order.Version] == 0 || len(listed) > 1 {
+		s.initialVersions = sortedVersions(s.initialVersions, order.Version)
 	}
-	clear(s.chosen)
+	clear(s.lastUsed)
 }
 
 // serving are the versions that have nothing to prove since they served before the first
 // order; none once a roll-out has completed.
-func (s *service) serving() []string {
+func (s *service) provenVersions() []string {
 	switch {
 	case s.record.Current != "":
 		return nil
 	case len(s.record.Served) > 0:
 		return s.record.Served
 	}
-	return namesOf(s.served, s.record.Refused...)
+	return sortedVersions(s.initialVersions, s.record.Refused...)
 }
 
-func (s *service) settleTrial(now time.Time) {
+func (s *service) reconcileTrial(now time.Time) {
 	if !s.running() {
 		s.trial = nil
 		return
@@ -171,12 +171,12 @@
 	t := s.trial
 	switch {
 	case t == nil || t.order.Version != s.order.Version:
-		s.trial = newProbation(s.order, s.options, s.random, now)
-	case s.record.final() && s.record.Order.Revision >= t.first:
+		s.trial = newTrial(s.order, s.options, s.random, now)
+	case s.record.isFinal() && s.record.Order.Revision >= t.firstRevision:
 		// The order before it ended after all: this one begins anew.
-		s.trial = newProbation(s.order, s.options, s.random, now)
+		s.trial = newTrial(s.order, s.options, s.random, now)
 	case t.order.Revision != s.order.Revision:
-		t.goOn(s.order, now)
+		t.extend(s.order, now)
 	}
 	s.trial.current = s.isCurrent()
 }
@@ -184,7 +184,7 @@
 // isCurrent says whether the running order is for a version that has nothing to prove: the
 // current one, or one that served before the first order.
 func (s *service) isCurrent() bool {
-	return s.order.Version == s.record.Current || slices.Contains(s.serving(), s.order.Version)
+	return s.order.Version == s.record.Current || slices.Contains(s.provenVersions(), s.order.Version)
 }
 
 // refused are the versions that get nothing, but for the one on trial.
@@ -193,22 +193,22 @@
 	if s.record.State == Running {
 		all = append(all, s.record.Order.Version)
 	}
-	for _, order := range s.overtaken {
+	for _, order := range s.unrecordedEnds {
 		all = append(all, order.Version)
 	}
 	onTrial := ""
 	if s.trial != nil {
 		onTrial = s.trial.order.Version
 	}
-	return namesOf(all, append([]string{s.record.Current, onTrial}, s.serving()...)...)
+	return sortedVersions(all, append([]string{s.record.Current, onTrial}, s.provenVersions()...)...)
 }
 
 // report is what there is to say about the trial.
 func (s *service) report(now time.Time) Report {
 	t := s.trial
-	requests, exposed := t.sent()
+	requests, exposed := t.totals()
 	others := 0
-	for version, count := range s.flight {
+	for version, count := range s.inFlight {
 		if version != t.order.Version {
 			others += count
 		}
@@ -216,12 +216,12 @@
 	return Report{
 		Service:  TallyName(s.name),
 		Order:    t.order.Revision,
-		Age:      now.Sub(t.since),
+		Age:      now.Sub(t.knownSince),
 		Stage:    t.stageAt(now),
 		Others:   others,
 		Requests: requests,
 		Exposed:  exposed,
-		Tallies:  t.tallies.List(mostTallies),
+		Tallies:  t.tallies.List(maxReportTallies),
 	}
 }
 
@@ -236,13 +236,13 @@
 	refused []string
 	// served are the versions that served before the first order; none once a roll-out
 	// has completed.
-	served []string
+	provenVersions []string
 	// running says that there is an order that has not ended; the next fields are its.
 	running bool
 	order   Order
 	// first is the revision of the first order of the trial.
-	first int64
-	since time.Time
+	firstRevision int64
+	knownSince    time.Time
 	// notBefore is the deadline of an earlier order for the same version; zero for none.
 	notBefore time.Time
 	halted    bool
@@ -250,38 +250,38 @@
 	requests  int
 	exposed   int
 	// left is an order that was withdrawn before its end was recorded; zero for none.
-	left Order
-	// seenGone says that the withdrawal itself was seen.
-	seenGone bool
+	withdrawnOrder Order
+	// withdrawalSeen says that the withdrawal itself was seen.
+	withdrawalSeen bool
 }
 
 func (s *service) view(now time.Time) view {
 	v := view{
 		service: s.name, record: s.record, revision: s.revision, recordedAt: s.recordedAt,
-		refused: s.refused(), served: s.serving(), seenGone: s.withdrawn,
+		refused: s.refused(), provenVersions: s.provenVersions(), withdrawalSeen: s.withdrawn,
 	}
 	if t := s.trial; t != nil {
-		v.running, v.order, v.first = true, t.order, t.first
-		v.since, v.notBefore = t.since, t.notBefore
+		v.running, v.order, v.firstRevision = true, t.order, t.firstRevision
+		v.knownSince, v.notBefore = t.knownSince, t.notBefore
 		v.halted, v.stage = t.halted, t.stageAt(now)
-		v.requests, v.exposed = t.sent()
+		v.requests, v.exposed = t.totals()
 		return v
 	}
 	if s.order.Revision != 0 {
 		return v
 	}
 	if s.record.State == Running {
-		v.left = s.record.Order
+		v.withdrawnOrder = s.record.Order
 	}
-	for _, order := range s.overtaken {
-		if order.Revision > v.left.Revision {
-			v.left = order
+	for _, order := range s.unrecordedEnds {
+		if order.Revision > v.withdrawnOrder.Revision {
+			v.withdrawnOrder = order
 		}
 	}
 	return v
 }
 
 // proved says whether the order's version has nothing to prove.
-func (v view) proved() bool {
-	return v.order.Version == v.record.Current || slices.Contains(v.served, v.order.Version)
+func (v view) isProven() bool {
+	return v.order.Version == v.record.Current || slices.Contains(v.provenVersions, v.order.Version)
 }
--- a/internal/rollout/share.go
+++ b/internal/rollout/share.go
@@ -5,15 +5,15 @@
 // trickle is the part of the share, without unit, that routes get whose sample is large
 // enough: at a tenth of the requests it is one in forty, which still shows a version that
 // turns bad late and leaves three quarters of the share for the move.
-const trickle = 0.25
+const sampledRoutePart = 0.25
 
-// mostSaved is how many sendings of the share a gateway saves up for a route that is
+// maxSaved is how many sendings of the share a gateway saves up for a route that is
 // wanted again: with as many gateways as there are, more of them would be a flood to a
 // version that has just begun to look bad.
-const mostSaved = 2.0
+const maxSaved = 2.0
 
-// shareRounding is what a whole sending may lack, as tenths don't add up to one exactly.
-const shareRounding = 1e-9
+// shareTolerance is what a whole sending may lack, as tenths don't add up to one exactly.
+const shareTolerance = 1e-9
 
 // Share is one gateway's part of the share: what it has sent to the version stays at or
 // below the ratio times what it has sent to the service. So the sum over all gateways
@@ -23,7 +23,7 @@
 	// requests are all sendings to the service; exposed are those to the version,
 	// together with what is reserved. exposed <= ratio * requests, always.
 	requests, exposed int
-	// saved are the sendings that may be taken now; at most mostSaved.
+	// saved are the sendings that may be taken now; at most maxSaved.
 	saved float64
 	// random is in [0, 1). Gateways must not take their trickle at the same count of
 	// requests: with few requests each, none would come to it in the time of an order.
@@ -40,17 +40,17 @@
 // Request counts one sending to the service, to whatever version.
 func (s *Share) Request() {
 	s.requests++
-	s.saved = min(s.saved+s.ratio, mostSaved)
+	s.saved = min(s.saved+s.ratio, maxSaved)
 }
 
 // Reserve takes one sending from the share if a request of this route is to go to the
 // version now. The request itself isn't counted yet, since it may end up unsent. Routes
 // that are not wanted, as their sample is large enough, get a trickle only.
 func (s *Share) Reserve(route uint32, wanted bool) bool {
-	if s.saved < 1-shareRounding || float64(s.exposed+1) > s.ratio*float64(s.requests) {
+	if s.saved < 1-shareTolerance || float64(s.exposed+1) > s.ratio*float64(s.requests) {
 		return false
 	}
-	if !wanted && s.random() >= trickle*s.ratio {
+	if !wanted && s.random() >= sampledRoutePart*s.ratio {
 		return false
 	}
 	s.exposed++
@@ -62,7 +62,7 @@
 func (s *Share) Return() {
 	if s.exposed > 0 {
 		s.exposed--
-		s.saved = min(s.saved+1, mostSaved)
+		s.saved = min(s.saved+1, maxSaved)
 	}
 }
 
--- a/internal/rollout/share_test.go
+++ b/internal/rollout/share_test.go
@@ -109,7 +109,7 @@
 	for share.Reserve(1, true) {
 		taken++
 	}
-	is.Equal(taken, int(mostSaved))
+	is.Equal(taken, int(maxSaved))
 }
 
 // Gateways take their trickle at different requests, though they have the same code.
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -40,10 +40,10 @@
 	all := make([]Status, 0, len(views))
 	for _, v := range views {
 		status := statusOf(v, now)
-		if d := c.duties[v.service]; d != nil {
+		if d := c.deciders[v.service]; d != nil {
 			status.Decides = d.decides
 			if d.decides && d.decider != nil {
-				status.Requests, status.Exposed = d.decider.sums()
+				status.Requests, status.Exposed = d.decider.totals()
 				status.Routes = d.decider.judge.Routes()
 			}
 		}
@@ -60,8 +60,8 @@
 	}
 	if v.running {
 		status.Version, status.Order, status.State = v.order.Version, v.order.Revision, Running
-		status.AgeMS = now.Sub(v.since).Milliseconds()
-		status.LeftMS = deadlineOf(v.order, v.since, v.notBefore).Sub(now).Milliseconds()
+		status.AgeMS = now.Sub(v.knownSince).Milliseconds()
+		status.LeftMS = deadlineOf(v.order, v.knownSince, v.notBefore).Sub(now).Milliseconds()
 	}
 	return status
 }
--- a/internal/rollout/tallies.go
+++ b/internal/rollout/tallies.go
@@ -7,11 +7,11 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// tallyRoutes is how many routes of one order are counted by themselves; further ones are
+// maxTallyRoutes is how many routes of one order are counted by themselves; further ones are
 // counted together. It bounds the memory of small hosts; a service has a few dozen routes.
-const tallyRoutes = 512
+const maxTallyRoutes = 512
 
-// otherRoutes stands in tallies for all routes beyond tallyRoutes together.
+// otherRoutes stands in tallies for all routes beyond maxTallyRoutes together.
 const otherRoutes uint32 = 0
 
 // TallyName is how tallies name routes and targets: the upper half of the name's hash.
@@ -22,10 +22,10 @@
 // Tallies are a gateway's counts over one order. They are not safe for concurrent use.
 type Tallies struct {
 	counts map[tallyKey]*tallyCount
-	// own are the routes that are counted by themselves; at most tallyRoutes.
-	own map[uint32]bool
+	// own are the routes that are counted by themselves; at most maxTallyRoutes.
+	knownRoutes map[uint32]bool
 	// lists is how many times List was called.
-	lists int
+	listCalls int
 }
 
 type tallyKey struct {
@@ -36,12 +36,12 @@
 type tallyCount struct {
 	tally Tally
 	// told is tally.Answers when it was listed last, and listed the number of that list.
-	told, listed int
+	listedAnswers, listCall int
 }
 
 // NewTallies returns counts of nothing.
 func NewTallies() *Tallies {
-	return &Tallies{counts: make(map[tallyKey]*tallyCount), own: make(map[uint32]bool)}
+	return &Tallies{counts: make(map[tallyKey]*tallyCount), knownRoutes: make(map[uint32]bool)}
 }
 
 // Add counts an answer on a route, of a target of the version on trial or, with an empty
@@ -68,31 +68,31 @@
 
 func (t *Tallies) routeOf(name string) uint32 {
 	route := TallyName(name)
-	if t.own[route] {
+	if t.knownRoutes[route] {
 		return route
 	}
-	if len(t.own) >= tallyRoutes {
+	if len(t.knownRoutes) >= maxTallyRoutes {
 		return otherRoutes
 	}
-	t.own[route] = true
+	t.knownRoutes[route] = true
 	return route
 }
 
 // List are sums over the tallies' life, at most so many. Those with the most news since
 // they were listed last come first, then those that were listed longest ago: a sum that
 // was lost on its way, or that another gateway needs now, comes again.
-func (t *Tallies) List(most int) []Tally {
-	t.lists++
+func (t *Tallies) List(limit int) []Tally {
+	t.listCalls++
 	counts := make([]*tallyCount, 0, len(t.counts))
 	for _, count := range t.counts {
 		counts = append(counts, count)
 	}
 	slices.SortFunc(counts, compareTallyCounts)
-	counts = counts[:min(len(counts), max(most, 0))]
+	counts = counts[:min(len(counts), max(limit, 0))]
 	tallies := make([]Tally, len(counts))
 	for i, count := range counts {
-		count.told = count.tally.Answers
-		count.listed = t.lists
+		count.listedAnswers = count.tally.Answers
+		count.listCall = t.listCalls
 		tallies[i] = count.tally
 	}
 	return tallies
@@ -100,8 +100,8 @@
 
 func compareTallyCounts(a, b *tallyCount) int {
 	return cmp.Or(
-		cmp.Compare(b.tally.Answers-b.told, a.tally.Answers-a.told),
-		cmp.Compare(a.listed, b.listed),
+		cmp.Compare(b.tally.Answers-b.listedAnswers, a.tally.Answers-a.listedAnswers),
+		cmp.Compare(a.listCall, b.listCall),
 		cmp.Compare(a.tally.Route, b.tally.Route),
 		cmp.Compare(a.tally.Target, b.tally.Target),
 	)
--- a/internal/rollout/tallies_test.go
+++ b/internal/rollout/tallies_test.go
@@ -86,13 +86,13 @@
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
-	for i := range tallyRoutes + 50 {
+	for i := range maxTallyRoutes + 50 {
 		for range 2 {
 			tallies.Add(fmt.Sprint("route-", i), "", false, false)
 		}
 	}
-	listed := tallies.List(10 * tallyRoutes)
-	is.Equal(len(listed), tallyRoutes+1)
+	listed := tallies.List(10 * maxTallyRoutes)
+	is.Equal(len(listed), maxTallyRoutes+1)
 	is.Equal(listed[0], Tally{Route: otherRoutes, Answers: 100})
 }
 
@@ -117,7 +117,7 @@
 			} else if slow {
 				counts.Slow = 1
 			}
-			want[key] = want[key].plus(counts)
+			want[key] = want[key].add(counts)
 			if rapid.Bool().Draw(t, "list") {
 				tallies.List(rapid.IntRange(0, 4).Draw(t, "most"))
 			}
--- a/internal/rollout/trials_test.go
+++ b/internal/rollout/trials_test.go
@@ -57,7 +57,7 @@
 	overShare int
 }
 
-func playTrials(t trial, form trialForm, count int) trialSums {
+func playTrials(t simulation, form trialForm, count int) trialSums {
 	t.base, t.added = form.base, form.added
 	var sums trialSums
 	for seed := range count {
@@ -85,7 +85,7 @@
 // are in hundredths of the trials, for the worst of the four, and leave room for luck.
 func TestTrials(t *testing.T) {
 	const count = 100
-	services := map[string]trial{
+	services := map[string]simulation{
 		"large, models": short(largeModels(), 5),
 		"large, plain":  short(largePlain(), 2),
 		"even, models":  short(evenModels(), 4),
@@ -209,7 +209,7 @@
 			return trouble{}
 		},
 	}
-	services := map[string]trial{
+	services := map[string]simulation{
 		"five targets": short(largeModels(), 5),
 		"four targets": short(evenModels(), 4),
 		"two targets":  short(largePlain(), 2),
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -30,7 +30,7 @@
 
 // form is how the targets of the new version answer.
 type form struct {
-	// failures and slow are parts of the answers; baseFailures are those of all versions.
+	// failures and slow are parts of the answers; minBaseFailures are those of all versions.
 	failures, slow, baseFailures float64
 	// route is the only one that is bad, if it isn't empty.
 	route string
@@ -158,7 +158,7 @@
 	control := NewController(ControllerOptions{
 		Options: theOptions, Store: storeOf{n}, Peers: n, Registry: n, Watcher: n,
 	})
-	control.commit = func(w writing) { n.w.store.commit(n, control, w) }
+	control.startCommit = func(w pendingCommit) { n.w.store.commit(n, control, w) }
 	control.gate.random = n.w.random.Float64
 	n.control = control
 	for _, apply := range n.w.store.history {
@@ -256,7 +256,7 @@
 
 // moves says whether the gateway decides that all requests go to the version.
 func (n *node) moves() bool {
-	d := n.control.duties[theService]
+	d := n.control.deciders[theService]
 	return d != nil && d.decider != nil && d.decider.stage == Move
 }
 
@@ -550,7 +550,7 @@
 	for _, n := range s.w.nodes {
 		life := n.life
 		// In the store's order.
-		n.replica = later(n.replica, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
+		n.replica = laterTime(n.replica, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
 		s.w.after(n.replica.Sub(s.w.now), func() {
 			if n.life == life {
 				n.missed = append(n.missed, apply)
@@ -577,7 +577,7 @@
 	s.publish(func(n *node) { n.control.withdrawn(theService, s.w.now) })
 }
 
-func (s *memStore) commit(n *node, control *Controller, w writing) {
+func (s *memStore) commit(n *node, control *Controller, w pendingCommit) {
 	if s.w.random.IntN(2) == 0 {
 		data, err := Encode(w.commit.Record)
 		if err == nil {
@@ -592,7 +592,7 @@
 			if n.control != control || n.dead {
 				return
 			}
-			do := func() { control.committed(w, revision, err, s.w.now) }
+			do := func() { control.commitDone(w, revision, err, s.w.now) }
 			if n.frozen {
 				n.thawed = append(n.thawed, do)
 				return
@@ -601,7 +601,7 @@
 		})
 	}
 	if s.down || n.cutStore {
-		answer(w.within, 0, errNoAnswer)
+		answer(w.timeout, 0, errNoAnswer)
 		return
 	}
 	takes := 4*time.Millisecond + s.slow
@@ -609,14 +609,14 @@
 	s.w.after(takes/2, func() {
 		switch lose {
 		case "not":
-			answer(w.within, 0, errNoAnswer)
+			answer(w.timeout, 0, errNoAnswer)
 		case "later":
 			s.w.after(2*time.Second, func() { _, _ = s.apply(w.commit) })
-			answer(w.within, 0, errNoAnswer)
+			answer(w.timeout, 0, errNoAnswer)
 		default:
 			revision, err := s.apply(w.commit)
-			if lose == "done" || takes > w.within {
-				answer(w.within, 0, errNoAnswer)
+			if lose == "done" || takes > w.timeout {
+				answer(w.timeout, 0, errNoAnswer)
 				return
 			}
 			answer(takes/2, revision, err)
@@ -643,7 +643,7 @@
 	s.revision++
 	s.record, s.recordRevision = c.Record, s.revision
 	record, at := c.Record, s.revision
-	if record.final() {
+	if record.isFinal() {
 		s.w.finals[revision] = record.State
 		s.w.log = append(s.w.log, fmt.Sprintf("%6.2fs store has %s", s.w.now.Sub(s.w.ordered).Seconds(), record.State))
 	}
