--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -18,11 +18,11 @@
 	}
 	c.giveBack()
 	left := func(versions balance.Versions) bool { return c.gateway.Balancer.Left(c.service, versions) }
-	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.tried) > 0, Left: left}
+	ask := rollout.AssignRequest{Service: c.service, Route: c.route.Name, Retry: len(c.tried) > 0, HaveLeft: left}
 	c.assignment, c.assigned, c.assignedAt = gate.Assign(ask, now), true, now
 	c.versions = c.assignment.Versions
-	if c.assignment.Otherwise != nil && !c.gateway.Balancer.Has(c.query(), now) {
-		c.versions = *c.assignment.Otherwise
+	if c.assignment.Fallback != nil && !c.gateway.Balancer.Has(c.query(), now) {
+		c.versions = *c.assignment.Fallback
 	}
 }
 
@@ -44,14 +44,14 @@
 	if c.gateway.Rollouts == nil {
 		return pick, ok
 	}
-	if !ok && c.assignment.Otherwise != nil {
-		c.versions = *c.assignment.Otherwise
+	if !ok && c.assignment.Fallback != nil {
+		c.versions = *c.assignment.Fallback
 		pick, ok = c.gateway.Balancer.Choose(c.query(), now)
 	}
 	if !ok {
 		return pick, false
 	}
-	c.gateway.Rollouts.Chosen(c.assignment, pick.Target.Version, now)
+	c.gateway.Rollouts.RecordSend(c.assignment, pick.Target.Version, now)
 	c.assigned = false
 	return pick, true
 }
@@ -83,7 +83,7 @@
 // giveBack returns an assignment that no attempt followed.
 func (c *call) giveBack() {
 	if c.assigned {
-		c.gateway.Rollouts.Unused(c.assignment)
+		c.gateway.Rollouts.Release(c.assignment)
 		c.assigned = false
 	}
 }
@@ -93,7 +93,7 @@
 	if g.Rollouts == nil {
 		return balance.Versions{}
 	}
-	return g.Rollouts.Admitting(service, now)
+	return g.Rollouts.AdmittedVersions(service, now)
 }
 
 // observe tells the roll-out of the target's version how the attempt ended.
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -185,7 +185,7 @@
 	}
 	for _, message := range beat.GetRolloutReports() {
 		report := reportOf(message)
-		report.Life = beat.GetLife()
+		report.Incarnation = beat.GetLife()
 		if grant, answered := s.rollouts.Report(from.id, report, now); answered {
 			s.answerReport(from, grant, beat.GetSequence())
 		}
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -140,8 +140,8 @@
 	chosen := decider()
 	until(t, "the others have reported", func() bool { return len(fakes[chosen].reported()) == 2 })
 	for from, report := range fakes[chosen].reported() {
-		is.Equal(report.Life, nodes[from].service.life)
-		report.Life = 0
+		is.Equal(report.Incarnation, nodes[from].service.life)
+		report.Incarnation = 0
 		is.Equal(report, someReport)
 	}
 	for id, fake := range fakes {
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -69,32 +69,32 @@
 }
 
 // Ask is a request that needs a target.
-type Ask struct {
+type AssignRequest struct {
 	Service string
 	Route   string
 	// Again says that another target has had it before.
-	Again bool
+	Retry bool
 	// Left says whether all targets of some versions have left by plan; nil is never.
-	Left func(versions balance.Versions) bool
+	HaveLeft func(versions balance.Versions) bool
 }
 
 // Assignment is which versions a request may go to.
 type Assignment struct {
 	Versions balance.Versions
 	// Otherwise takes its place where no target of Versions is open; nil for nothing.
-	Otherwise *balance.Versions
-	service   string
-	isRetry   bool
+	Fallback *balance.Versions
+	service  string
+	isRetry  bool
 	// reserved is the trial whose share holds a part for the request; nil for none.
 	reserved *trial
 }
 
 // Assign says where a request may go. Each is followed by one call of Chosen, or of
 // Unused if no target was found.
-func (g *Gate) Assign(ask Ask, now time.Time) Assignment {
+func (g *Gate) Assign(ask AssignRequest, now time.Time) Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	assignment := Assignment{service: ask.Service, isRetry: ask.Again}
+	assignment := Assignment{service: ask.Service, isRetry: ask.Retry}
 	s := g.services[ask.Service]
 	if s == nil {
 		return assignment
@@ -104,18 +104,18 @@
 		return assignment
 	}
 	if s.trial.recentlyMoved(now) || s.trial.replacesOthers(ask, s.baseVersions) {
-		assignment.Otherwise = &balance.Versions{Only: s.trial.order.Version}
+		assignment.Fallback = &balance.Versions{Only: s.trial.order.Version}
 	}
 	switch s.trial.stageAt(now) {
 	case Move:
-		assignment.Otherwise = nil
+		assignment.Fallback = nil
 		assignment.Versions = balance.Versions{Only: s.trial.order.Version}
 	case Canary:
-		if ask.Again || !s.trial.reserve(TallyName(ask.Route)) {
+		if ask.Retry || !s.trial.reserve(TallyName(ask.Route)) {
 			break
 		}
 		base := s.baseVersions
-		assignment.Otherwise = &base
+		assignment.Fallback = &base
 		assignment.reserved = s.trial
 		assignment.Versions = balance.Versions{
 			Only:  s.trial.order.Version,
@@ -128,7 +128,7 @@
 }
 
 // Chosen counts a sending to a target of a version. Each is followed by one Observe.
-func (g *Gate) Chosen(assignment Assignment, version string, now time.Time) {
+func (g *Gate) RecordSend(assignment Assignment, version string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.service(assignment.service)
@@ -155,7 +155,7 @@
 }
 
 // Unused gives an assignment back.
-func (g *Gate) Unused(assignment Assignment) {
+func (g *Gate) Release(assignment Assignment) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if assignment.reserved != nil {
@@ -165,7 +165,7 @@
 
 // Admitting says which versions take requests of a service at all, as far as is known
 // now: what counts for the room that it has.
-func (g *Gate) Admitting(service string, now time.Time) balance.Versions {
+func (g *Gate) AdmittedVersions(service string, now time.Time) balance.Versions {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.services[service]
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -22,12 +22,12 @@
 func send(g *Gate, count int, version, other string, now time.Time) int {
 	sent := 0
 	for range count {
-		assignment := g.Assign(Ask{Service: theService, Route: "a"}, now)
+		assignment := g.Assign(AssignRequest{Service: theService, Route: "a"}, now)
 		to := other
 		if assignment.Versions.Only != "" {
 			to = assignment.Versions.Only
 		}
-		g.Chosen(assignment, to, now)
+		g.RecordSend(assignment, to, now)
 		g.Observe(Outcome{Service: theService, Route: "a", Version: to, Target: to, Ending: Answered}, now)
 		if to == version {
 			sent++
@@ -258,10 +258,10 @@
 			is := is.New(t)
 			g := NewGate(theOptions)
 			c.play(g)
-			assignment := g.Assign(Ask{Service: theService}, noon)
+			assignment := g.Assign(AssignRequest{Service: theService}, noon)
 			is.Equal(assignment.Versions, c.want)
-			is.Equal(assignment.Otherwise, nil)
-			is.Equal(g.Admitting(theService, noon), c.want)
+			is.Equal(assignment.Fallback, nil)
+			is.Equal(g.AdmittedVersions(theService, noon), c.want)
 		})
 	}
 }
@@ -287,7 +287,7 @@
 	later := noon.Add(2 * time.Second)
 	g.obey(grantOf(1, Move, time.Second), later, later)
 	is.Equal(send(g, 10, "v2", "v1", later), 10)
-	is.Equal(g.Admitting(theService, later).Only, "v2")
+	is.Equal(g.AdmittedVersions(theService, later).Only, "v2")
 	report, _ := g.report(theService, later)
 	is.Equal(report.Exposed, sent+10) // a move costs exposure, too
 	is.Equal(report.Stage, Move)
@@ -313,15 +313,15 @@
 	g.obey(grantOf(1, Canary, time.Minute), noon, noon)
 	requests, exposed := 0, 0
 	for i := range 5000 {
-		assignment := g.Assign(Ask{Service: theService, Route: "a", Again: i%7 == 0}, noon)
+		assignment := g.Assign(AssignRequest{Service: theService, Route: "a", Retry: i%7 == 0}, noon)
 		only := assignment.Versions.Only
 		if i%7 == 0 {
 			is.Equal(only, "")
 		}
 		if only != "" && i%2 == 0 {
 			is.True(assignment.Versions.Share > 0 && assignment.Versions.Share <= 0.1)
-			is.Equal(*assignment.Otherwise, balance.Versions{Not: []string{"v2"}})
-			g.Unused(assignment)
+			is.Equal(*assignment.Fallback, balance.Versions{Not: []string{"v2"}})
+			g.Release(assignment)
 			continue
 		}
 		if i%7 != 0 {
@@ -332,7 +332,7 @@
 			to = "v2"
 			exposed++
 		}
-		g.Chosen(assignment, to, noon)
+		g.RecordSend(assignment, to, noon)
 		is.True(float64(exposed) <= 0.1*float64(requests))
 	}
 	report, ok := g.report(theService, noon)
@@ -347,8 +347,8 @@
 func TestUnderWayBeforeTheOrder(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(theOptions)
-	assignment := g.Assign(Ask{Service: theService}, noon)
-	g.Chosen(assignment, "v1", noon)
+	assignment := g.Assign(AssignRequest{Service: theService}, noon)
+	g.RecordSend(assignment, "v1", noon)
 	g.Ordered(orderOf("v2", 1), noon)
 	report, _ := g.report(theService, noon)
 	is.Equal(report.Others, 1)
@@ -449,7 +449,7 @@
 			outcome := Outcome{Service: theService, Route: "a", Version: "v1", Ending: Answered, Head: 50 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
-				g.Chosen(g.Assign(Ask{Service: theService, Route: "a"}, noon), "v1", noon)
+				g.RecordSend(g.Assign(AssignRequest{Service: theService, Route: "a"}, noon), "v1", noon)
 				g.Observe(outcome, noon)
 			}
 		})
@@ -486,10 +486,10 @@
 			is := is.New(t)
 			g := NewGate(theOptions)
 			c.play(g)
-			assignment := g.Assign(Ask{Service: theService, Left: c.left}, noon)
+			assignment := g.Assign(AssignRequest{Service: theService, HaveLeft: c.left}, noon)
 			takes := ""
-			if assignment.Otherwise != nil {
-				takes = assignment.Otherwise.Only
+			if assignment.Fallback != nil {
+				takes = assignment.Fallback.Only
 			}
 			is.Equal(takes, c.takes)
 		})
--- a/internal/rollout/heard.go
+++ b/internal/rollout/heard.go
@@ -58,7 +58,7 @@
 
 // restarted says whether a report's sums are those of another life of its gateway.
 func (h *gatewayReports) restarted(report Report) bool {
-	return report.Life != h.report.Life || report.Requests < h.report.Requests
+	return report.Incarnation != h.report.Incarnation || report.Requests < h.report.Requests
 }
 
 // sample keeps what the rate is measured by.
--- a/internal/rollout/probation.go
+++ b/internal/rollout/probation.go
@@ -201,8 +201,8 @@
 // succeeds says whether the version takes the place of the others: all their targets have
 // left by plan, which operators have them do once the order is completed. The record of
 // that is on its way. Where the version was rolled back its own targets leave.
-func (t *trial) replacesOthers(ask Ask, others balance.Versions) bool {
-	return !t.halted && !t.current && ask.Left != nil && ask.Left(others)
+func (t *trial) replacesOthers(ask AssignRequest, others balance.Versions) bool {
+	return !t.halted && !t.current && ask.HaveLeft != nil && ask.HaveLeft(others)
 }
 
 func laterTime(a, b time.Time) time.Time {
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -44,7 +44,7 @@
 // sums over the sender's life and over the order, so that a lost report costs nothing.
 type Report struct {
 	// Life names one run of the sender: its sums begin anew with it.
-	Life uint64
+	Incarnation uint64
 	// Service is the upper half of the hash of its name.
 	Service uint32
 	// Order is the order's revision.
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -340,19 +340,19 @@
 func (n *node) request(route string, again bool) {
 	w := n.w
 	gate := n.control.Gate()
-	assignment := gate.Assign(Ask{Service: theService, Route: route, Again: again, Left: w.left}, w.now)
+	assignment := gate.Assign(AssignRequest{Service: theService, Route: route, Retry: again, HaveLeft: w.left}, w.now)
 	version := w.pick(assignment.Versions)
-	if version == "" && assignment.Otherwise != nil {
-		version = w.pick(*assignment.Otherwise)
+	if version == "" && assignment.Fallback != nil {
+		version = w.pick(*assignment.Fallback)
 	}
 	if version == "" {
 		if w.targets[oldVersion] > 0 || w.targets[w.movedTo] > 0 && !n.cutOff {
 			w.fault("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
 		}
-		gate.Unused(assignment)
+		gate.Release(assignment)
 		return
 	}
-	gate.Chosen(assignment, version, w.now)
+	gate.RecordSend(assignment, version, w.now)
 	w.sent(n, version, again)
 	target := w.random.IntN(max(w.targets[version], 1))
 	lasts := 50 * time.Millisecond
