--- a/internal/rollout/world_test.go
+++ b/internal/rollout/cluster_test.go
@@ -17,47 +17,47 @@
 // The world that these tests play in: gateways with all their parts, a store, and a
 // network, in handed-in time.
 const (
-	tick       = 10 * time.Millisecond
-	theService = "s"
-	oldVersion = "v1"
-	newVersion = "v2"
-	heardFor   = 2 * time.Second
-	// targetsAfter is longer than a replica lags.
-	targetsAfter = 300 * time.Millisecond
+	tick             = 10 * time.Millisecond
+	testService      = "s"
+	oldVersion       = "v1"
+	newVersion       = "v2"
+	heartbeatTimeout = 2 * time.Second
+	// registrationDelay is longer than a replica lags.
+	registrationDelay = 300 * time.Millisecond
 )
 
-var theOptions = Options{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
+var testOptions = Options{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
 
 // form is how the targets of the new version answer.
-type form struct {
+type versionBehavior struct {
 	// failures and slow are parts of the answers; minBaseFailures are those of all versions.
 	failures, slow, baseFailures float64
 	// route is the only one that is bad, if it isn't empty.
 	route string
 	// after is how long after the order it turns bad.
-	after time.Duration
+	badAfter time.Duration
 	// loaded says that it is bad only while a good part of all requests goes to it.
-	loaded bool
+	onlyUnderLoad bool
 	// broken is how many of its targets fail always.
-	broken int
+	brokenTargets int
 }
 
-var forms = map[string]form{
+var versionBehaviors = map[string]versionBehavior{
 	"good":                     {},
 	"good, base failures":      {baseFailures: 0.14},
-	"good, one broken target":  {broken: 1},
+	"good, one broken target":  {brokenTargets: 1},
 	"fails at once":            {failures: 0.4},
 	"slow":                     {slow: 1},
 	"bad on one route":         {failures: 0.6, route: "b"},
-	"turns bad":                {failures: 0.4, after: 5 * orderTime / 12},
-	"fails under load":         {failures: 0.4, loaded: true},
+	"turns bad":                {failures: 0.4, badAfter: 5 * orderTime / 12},
+	"fails under load":         {failures: 0.4, onlyUnderLoad: true},
 	"fails, and others do too": {failures: 0.5, baseFailures: 0.14},
 }
 
-func (f form) bad() bool { return f.failures > 0 || f.slow > 0 }
+func (f versionBehavior) bad() bool { return f.failures > 0 || f.slow > 0 }
 
 // tester is a test, or a check of rapid.
-type tester interface {
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -68,43 +68,43 @@
 	do  func()
 }
 
-type world struct {
-	t      tester
-	random *rand.Rand
-	now    time.Time
-	start  time.Time
-	events []event
-	seq    int
-	nodes  []*node
-	store  memStore
-	form   form
-	rate   float64
+type cluster struct {
+	t        testingT
+	random   *rand.Rand
+	now      time.Time
+	start    time.Time
+	events   []event
+	seq      int
+	nodes    []*node
+	store    memStore
+	behavior versionBehavior
+	rate     float64
 	// loss is the part of packets lost, and delay the most that one takes.
 	loss  float64
 	delay time.Duration
 	// targets are the versions' numbers of targets.
 	targets map[string]int
 	// ordered is when the last order was given, and windows are all.
-	ordered time.Time
-	windows []*window
+	orderedAt time.Time
+	windows   []*window
 	// badAnswers counts those of the new version; shown is when the 50th came.
 	badAnswers int
-	shown      time.Time
+	badShownAt time.Time
 	haltedAt   time.Time
 	// completed says that the new version has ever been.
-	completed bool
+	newCompleted bool
 	// movedTo is the version of the last completion that had the others' targets stop.
 	movedTo string
 	// stopped are the versions whose targets stopped at a completion.
-	stopped []string
-	finals  map[int64]State
-	broken  []string
-	// newLately is the moving share of requests that go to the new version.
-	newLately float64
-	log       []string
+	stopped     []string
+	finalStates map[int64]State
+	violations  []string
+	// newVersionShare is the moving share of requests that go to the new version.
+	newVersionShare float64
+	log             []string
 	// strike is called with each step until it has been done.
-	strike func(n *node, step Step) bool
-	struck bool
+	injectFault   func(n *node, step Step) bool
+	faultInjected bool
 }
 
 // window is the time from an order to its deadline.
@@ -116,47 +116,47 @@
 
 // node is a gateway and its part of the network.
 type node struct {
-	w            *world
-	id           string
-	life         int
-	control      *Controller
-	dead, frozen bool
-	cutOff       bool // from the other gateways
-	cutStore     bool
-	heard        map[string]time.Time
-	owed         float64
-	replica      time.Time
-	missed       []func(n *node) // of the replica
+	w              *cluster
+	id             string
+	incarnation    int
+	control        *Controller
+	dead, frozen   bool
+	cutOff         bool // from the other gateways
+	cutStore       bool
+	heard          map[string]time.Time
+	requestsDue    float64
+	replicaAt      time.Time
+	pendingChanges []func(n *node) // of the replica
 	// record and order are those that its replica has.
-	record  Record
-	order   Order
-	thawed  []func()
-	island  int
-	insists bool // on deciding
+	record        Record
+	order         Order
+	queued        []func()
+	partition     int
+	alwaysDecides bool // on deciding
 }
 
-func newWorld(t tester, gateways int, f form, seed uint64) *world {
-	w := &world{
-		t: t, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), form: f, rate: 250,
-		loss: 0.01, delay: 4 * time.Millisecond, targets: map[string]int{oldVersion: 10}, finals: make(map[int64]State),
+func newCluster(t testingT, gateways int, f versionBehavior, seed uint64) *cluster {
+	w := &cluster{
+		t: t, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), behavior: f, rate: 250,
+		loss: 0.01, delay: 4 * time.Millisecond, targets: map[string]int{oldVersion: 10}, finalStates: make(map[int64]State),
 	}
 	w.start = w.now
 	w.store.w = w
 	for i := range gateways {
 		n := &node{w: w, id: fmt.Sprintf("g%03d", i), heard: make(map[string]time.Time)}
-		n.begin()
+		n.start()
 		w.nodes = append(w.nodes, n)
 	}
-	w.run(heardFor)
+	w.run(heartbeatTimeout)
 	return w
 }
 
-func (n *node) begin() {
-	n.life++
-	n.dead, n.frozen, n.missed, n.thawed = false, false, nil, nil
+func (n *node) start() {
+	n.incarnation++
+	n.dead, n.frozen, n.pendingChanges, n.queued = false, false, nil, nil
 	n.record, n.order = Record{}, Order{}
 	control := NewController(ControllerOptions{
-		Options: theOptions, Store: storeOf{n}, Peers: n, Registry: n, Watcher: n,
+		Options: testOptions, Store: nodeStore{n}, Peers: n, Registry: n, Watcher: n,
 	})
 	control.startCommit = func(w pendingCommit) { n.w.store.commit(n, control, w) }
 	control.gate.random = n.w.random.Float64
@@ -167,10 +167,10 @@
 }
 
 // thaw has a gateway go on, with all that has come meanwhile.
-func (n *node) thaw() {
+func (n *node) resume() {
 	n.frozen = false
-	thawed := n.thawed
-	n.thawed = nil
+	thawed := n.queued
+	n.queued = nil
 	for _, do := range thawed {
 		do()
 	}
@@ -178,13 +178,13 @@
 
 // Decides, LiveIDs: by the beats that were heard.
 func (n *node) Decides(service string) bool {
-	return n.insists || policy.First(service, append(n.LiveIDs(), n.id)) == n.id
+	return n.alwaysDecides || policy.First(service, append(n.LiveIDs(), n.id)) == n.id
 }
 
 func (n *node) LiveIDs() []string {
 	var live []string
 	for id, at := range n.heard {
-		if n.w.now.Sub(at) < heardFor {
+		if n.w.now.Sub(at) < heartbeatTimeout {
 			live = append(live, id)
 		}
 	}
@@ -195,24 +195,24 @@
 func (n *node) Versions(string) map[string]int { return n.w.targets }
 
 func (n *node) RolloutStep(step Step) {
-	if n.w.strike != nil && !n.w.struck {
-		n.w.struck = n.w.strike(n, step)
+	if n.w.injectFault != nil && !n.w.faultInjected {
+		n.w.faultInjected = n.w.injectFault(n, step)
 	}
 	if step.Requests > 0 || step.Kind == StepHalted {
-		n.w.tell(n, step)
+		n.w.logStep(n, step)
 	}
 	if step.Kind == StepHalted && n.w.haltedAt.IsZero() && step.Order == n.w.store.order {
 		n.w.haltedAt = n.w.now
 	}
 }
 
-func (w *world) tell(n *node, step Step) {
+func (w *cluster) logStep(n *node, step Step) {
 	n.w.log = append(n.w.log, fmt.Sprintf("%6.2fs %s %s %s stage=%s state=%s %s sent %d of %d %v",
-		n.w.now.Sub(n.w.ordered).Seconds(), n.id, step.Kind, step.Version, step.Stage, step.State, step.Reason, step.Exposed, step.Requests, step.Err))
+		n.w.now.Sub(n.w.orderedAt).Seconds(), n.id, step.Kind, step.Version, step.Stage, step.State, step.Reason, step.Exposed, step.Requests, step.Err))
 }
 
 // after has something done later.
-func (w *world) after(d time.Duration, do func()) {
+func (w *cluster) after(d time.Duration, do func()) {
 	at := w.now.Add(d)
 	w.seq++
 	i := sort.Search(len(w.events), func(i int) bool { return w.events[i].at.After(at) })
@@ -220,16 +220,16 @@
 }
 
 // send carries a message between gateways.
-func (w *world) send(from, to *node, do func()) {
+func (w *cluster) send(from, to *node, do func()) {
 	if w.random.Float64() < w.loss || !reaches(from, to) {
 		return
 	}
-	life := to.life
+	life := to.incarnation
 	w.after(time.Duration(w.random.Int64N(int64(w.delay))), func() {
 		switch {
-		case to.dead || to.life != life || !reaches(from, to):
+		case to.dead || to.incarnation != life || !reaches(from, to):
 		case to.frozen:
-			to.thawed = append(to.thawed, do)
+			to.queued = append(to.queued, do)
 		default:
 			do()
 		}
@@ -237,10 +237,10 @@
 }
 
 func reaches(a, b *node) bool {
-	return !a.cutOff && !b.cutOff && a.island == b.island
+	return !a.cutOff && !b.cutOff && a.partition == b.partition
 }
 
-func (w *world) node(id string) *node {
+func (w *cluster) node(id string) *node {
 	for _, n := range w.nodes {
 		if n.id == id {
 			return n
@@ -250,17 +250,17 @@
 }
 
 // decides is the gateway that decides.
-func (w *world) decides() *node {
-	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.dead && n.Decides(theService) })]
+func (w *cluster) decider() *node {
+	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.dead && n.Decides(testService) })]
 }
 
 // moves says whether the gateway decides that all requests go to the version.
-func (n *node) moves() bool {
-	d := n.control.deciders[theService]
+func (n *node) inMove() bool {
+	d := n.control.deciders[testService]
 	return d != nil && d.decider != nil && d.decider.stage == Move
 }
 
-func (w *world) run(d time.Duration) {
+func (w *cluster) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(tick)
 		for len(w.events) > 0 && !w.events[0].at.After(w.now) {
@@ -277,7 +277,7 @@
 			n.traffic()
 			if (count+i)%10 == 0 {
 				n.control.step(w.now)
-				n.beat()
+				n.sendHeartbeats()
 			}
 			if (count+i)%5 == 0 {
 				n.exchange()
@@ -287,7 +287,7 @@
 	}
 }
 
-func (n *node) beat() {
+func (n *node) sendHeartbeats() {
 	for _, other := range n.w.nodes {
 		if other != n && !other.dead && !other.frozen && reaches(n, other) {
 			other.heard[n.id] = n.w.now
@@ -298,7 +298,7 @@
 // exchange sends what is due to the other gateways.
 func (n *node) exchange() {
 	w := n.w
-	decides := policy.First(theService, append(n.LiveIDs(), n.id))
+	decides := policy.First(testService, append(n.LiveIDs(), n.id))
 	to := w.node(decides)
 	for _, report := range n.control.Reports(w.now) {
 		sent := w.now
@@ -320,11 +320,11 @@
 
 // replicate brings what the store has, if there is a way.
 func (n *node) replicate() {
-	if n.cutStore && n.cutOff || n.w.store.down && len(n.missed) > 0 && n.cutOff {
+	if n.cutStore && n.cutOff || n.w.store.down && len(n.pendingChanges) > 0 && n.cutOff {
 		return
 	}
-	missed := n.missed
-	n.missed = nil
+	missed := n.pendingChanges
+	n.pendingChanges = nil
 	for _, apply := range missed {
 		apply(n)
 	}
@@ -332,7 +332,7 @@
 
 // traffic has requests sent.
 func (n *node) traffic() {
-	for n.owed += n.w.rate * tick.Seconds() / float64(len(n.w.nodes)); n.owed >= 1; n.owed-- {
+	for n.requestsDue += n.w.rate * tick.Seconds() / float64(len(n.w.nodes)); n.requestsDue >= 1; n.requestsDue-- {
 		n.request(string("abc"[n.w.random.IntN(3)]), false)
 	}
 }
@@ -340,28 +340,28 @@
 func (n *node) request(route string, again bool) {
 	w := n.w
 	gate := n.control.Gate()
-	assignment := gate.Assign(AssignRequest{Service: theService, Route: route, Retry: again, HaveLeft: w.left}, w.now)
+	assignment := gate.Assign(AssignRequest{Service: testService, Route: route, Retry: again, HaveLeft: w.haveLeft}, w.now)
 	version := w.pick(assignment.Versions)
 	if version == "" && assignment.Fallback != nil {
 		version = w.pick(*assignment.Fallback)
 	}
 	if version == "" {
 		if w.targets[oldVersion] > 0 || w.targets[w.movedTo] > 0 && !n.cutOff {
-			w.fault("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
+			w.addViolation("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
 		}
 		gate.Release(assignment)
 		return
 	}
 	gate.RecordSend(assignment, version, w.now)
-	w.sent(n, version, again)
+	w.checkSend(n, version, again)
 	target := w.random.IntN(max(w.targets[version], 1))
 	lasts := 50 * time.Millisecond
 	if w.random.IntN(10) == 0 {
 		lasts = 1500 * time.Millisecond
 	}
-	life := n.life
+	life := n.incarnation
 	w.after(lasts, func() {
-		if n.dead || n.life != life {
+		if n.dead || n.incarnation != life {
 			return
 		}
 		outcome := w.answer(route, version, target)
@@ -374,7 +374,7 @@
 
 // left says whether all targets of some versions have stopped by plan, as those of the other
 // versions do after a completion.
-func (w *world) left(v balance.Versions) bool {
+func (w *cluster) haveLeft(v balance.Versions) bool {
 	for version, count := range w.targets {
 		if count > 0 && v.Admits(version) {
 			return false
@@ -383,7 +383,7 @@
 	return slices.ContainsFunc(w.stopped, v.Admits)
 }
 
-func (w *world) pick(v balance.Versions) string {
+func (w *cluster) pick(v balance.Versions) string {
 	if v.Rather != "" && w.targets[v.Rather] > 0 {
 		return v.Rather
 	}
@@ -401,20 +401,20 @@
 }
 
 // answer is how a target answers.
-func (w *world) answer(route, version string, target int) Outcome {
-	f := w.form
+func (w *cluster) answer(route, version string, target int) Outcome {
+	f := w.behavior
 	outcome := Outcome{
-		Service: theService, Route: route, Version: version, Target: fmt.Sprint(version, "-", target),
+		Service: testService, Route: route, Version: version, Target: fmt.Sprint(version, "-", target),
 		Ending: Answered, Head: 50 * time.Millisecond,
 	}
 	failures := f.baseFailures
-	if version == newVersion && (f.route == "" || f.route == route) && w.now.Sub(w.ordered) >= f.after && (!f.loaded || w.loaded()) {
+	if version == newVersion && (f.route == "" || f.route == route) && w.now.Sub(w.orderedAt) >= f.badAfter && (!f.onlyUnderLoad || w.loaded()) {
 		failures = max(failures, f.failures)
 		if w.random.Float64() < f.slow {
 			outcome.Head *= 8
 		}
 	}
-	if version == newVersion && target < f.broken {
+	if version == newVersion && target < f.brokenTargets {
 		failures = 1
 	}
 	if w.random.Float64() < failures {
@@ -423,7 +423,7 @@
 	if version == newVersion && f.bad() && (outcome.Ending == Failed || outcome.Head > 100*time.Millisecond) {
 		w.badAnswers++
 		if w.badAnswers == 50 {
-			w.shown = w.now
+			w.badShownAt = w.now
 		}
 	}
 	return outcome
@@ -431,17 +431,17 @@
 
 // loaded says whether a good part of the last requests went to the new version: more than
 // its share, as in a move.
-func (w *world) loaded() bool {
-	return w.newLately > 0.3
+func (w *cluster) loaded() bool {
+	return w.newVersionShare > 0.3
 }
 
 // sent checks where a request went.
-func (w *world) sent(n *node, version string, again bool) {
+func (w *cluster) checkSend(n *node, version string, again bool) {
 	isNew := 0.0
 	if version == newVersion {
 		isNew = 1
 	}
-	w.newLately += 0.1 * (isNew - w.newLately)
+	w.newVersionShare += 0.1 * (isNew - w.newVersionShare)
 	for _, win := range w.windows {
 		if w.now.After(win.until) {
 			continue
@@ -456,69 +456,69 @@
 	later := n.order.Revision > n.record.Order.Revision
 	named := later && n.order.Version == version
 	if slices.Contains(n.record.Refused, version) && !named {
-		w.fault("%s sends to %s, which is refused by %v", n.id, version, n.record)
+		w.addViolation("%s sends to %s, which is refused by %v", n.id, version, n.record)
 	}
 	if n.record.State == Completed && !later && version != n.record.Current && w.targets[n.record.Current] > 0 {
-		w.fault("%s sends to %s after it knew of the completion", n.id, version)
+		w.addViolation("%s sends to %s after it knew of the completion", n.id, version)
 	}
-	if version != newVersion || w.completed {
+	if version != newVersion || w.newCompleted {
 		return // a completion is never taken back, whatever is withdrawn after it
 	}
-	if !w.shown.IsZero() && w.form.bad() && w.now.Sub(w.shown) > theOptions.Rollback {
-		w.fault("%s sends to the bad version %s after it was shown", n.id, w.now.Sub(w.shown))
+	if !w.badShownAt.IsZero() && w.behavior.bad() && w.now.Sub(w.badShownAt) > testOptions.Rollback {
+		w.addViolation("%s sends to the bad version %s after it was shown", n.id, w.now.Sub(w.badShownAt))
 	}
-	if !w.haltedAt.IsZero() && w.now.Sub(w.haltedAt) > theOptions.Rollback {
-		w.fault("%s sends to the version %s after the halt", n.id, w.now.Sub(w.haltedAt))
+	if !w.haltedAt.IsZero() && w.now.Sub(w.haltedAt) > testOptions.Rollback {
+		w.addViolation("%s sends to the version %s after the halt", n.id, w.now.Sub(w.haltedAt))
 	}
 }
 
-func (w *world) check() {
-	if w.completed {
+func (w *cluster) check() {
+	if w.newCompleted {
 		return // whether it may be is for each test to say
 	}
 	for _, win := range w.windows {
-		bound := theOptions.Share*float64(win.requests) + theOptions.Slack
-		if w.form.bad() && win.version == newVersion && float64(win.exposed) > bound {
-			w.fault("%d of %d requests to the version", win.exposed, win.requests)
+		bound := testOptions.Share*float64(win.requests) + testOptions.Slack
+		if w.behavior.bad() && win.version == newVersion && float64(win.exposed) > bound {
+			w.addViolation("%d of %d requests to the version", win.exposed, win.requests)
 		}
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	if len(w.broken) < 3 {
-		w.broken = append(w.broken, fmt.Sprintf("%6.2fs ", w.now.Sub(w.ordered).Seconds())+fmt.Sprintf(format, args...))
+func (w *cluster) addViolation(format string, args ...any) {
+	if len(w.violations) < 3 {
+		w.violations = append(w.violations, fmt.Sprintf("%6.2fs ", w.now.Sub(w.orderedAt).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // order has the operators order a version, whose targets come soon. They can't while
 // the store is down.
-func (w *world) order(version string, lasts time.Duration) {
+func (w *cluster) order(version string, lasts time.Duration) {
 	if w.store.down {
 		return
 	}
-	w.ordered, w.badAnswers, w.shown, w.haltedAt = w.now, 0, time.Time{}, time.Time{}
+	w.orderedAt, w.badAnswers, w.badShownAt, w.haltedAt = w.now, 0, time.Time{}, time.Time{}
 	w.windows = append(w.windows, &window{version: version, until: w.now.Add(lasts)})
 	// Its targets register after it, as the store's order has it.
-	w.after(targetsAfter, func() {
+	w.after(registrationDelay, func() {
 		if w.targets != nil {
 			w.targets[version] = max(w.targets[version], 10)
 		}
 	})
-	w.store.putOrder(Order{Service: theService, Version: version, Duration: lasts})
+	w.store.putOrder(Order{Service: testService, Version: version, Duration: lasts})
 }
 
 // end fails the test for what was broken.
-func (w *world) end() {
+func (w *cluster) checkViolations() {
 	w.t.Helper()
-	if len(w.broken) > 0 {
-		w.t.Fatalf("broken:\n%s\nsteps:\n%s", strings.Join(w.broken, "\n"), strings.Join(w.log, "\n"))
+	if len(w.violations) > 0 {
+		w.t.Fatalf("broken:\n%s\nsteps:\n%s", strings.Join(w.violations, "\n"), strings.Join(w.log, "\n"))
 	}
 }
 
 // want fails the test if the order's end is another one.
-func (w *world) want(state State) {
+func (w *cluster) wantState(state State) {
 	w.t.Helper()
-	w.end()
+	w.checkViolations()
 	if got := w.store.record.State; got != state {
 		w.t.Fatalf("%q in place of %q\nsteps:\n%s", got, state, strings.Join(w.log, "\n"))
 	}
@@ -526,7 +526,7 @@
 
 // memStore is the store: one order and one record.
 type memStore struct {
-	w              *world
+	w              *cluster
 	revision       int64
 	order          int64
 	record         Record
@@ -534,26 +534,26 @@
 	down           bool
 	slow           time.Duration
 	// lose has answers lost: "done" after it was done, "not", or "later".
-	lose    string
-	history []func(n *node)
+	lostAnswers string
+	history     []func(n *node)
 }
 
 var errNoAnswer = errors.New("no answer")
 
-type storeOf struct{ n *node }
+type nodeStore struct{ n *node }
 
-func (s storeOf) Reachable() bool { return !s.n.w.store.down && !s.n.cutStore }
+func (s nodeStore) Reachable() bool { return !s.n.w.store.down && !s.n.cutStore }
 
 // publish brings a change to all gateways.
 func (s *memStore) publish(apply func(n *node)) {
 	s.history = append(s.history, apply)
 	for _, n := range s.w.nodes {
-		life := n.life
+		life := n.incarnation
 		// In the store's order.
-		n.replica = laterTime(n.replica, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
-		s.w.after(n.replica.Sub(s.w.now), func() {
-			if n.life == life {
-				n.missed = append(n.missed, apply)
+		n.replicaAt = laterTime(n.replicaAt, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
+		s.w.after(n.replicaAt.Sub(s.w.now), func() {
+			if n.incarnation == life {
+				n.pendingChanges = append(n.pendingChanges, apply)
 			}
 		})
 	}
@@ -574,7 +574,7 @@
 	}
 	s.revision++
 	s.order = 0
-	s.publish(func(n *node) { n.control.withdrawn(theService, s.w.now) })
+	s.publish(func(n *node) { n.control.withdrawn(testService, s.w.now) })
 }
 
 func (s *memStore) commit(n *node, control *Controller, w pendingCommit) {
@@ -584,7 +584,7 @@
 			_, err = Decode(data)
 		}
 		if err != nil {
-			s.w.fault("a record that can't be kept: %v", err)
+			s.w.addViolation("a record that can't be kept: %v", err)
 		}
 	}
 	answer := func(d time.Duration, revision int64, err error) {
@@ -594,7 +594,7 @@
 			}
 			do := func() { control.commitDone(w, revision, err, s.w.now) }
 			if n.frozen {
-				n.thawed = append(n.thawed, do)
+				n.queued = append(n.queued, do)
 				return
 			}
 			do()
@@ -605,7 +605,7 @@
 		return
 	}
 	takes := 4*time.Millisecond + s.slow
-	lose := s.lose
+	lose := s.lostAnswers
 	s.w.after(takes/2, func() {
 		switch lose {
 		case "not":
@@ -634,21 +634,21 @@
 		return 0, ErrOutdated
 	}
 	revision := c.Record.Order.Revision
-	if state, over := s.w.finals[revision]; over {
-		s.w.fault("order %d ended as %s is recorded as %s", revision, state, c.Record.State)
+	if state, over := s.w.finalStates[revision]; over {
+		s.w.addViolation("order %d ended as %s is recorded as %s", revision, state, c.Record.State)
 	}
 	if revision < s.record.Order.Revision {
-		s.w.fault("the record goes back from order %d to %d", s.record.Order.Revision, revision)
+		s.w.addViolation("the record goes back from order %d to %d", s.record.Order.Revision, revision)
 	}
 	s.revision++
 	s.record, s.recordRevision = c.Record, s.revision
 	record, at := c.Record, s.revision
 	if record.isFinal() {
-		s.w.finals[revision] = record.State
-		s.w.log = append(s.w.log, fmt.Sprintf("%6.2fs store has %s", s.w.now.Sub(s.w.ordered).Seconds(), record.State))
+		s.w.finalStates[revision] = record.State
+		s.w.log = append(s.w.log, fmt.Sprintf("%6.2fs store has %s", s.w.now.Sub(s.w.orderedAt).Seconds(), record.State))
 	}
 	if record.State == Completed {
-		s.w.completed = s.w.completed || record.Current == newVersion
+		s.w.newCompleted = s.w.newCompleted || record.Current == newVersion
 		for version := range s.w.targets {
 			if version != record.Current {
 				s.w.movedTo = record.Current
@@ -664,4 +664,4 @@
 	return s.revision, nil
 }
 
-func (s storeOf) Commit(context.Context, Commit) (int64, error) { panic("the world commits") }
+func (s nodeStore) Commit(context.Context, Commit) (int64, error) { panic("the world commits") }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -317,7 +317,7 @@
 	decision := d.decider.step(s, now)
 	c.noteStage(d, decision, now)
 	// Nobody answers the own reports; what is granted holds as if they had been sent.
-	c.gate.obey(d.decider.answerReport(TallyName(input.view.service), now), now, now)
+	c.gate.obey(d.decider.answerReport(NameHash(input.view.service), now), now, now)
 	return decision
 }
 
@@ -332,7 +332,7 @@
 	switch {
 	case halted && !d.halted:
 		step.Kind = StepHalted
-		c.notifyEndLocked(d.decider.answerReport(TallyName(step.Service), now), now)
+		c.notifyEndLocked(d.decider.answerReport(NameHash(step.Service), now), now)
 	case d.stage == d.decider.stage || halted:
 		return
 	}
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -141,7 +141,7 @@
 	if err == nil && d.lastCompleted {
 		// The old targets stop now, and the record takes a while to reach the others.
 		c.notifyEndLocked(Grant{
-			Service: TallyName(record.Order.Service), Order: record.Order.Revision,
+			Service: NameHash(record.Order.Service), Order: record.Order.Revision,
 			Stage: Move, Age: record.Elapsed, End: Done,
 		}, now)
 	}
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -8,45 +8,45 @@
 )
 
 // parts are all that a controller has around it.
-type parts struct {
-	silent
-	storeOf
+type fakeParts struct {
+	noopDeps
+	nodeStore
 	decides bool
 	live    []string
 	away    bool
 }
 
-func (p *parts) Decides(string) bool { return p.decides }
-func (p *parts) LiveIDs() []string   { return p.live }
-func (p *parts) Reachable() bool     { return !p.away }
+func (p *fakeParts) Decides(string) bool { return p.decides }
+func (p *fakeParts) LiveIDs() []string   { return p.live }
+func (p *fakeParts) Reachable() bool     { return !p.away }
 
-func controllerOf(p *parts) *Controller {
+func newTestController(p *fakeParts) *Controller {
 	c := NewController(ControllerOptions{
-		Options: theOptions, Store: p, Peers: p, Registry: p, Watcher: p,
+		Options: testOptions, Store: p, Peers: p, Registry: p, Watcher: p,
 	})
 	c.startCommit = func(pendingCommit) {}
-	c.ordered(orderOf("v2", 1), noon)
+	c.ordered(newOrder("v2", 1), testTime)
 	return c
 }
 
-func reportOf(stage Stage) Report {
-	return Report{Service: TallyName(theService), Order: 1, Stage: stage}
+func testReport(stage Stage) Report {
+	return Report{Service: NameHash(testService), Order: 1, Stage: stage}
 }
 
 // TestHaltIsTold: to all, some times, each notice once.
 func TestHaltIsTold(t *testing.T) {
 	is := is.New(t)
-	c := controllerOf(&parts{decides: true, live: []string{"b"}})
-	c.step(noon)
-	c.Grant("b", haltOf(1), time.Time{}, noon)
-	c.step(noon)
+	c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+	c.step(testTime)
+	c.Grant("b", haltNotice(1), time.Time{}, testTime)
+	c.step(testTime)
 	for i := range noticeRepeats {
-		now := noon.Add(time.Duration(i) * noticeInterval)
-		is.Equal(c.Notices(now), []Grant{{Service: TallyName(theService), Order: 1, End: Halted}})
+		now := testTime.Add(time.Duration(i) * noticeInterval)
+		is.Equal(c.Notices(now), []Grant{{Service: NameHash(testService), Order: 1, End: Halted}})
 		is.Equal(len(c.Notices(now)), 0)
 	}
-	is.Equal(len(c.Notices(noon.Add(time.Minute))), 0)
-	grant, ok := c.Report("b", reportOf(Canary), noon)
+	is.Equal(len(c.Notices(testTime.Add(time.Minute))), 0)
+	grant, ok := c.Report("b", testReport(Canary), testTime)
 	is.True(ok)
 	is.Equal(grant.For, time.Duration(0)) // and so says each answer
 }
@@ -67,14 +67,14 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := controllerOf(&parts{decides: true, live: []string{"b"}})
-			c.step(noon)
-			record := Record{Order: orderOf("v2", 1), State: test.state, Elapsed: time.Second}
-			c.commitDone(pendingCommit{commit: Commit{Record: record}}, 2, test.err, noon)
-			told := c.Notices(noon.Add(noticeRepeats * noticeInterval))
+			c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+			c.step(testTime)
+			record := Record{Order: newOrder("v2", 1), State: test.state, Elapsed: time.Second}
+			c.commitDone(pendingCommit{commit: Commit{Record: record}}, 2, test.err, testTime)
+			told := c.Notices(testTime.Add(noticeRepeats * noticeInterval))
 			is.Equal(len(told), test.want)
 			for _, grant := range told {
-				want := doneOf(1)
+				want := doneNotice(1)
 				want.Age = time.Second
 				is.Equal(grant, want)
 			}
@@ -85,25 +85,25 @@
 // TestWhoAnswers: only a process that decides, and that has looked lately.
 func TestWhoAnswers(t *testing.T) {
 	is := is.New(t)
-	p := &parts{decides: true, live: []string{"b"}}
-	c := controllerOf(p)
+	p := &fakeParts{decides: true, live: []string{"b"}}
+	c := newTestController(p)
 	answer := func(now time.Time) (Stage, bool) {
-		grant, ok := c.Report("b", reportOf(Hold), now)
+		grant, ok := c.Report("b", testReport(Hold), now)
 		return grant.Stage, ok
 	}
-	_, ok := answer(noon)
+	_, ok := answer(testTime)
 	is.True(!ok) // it hasn't looked yet
-	c.step(noon)
-	answer(noon)
-	c.step(noon.Add(stepInterval))
-	stage, ok := answer(noon.Add(stepInterval))
+	c.step(testTime)
+	answer(testTime)
+	c.step(testTime.Add(stepInterval))
+	stage, ok := answer(testTime.Add(stepInterval))
 	is.True(ok)
 	is.Equal(stage, Canary)
-	is.Equal(len(c.Reports(noon.Add(stepInterval))), 0) // its own it takes itself
-	_, ok = answer(noon.Add(stepInterval + maxStepGap + 1))
+	is.Equal(len(c.Reports(testTime.Add(stepInterval))), 0) // its own it takes itself
+	_, ok = answer(testTime.Add(stepInterval + maxStepGap + 1))
 	is.True(!ok) // it was held up
 	p.decides = false
-	now := noon.Add(time.Second)
+	now := testTime.Add(time.Second)
 	c.step(now)
 	_, ok = answer(now)
 	is.True(!ok)
@@ -130,12 +130,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := &parts{decides: true, live: []string{"b", "c"}}
-			control := controllerOf(p)
-			control.step(noon)
+			p := &fakeParts{decides: true, live: []string{"b", "c"}}
+			control := newTestController(p)
+			control.step(testTime)
 			p.live, p.away = c.live, c.away
-			control.step(noon.Add(stepInterval))
-			_, ok := control.Report("b", reportOf(Hold), noon.Add(stepInterval))
+			control.step(testTime.Add(stepInterval))
+			_, ok := control.Report("b", testReport(Hold), testTime.Add(stepInterval))
 			is.Equal(ok, c.want)
 		})
 	}
@@ -145,12 +145,12 @@
 // also if nobody looked in between.
 func TestOrderedAgainAfterItsEnd(t *testing.T) {
 	is := is.New(t)
-	c := controllerOf(&parts{decides: true, live: []string{"b"}})
-	c.step(noon)
-	c.Report("b", Report{Service: TallyName(theService), Order: 1, Requests: 900, Exposed: 90}, noon)
-	c.recorded(Record{Order: orderOf("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", noon)
-	c.ordered(orderOf("v2", 3), noon)
-	c.step(noon)
-	requests, exposed := c.deciders[theService].decider.totals()
+	c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+	c.step(testTime)
+	c.Report("b", Report{Service: NameHash(testService), Order: 1, Requests: 900, Exposed: 90}, testTime)
+	c.recorded(Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", testTime)
+	c.ordered(newOrder("v2", 3), testTime)
+	c.step(testTime)
+	requests, exposed := c.deciders[testService].decider.totals()
 	is.Equal([]int{requests, exposed}, []int{0, 0})
 }
--- a/internal/rollout/decider_commits.go
+++ b/internal/rollout/decider_commits.go
@@ -54,7 +54,7 @@
 		Stage:   d.stage,
 		Age:     max(now.Sub(d.knownSince), 0),
 		For:     min(grantDuration(d.options, d.reportInterval), d.deadline.Sub(now)),
-		Wanted:  d.judge.Wanted(),
+		Wanted:  d.judge.UndersampledRoutes(),
 	}
 	switch {
 	case d.haltReason != "":
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -7,18 +7,18 @@
 	"github.com/matryer/is"
 )
 
-func deciderOf(options Options) *decider {
-	v := view{service: theService, running: true, order: orderOf("v2", 1), knownSince: noon}
-	return newDecider(options, v, noon)
+func newTestDecider(options Options) *decider {
+	v := view{service: testService, running: true, order: newOrder("v2", 1), knownSince: testTime}
+	return newDecider(options, v, testTime)
 }
 
 // TestSumsOfLives: what a gateway had sent before it began anew still counts, and parts
 // of the share that are given back are no new beginning.
 func TestSumsOfLives(t *testing.T) {
 	is := is.New(t)
-	d := deciderOf(theOptions)
+	d := newTestDecider(testOptions)
 	hear := func(requests, exposed int) (int, int) {
-		d.addReport("a", Report{Order: 1, Requests: requests, Exposed: exposed}, noon)
+		d.addReport("a", Report{Order: 1, Requests: requests, Exposed: exposed}, testTime)
 		return d.totals()
 	}
 	hear(100, 10)
@@ -26,7 +26,7 @@
 	is.Equal([]int{requests, exposed}, []int{100, 9})
 	requests, exposed = hear(5, 1)
 	is.Equal([]int{requests, exposed}, []int{105, 10})
-	d.addReport("a", Report{Order: 2, Requests: 900}, noon) // another order
+	d.addReport("a", Report{Order: 2, Requests: 900}, testTime) // another order
 	requests, _ = d.totals()
 	is.Equal(requests, 105)
 }
@@ -35,11 +35,11 @@
 // first.
 func TestAgeIsTheLongest(t *testing.T) {
 	is := is.New(t)
-	d := deciderOf(theOptions)
-	d.addReport("a", Report{Order: 1, Age: 20 * time.Second}, noon)
-	d.addReport("b", Report{Order: 1, Age: 5 * time.Second}, noon)
-	is.Equal(d.knownSince, noon.Add(-20*time.Second))
-	is.Equal(d.answerReport(1, noon).Age, 20*time.Second)
+	d := newTestDecider(testOptions)
+	d.addReport("a", Report{Order: 1, Age: 20 * time.Second}, testTime)
+	d.addReport("b", Report{Order: 1, Age: 5 * time.Second}, testTime)
+	is.Equal(d.knownSince, testTime.Add(-20*time.Second))
+	is.Equal(d.answerReport(1, testTime).Age, 20*time.Second)
 }
 
 // TestTimesOfReports: among more gateways reports come less often, but never so late
@@ -71,27 +71,27 @@
 // TestAnswersEndAtTheDeadline: no grant outlasts the order or its move.
 func TestAnswersEndAtTheDeadline(t *testing.T) {
 	is := is.New(t)
-	d := deciderOf(theOptions)
-	d.reportInterval, d.stage, d.deadline = baseReportInterval, Canary, noon.Add(time.Second)
-	is.Equal(d.answerReport(1, noon).For, time.Second)
-	grant := d.answerReport(1, noon.Add(time.Second))
+	d := newTestDecider(testOptions)
+	d.reportInterval, d.stage, d.deadline = baseReportInterval, Canary, testTime.Add(time.Second)
+	is.Equal(d.answerReport(1, testTime).For, time.Second)
+	grant := d.answerReport(1, testTime.Add(time.Second))
 	is.Equal(grant.Stage, Hold)
 	is.True(grant.For > 0) // but no halt
-	d.stage, d.moveUntil = Move, noon.Add(300*time.Millisecond)
-	is.Equal(d.answerReport(1, noon).For, 300*time.Millisecond)
+	d.stage, d.moveUntil = Move, testTime.Add(300*time.Millisecond)
+	is.Equal(d.answerReport(1, testTime).For, 300*time.Millisecond)
 	d.haltReason = "bad"
-	grant = d.answerReport(1, noon)
+	grant = d.answerReport(1, testTime)
 	is.Equal(grant.Stage, Hold)
 	is.Equal(grant.For, time.Duration(0))
 	is.Equal(grant.End, Halted)
 }
 
-// situationOf is a decider's whole view of two gateways of ten requests in 250 ms each.
-func situationOf(d *decider, now time.Time) stepInput {
-	d.addReport("b", Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))}, now)
+// newStepInput is a decider's whole view of two gateways of ten requests in 250 ms each.
+func newStepInput(d *decider, now time.Time) stepInput {
+	d.addReport("b", Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(testTime) / (25 * time.Millisecond))}, now)
 	return stepInput{
-		view:           view{service: theService, running: true, order: d.order, knownSince: noon, record: Record{Order: d.order, State: Running}},
-		report:         Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(noon) / (25 * time.Millisecond))},
+		view:           view{service: testService, running: true, order: d.order, knownSince: testTime, record: Record{Order: d.order, State: Running}},
+		report:         Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(testTime) / (25 * time.Millisecond))},
 		reportInterval: baseReportInterval,
 		livePeers:      []string{"b"},
 		reachable:      true,
@@ -100,16 +100,16 @@
 }
 
 // play steps a decider of a version that answers well until a part of its time is over.
-func play(d *decider, from, to time.Duration, change func(s *stepInput)) {
+func runSteps(d *decider, from, to time.Duration, change func(s *stepInput)) {
 	for at := from; at < to; at += baseReportInterval {
-		now := noon.Add(at)
+		now := testTime.Add(at)
 		answers := int(at/baseReportInterval) + 1
-		d.judge.Take("c", []Tally{
+		d.judge.AddReport("c", []Tally{
 			{Route: 5, Answers: 20 * answers},
 			{Route: 5, Target: 1, Answers: answers},
 			{Route: 5, Target: 2, Answers: answers},
 		})
-		s := situationOf(d, now)
+		s := newStepInput(d, now)
 		change(&s)
 		d.step(s, now)
 	}
@@ -125,13 +125,13 @@
 	for phase := time.Duration(0); phase < stepInterval; phase += tick {
 		t.Run(phase.String(), func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
+			d := newTestDecider(testOptions)
 			begins := scale(time.Minute-orderLag, moveStart)
-			play(d, 0, begins, func(*stepInput) {})
-			d.stage, d.moveBegan = Move, noon.Add(begins)
+			runSteps(d, 0, begins, func(*stepInput) {})
+			d.stage, d.moveBegan = Move, testTime.Add(begins)
 			d.moveUntil = d.moveBegan.Add(d.minMoveDuration())
 			for now := d.moveBegan.Add(phase); ; now = now.Add(d.stepInterval()) {
-				made := d.step(situationOf(d, now), now)
+				made := d.step(newStepInput(d, now), now)
 				is.True(now.Before(d.moveUntil)) // the move ended without a commit
 				if made.commit != nil && made.commit.Record.State == Completed {
 					is.True(made.by.Sub(now) >= storeTakes)
@@ -162,11 +162,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
+			d := newTestDecider(testOptions)
 			begins := scale(time.Minute-orderLag, moveStart)
-			play(d, 0, begins-baseReportInterval, func(*stepInput) {})
+			runSteps(d, 0, begins-baseReportInterval, func(*stepInput) {})
 			is.Equal(d.stage, Canary) // not before its time
-			play(d, begins, begins+time.Second, c.change)
+			runSteps(d, begins, begins+time.Second, c.change)
 			is.Equal(d.stage, c.want)
 			is.Equal(d.moveBegan.IsZero(), c.want != Move)
 			is.Equal(d.haltReason, "")
@@ -178,10 +178,10 @@
 // while, in which the store would have told of others.
 func TestAlone(t *testing.T) {
 	is := is.New(t)
-	d := deciderOf(theOptions)
+	d := newTestDecider(testOptions)
 	standing := func(after time.Duration, reachable bool) string {
-		now := noon.Add(after)
-		s := situationOf(d, now)
+		now := testTime.Add(after)
+		s := newStepInput(d, now)
 		s.versions, s.reachable = map[string]int{"v2": 1}, reachable
 		d.step(s, now)
 		return d.completeWithoutMove(s, now)
@@ -218,17 +218,17 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			began, now := noon.Add(c.began), noon.Add(c.began+c.after)
+			began, now := testTime.Add(c.began), testTime.Add(c.began+c.after)
 			v := view{
-				service: theService, running: true, order: orderOf("v2", 1), knownSince: noon,
-				record: Record{Order: orderOf("v2", 1), State: Running},
+				service: testService, running: true, order: newOrder("v2", 1), knownSince: testTime,
+				record: Record{Order: newOrder("v2", 1), State: Running},
 			}
-			d := newDecider(theOptions, v, began)
+			d := newDecider(testOptions, v, began)
 			d.reportInterval = baseReportInterval
 			for _, id := range c.reported {
 				d.addReport(id, Report{Order: 1}, now)
 			}
-			d.judge.Take("b", []Tally{{Route: 5, Answers: 20}, {Route: 5, Target: 1, Answers: 2, Failed: 1}})
+			d.judge.AddReport("b", []Tally{{Route: 5, Answers: 20}, {Route: 5, Target: 1, Answers: 2, Failed: 1}})
 			s := stepInput{
 				view: v, report: Report{Order: 1}, reportInterval: baseReportInterval, livePeers: c.live, reachable: true,
 				versions: map[string]int{"v1": 1, "v2": 1},
@@ -255,15 +255,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
+			d := newTestDecider(testOptions)
 			var s stepInput
-			for _, now := range []time.Time{noon, noon.Add(soleVersionDelay)} {
-				s = situationOf(d, now)
+			for _, now := range []time.Time{testTime, testTime.Add(soleVersionDelay)} {
+				s = newStepInput(d, now)
 				s.versions = map[string]int{"v2": 1}
 				c.change(&s)
 				d.step(s, now)
 			}
-			is.Equal(d.completeWithoutMove(s, noon.Add(soleVersionDelay)) != "", c.want)
+			is.Equal(d.completeWithoutMove(s, testTime.Add(soleVersionDelay)) != "", c.want)
 		})
 	}
 }
@@ -313,11 +313,11 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
-			d.stage, d.moveBegan, d.moveUntil = Move, noon.Add(time.Second), noon.Add(3*time.Second)
+			d := newTestDecider(testOptions)
+			d.stage, d.moveBegan, d.moveUntil = Move, testTime.Add(time.Second), testTime.Add(3*time.Second)
 			d.reportInterval = baseReportInterval
 			now := d.moveBegan.Add(minMoveReports * d.moveReportInterval())
-			s := situationOf(d, now)
+			s := newStepInput(d, now)
 			c.change(d, &s)
 			commit := d.step(s, now).commit
 			is.Equal(commit != nil && commit.Record.State == Completed, c.want)
@@ -329,7 +329,7 @@
 // cover it, counted from the last order.
 func TestAffords(t *testing.T) {
 	const rate = 80 // requests a second of two gateways
-	bound := theOptions.Share*1000 + theOptions.Slack
+	bound := testOptions.Share*1000 + testOptions.Slack
 	cases := map[string]struct {
 		change func(d *decider)
 		want   float64 // requests
@@ -340,19 +340,19 @@
 		"by a life before": {func(d *decider) { d.gateways["b"].exposed = 40 }, bound - 40},
 		"ordered again":    {func(d *decider) { d.requestsBefore = 600 }, bound - 60},
 		"one not heard any more": {
-			func(d *decider) { d.gateways["c"] = new(gatewayReports) }, bound - theOptions.Slack/3,
+			func(d *decider) { d.gateways["c"] = new(gatewayReports) }, bound - testOptions.Slack/3,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
-			d.reportInterval, d.deadline = baseReportInterval, noon.Add(time.Minute)
+			d := newTestDecider(testOptions)
+			d.reportInterval, d.deadline = baseReportInterval, testTime.Add(time.Minute)
 			for _, id := range []string{selfID, "b"} {
-				d.addReport(id, Report{Order: 1, Requests: 460}, noon)
-				d.addReport(id, Report{Order: 1, Requests: 500}, noon.Add(time.Second))
+				d.addReport(id, Report{Order: 1, Requests: 460}, testTime)
+				d.addReport(id, Report{Order: 1, Requests: 500}, testTime.Add(time.Second))
 			}
-			now := noon.Add(time.Second + baseReportInterval) // all reports are due
+			now := testTime.Add(time.Second + baseReportInterval) // all reports are due
 			c.change(d)
 			lasts := d.affordableMove(stepInput{livePeers: []string{"b"}}, now)
 			want := min(maxMove.Seconds(), c.want/(rate*rateMargin))
@@ -368,18 +368,18 @@
 		most int
 		want float64
 	}{
-		"all":                     {[]string{"b"}, 1, theOptions.Slack},
-		"a fresh one":             {[]string{"b"}, 0, theOptions.Slack},
-		"one of two":              {nil, 1, theOptions.Slack / 2},
-		"two of ten":              {[]string{"b"}, 9, theOptions.Slack / 5},
-		"one of ten, others left": {nil, 9, theOptions.Slack / 10},
+		"all":                     {[]string{"b"}, 1, testOptions.Slack},
+		"a fresh one":             {[]string{"b"}, 0, testOptions.Slack},
+		"one of two":              {nil, 1, testOptions.Slack / 2},
+		"two of ten":              {[]string{"b"}, 9, testOptions.Slack / 5},
+		"one of ten, others left": {nil, 9, testOptions.Slack / 10},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
-			d.addReport(selfID, Report{Order: 1}, noon)
-			d.addReport("b", Report{Order: 1}, noon)
+			d := newTestDecider(testOptions)
+			d.addReport(selfID, Report{Order: 1}, testTime)
+			d.addReport("b", Report{Order: 1}, testTime)
 			is.Equal(d.usableSlack(stepInput{livePeers: c.live, maxPeers: c.most}), c.want)
 		})
 	}
@@ -388,11 +388,11 @@
 // TestMoveOfAnOrderBefore: it can't be completed for the next order.
 func TestMoveOfAnOrderBefore(t *testing.T) {
 	is := is.New(t)
-	d := deciderOf(theOptions)
-	d.stage, d.moveBegan, d.moveUntil = Move, noon, noon.Add(3*time.Second)
-	s := situationOf(d, noon)
+	d := newTestDecider(testOptions)
+	d.stage, d.moveBegan, d.moveUntil = Move, testTime, testTime.Add(3*time.Second)
+	s := newStepInput(d, testTime)
 	s.view.order.Revision = 2
-	d.update(s, noon)
+	d.update(s, testTime)
 	is.Equal(d.stage, Canary)
 	is.Equal(d.order.Revision, int64(2))
 }
@@ -419,12 +419,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := deciderOf(theOptions)
+			d := newTestDecider(testOptions)
 			d.reportInterval, d.haltReason = baseReportInterval, c.reason
-			now := noon.Add(scale(time.Minute-orderLag, cleanMoveStart)).Add(time.Second)
+			now := testTime.Add(scale(time.Minute-orderLag, cleanMoveStart)).Add(time.Second)
 			d.stage, d.moveBegan, d.moveUntil = Move, now.Add(-maxMove/2), now.Add(c.left)
-			s := situationOf(d, now)
-			s.completionUnresolved, s.view.record.Elapsed = c.unsure, now.Sub(noon)
+			s := newStepInput(d, now)
+			s.completionUnresolved, s.view.record.Elapsed = c.unsure, now.Sub(testTime)
 			decision := d.step(s, now)
 			if c.want == "" {
 				is.Equal(decision.commit, nil)
@@ -441,34 +441,34 @@
 func TestFailuresAreTold(t *testing.T) {
 	is := is.New(t)
 	d := new(deciderState)
-	wait := func() time.Duration { return d.retryAt.Sub(noon) }
-	is.True(d.noteFailure(Running, errNoAnswer, noon))
+	wait := func() time.Duration { return d.retryAt.Sub(testTime) }
+	is.True(d.noteFailure(Running, errNoAnswer, testTime))
 	is.Equal(wait(), commitRetryDelay)
-	is.True(!d.noteFailure(Running, errNoAnswer, noon))
+	is.True(!d.noteFailure(Running, errNoAnswer, testTime))
 	is.Equal(wait(), 2*commitRetryDelay)
-	is.True(d.noteFailure(RolledBack, errNoAnswer, noon)) // another state
+	is.True(d.noteFailure(RolledBack, errNoAnswer, testTime)) // another state
 	for range 100 {
-		is.True(!d.noteFailure(RolledBack, errNoAnswer, noon))
+		is.True(!d.noteFailure(RolledBack, errNoAnswer, testTime))
 	}
 	is.Equal(wait(), maxCommitRetryDelay)
-	is.Equal(d.moveRetryAt.Sub(noon), commitRetryDelay)
-	commit := decision{commit: &Commit{}, by: noon.Add(time.Minute)}
-	now := noon.Add(commitRetryDelay)
+	is.Equal(d.moveRetryAt.Sub(testTime), commitRetryDelay)
+	commit := decision{commit: &Commit{}, by: testTime.Add(time.Minute)}
+	now := testTime.Add(commitRetryDelay)
 	_, due := d.nextCommit(commit, 7, now)
 	is.True(!due)
 	d.noteReachable(false)
 	d.noteReachable(true)
 	_, due = d.nextCommit(commit, 7, now)
 	is.True(due)
-	is.True(d.noteFailure(RolledBack, ErrOutdated, noon)) // another error
+	is.True(d.noteFailure(RolledBack, ErrOutdated, testTime)) // another error
 	is.Equal(wait(), outdatedRetryDelay)
 }
 
 // TestCommitsAgain: one at a time, after a while, or at once when what it was too late
 // for is known.
 func TestCommitsAgain(t *testing.T) {
-	commit := decision{commit: &Commit{}, by: noon.Add(time.Second)}
-	again := noon.Add(commitRetryDelay)
+	commit := decision{commit: &Commit{}, by: testTime.Add(time.Second)}
+	again := testTime.Add(commitRetryDelay)
 	cases := map[string]struct {
 		duty     deciderState
 		decision decision
@@ -476,19 +476,19 @@
 	}{
 		"the first":                   {deciderState{}, commit, true},
 		"nothing to write":            {deciderState{}, decision{by: commit.by}, false},
-		"no time":                     {deciderState{}, decision{commit: commit.commit, by: noon}, false},
+		"no time":                     {deciderState{}, decision{commit: commit.commit, by: testTime}, false},
 		"one under way":               {deciderState{commitInFlight: true}, commit, false},
 		"failed just now":             {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
 		"a completion just now":       {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: again}, commit, true},
 		"failed after a completion":   {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
-		"failed a while ago":          {deciderState{lastErr: errNoAnswer, retryAt: noon}, commit, true},
+		"failed a while ago":          {deciderState{lastErr: errNoAnswer, retryAt: testTime}, commit, true},
 		"outdated, nothing new":       {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: again}, commit, false},
 		"outdated, and a record came": {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: again}, commit, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, due := c.duty.nextCommit(c.decision, 7, noon)
+			_, due := c.duty.nextCommit(c.decision, 7, testTime)
 			is.Equal(due, c.want)
 		})
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -111,7 +111,7 @@
 		assignment.Fallback = nil
 		assignment.Versions = balance.Versions{Only: s.trial.order.Version}
 	case Canary:
-		if ask.Retry || !s.trial.reserve(TallyName(ask.Route)) {
+		if ask.Retry || !s.trial.reserve(NameHash(ask.Route)) {
 			break
 		}
 		base := s.baseVersions
@@ -140,14 +140,14 @@
 	}
 	reserved := assignment.reserved
 	if reserved != nil && (reserved != t || version != reserved.order.Version) {
-		reserved.share.Return()
+		reserved.share.Release()
 		reserved = nil
 	}
 	if t == nil {
 		return
 	}
 	if !assignment.isRetry {
-		t.share.Request()
+		t.share.CountRequest()
 	}
 	if version == t.order.Version && reserved == nil {
 		t.moveSends++
@@ -159,7 +159,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if assignment.reserved != nil {
-		assignment.reserved.share.Return()
+		assignment.reserved.share.Release()
 	}
 }
 
@@ -248,7 +248,7 @@
 	if s == nil {
 		s = newService(name, g.options, g.random)
 		g.services[name] = s
-		g.byHash[TallyName(name)] = s
+		g.byHash[NameHash(name)] = s
 	}
 	return s
 }
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -11,10 +11,10 @@
 	"github.com/capersaddle/capersaddle/internal/balance"
 )
 
-var noon = time.Unix(1000, 0)
+var testTime = time.Unix(1000, 0)
 
-func orderOf(version string, revision int64) Order {
-	return Order{Service: theService, Version: version, Duration: time.Minute, Revision: revision}
+func newOrder(version string, revision int64) Order {
+	return Order{Service: testService, Version: version, Duration: time.Minute, Revision: revision}
 }
 
 // send sends requests where the gate says, and returns how many went to a version; the
@@ -22,13 +22,13 @@
 func send(g *Gate, count int, version, other string, now time.Time) int {
 	sent := 0
 	for range count {
-		assignment := g.Assign(AssignRequest{Service: theService, Route: "a"}, now)
+		assignment := g.Assign(AssignRequest{Service: testService, Route: "a"}, now)
 		to := other
 		if assignment.Versions.Only != "" {
 			to = assignment.Versions.Only
 		}
 		g.RecordSend(assignment, to, now)
-		g.Observe(Outcome{Service: theService, Route: "a", Version: to, Target: to, Ending: Answered}, now)
+		g.Observe(Outcome{Service: testService, Route: "a", Version: to, Target: to, Ending: Answered}, now)
 		if to == version {
 			sent++
 		}
@@ -36,219 +36,219 @@
 	return sent
 }
 
-func grantOf(order int64, stage Stage, lasts time.Duration) Grant {
-	return Grant{Service: TallyName(theService), Order: order, Stage: stage, For: lasts, Wanted: []uint32{TallyName("a")}}
+func newGrant(order int64, stage Stage, lasts time.Duration) Grant {
+	return Grant{Service: NameHash(testService), Order: order, Stage: stage, For: lasts, Wanted: []uint32{NameHash("a")}}
 }
 
-func haltOf(order int64) Grant {
-	return Grant{Service: TallyName(theService), Order: order, End: Halted}
+func haltNotice(order int64) Grant {
+	return Grant{Service: NameHash(testService), Order: order, End: Halted}
 }
 
-func doneOf(order int64) Grant {
-	return Grant{Service: TallyName(theService), Order: order, Stage: Move, End: Done}
+func doneNotice(order int64) Grant {
+	return Grant{Service: NameHash(testService), Order: order, Stage: Move, End: Done}
 }
 
 // TestVersionsByOrderAndRecord: what requests may go to, by what the store has held.
 func TestVersionsByOrderAndRecord(t *testing.T) {
-	completed := Record{Order: orderOf("v2", 1), State: Completed, Current: "v2", Refused: []string{"v1"}}
-	rolledBack := Record{Order: orderOf("v2", 1), State: RolledBack, Refused: []string{"v2"}}
+	completed := Record{Order: newOrder("v2", 1), State: Completed, Current: "v2", Refused: []string{"v1"}}
+	rolledBack := Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}
 	cases := map[string]struct {
 		play func(g *Gate)
 		want balance.Versions
 	}{
 		"nothing": {func(*Gate) {}, balance.Versions{}},
 		"an order": {
-			func(g *Gate) { g.Ordered(orderOf("v2", 1), noon) },
+			func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) },
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"an order that is withdrawn": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Withdrawn(theService, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Withdrawn(testService, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"the first order is for the version that serves": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon)
-				g.ordered(orderOf("v1", 1), map[string]int{"v1": 3}, noon)
+				send(g, 1, "v1", "v1", testTime)
+				g.ordered(newOrder("v1", 1), map[string]int{"v1": 3}, testTime)
 			},
 			balance.Versions{Rather: "v1"},
 		},
 		"the first order is for one of the versions that serve": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon)
-				send(g, 1, "v2", "v2", noon)
-				g.ordered(orderOf("v2", 1), map[string]int{"v1": 3, "v2": 3}, noon)
+				send(g, 1, "v1", "v1", testTime)
+				send(g, 1, "v2", "v2", testTime)
+				g.ordered(newOrder("v2", 1), map[string]int{"v1": 3, "v2": 3}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"the first order is for the only version that got requests, beside another": {
 			func(g *Gate) {
-				send(g, 1, "v2", "v2", noon)
-				g.ordered(orderOf("v2", 1), map[string]int{"v1": 3, "v2": 3}, noon)
+				send(g, 1, "v2", "v2", testTime)
+				g.ordered(newOrder("v2", 1), map[string]int{"v1": 3, "v2": 3}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"the first order is for a version that came in another's place": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon.Add(-servedWindow))
-				send(g, 1, "v2", "v2", noon)
-				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
+				send(g, 1, "v1", "v1", testTime.Add(-servedWindow))
+				send(g, 1, "v2", "v2", testTime)
+				g.ordered(newOrder("v2", 1), map[string]int{"v2": 3}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"the first order is for a version that came in another's place long ago": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon.Add(-servedWindow-time.Second))
-				send(g, 1, "v2", "v2", noon.Add(-servedWindow))
-				g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon)
+				send(g, 1, "v1", "v1", testTime.Add(-servedWindow-time.Second))
+				send(g, 1, "v2", "v2", testTime.Add(-servedWindow))
+				g.ordered(newOrder("v2", 1), map[string]int{"v2": 3}, testTime)
 			},
 			balance.Versions{Rather: "v2"},
 		},
 		"the first order is for a version that got no requests": {
-			func(g *Gate) { g.ordered(orderOf("v2", 1), map[string]int{"v2": 3}, noon) },
+			func(g *Gate) { g.ordered(newOrder("v2", 1), map[string]int{"v2": 3}, testTime) },
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"the version that served is ordered after another one": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon)
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Ordered(orderOf("v1", 2), noon)
+				send(g, 1, "v1", "v1", testTime)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Ordered(newOrder("v1", 2), testTime)
 			},
 			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
 		},
 		"the version that served is overtaken": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon)
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Ordered(orderOf("v1", 2), noon)
-				g.Ordered(orderOf("v3", 3), noon)
+				send(g, 1, "v1", "v1", testTime)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Ordered(newOrder("v1", 2), testTime)
+				g.Ordered(newOrder("v3", 3), testTime)
 			},
 			balance.Versions{Not: []string{"v2", "v3"}},
 		},
 		"a record says what served": {
 			func(g *Gate) {
-				g.Recorded(Record{Order: orderOf("v2", 1), State: Running, Served: []string{"v1"}}, 2, noon)
-				g.Ordered(orderOf("v1", 3), noon)
+				g.Recorded(Record{Order: newOrder("v2", 1), State: Running, Served: []string{"v1"}}, 2, testTime)
+				g.Ordered(newOrder("v1", 3), testTime)
 			},
 			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
 		},
 		"a record has completed, and what served before is ordered": {
 			func(g *Gate) {
-				send(g, 1, "v1", "v1", noon)
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Recorded(completed, 2, noon)
-				g.Ordered(orderOf("v1", 3), noon)
+				send(g, 1, "v1", "v1", testTime)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Recorded(completed, 2, testTime)
+				g.Ordered(newOrder("v1", 3), testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
 		"an order that another follows": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Ordered(orderOf("v3", 2), noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Ordered(newOrder("v3", 2), testTime)
 			},
 			balance.Versions{Not: []string{"v2", "v3"}},
 		},
 		"an older copy of an order": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v3", 2), noon)
-				g.Ordered(orderOf("v2", 1), noon)
+				g.Ordered(newOrder("v3", 2), testTime)
+				g.Ordered(newOrder("v2", 1), testTime)
 			},
 			balance.Versions{Not: []string{"v3"}},
 		},
 		"a running record without its order": {
-			func(g *Gate) { g.Recorded(Record{Order: orderOf("v2", 1), State: Running}, 2, noon) },
+			func(g *Gate) { g.Recorded(Record{Order: newOrder("v2", 1), State: Running}, 2, testTime) },
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"completed": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Recorded(completed, 2, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Recorded(completed, 2, testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
 		"completed, and an older record": {
 			func(g *Gate) {
-				g.Recorded(completed, 3, noon)
-				g.Recorded(rolledBack, 2, noon)
+				g.Recorded(completed, 3, testTime)
+				g.Recorded(rolledBack, 2, testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
 		"completed, then withdrawn": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Recorded(completed, 2, noon)
-				g.Withdrawn(theService, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Recorded(completed, 2, testTime)
+				g.Withdrawn(testService, testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
 		"completed after a halt": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(haltOf(1), time.Time{}, noon)
-				g.Recorded(completed, 2, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(haltNotice(1), time.Time{}, testTime)
+				g.Recorded(completed, 2, testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
 		"completed, as was told": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(doneOf(1), time.Time{}, noon)
-				g.obey(grantOf(1, Canary, time.Minute), noon, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(doneNotice(1), time.Time{}, testTime)
+				g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Only: "v2"},
 		},
 		"completed, as was told again and again, and no record": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon.Add(-recordLag))
-				g.obey(doneOf(1), time.Time{}, noon.Add(-recordLag))
-				g.obey(doneOf(1), time.Time{}, noon.Add(-time.Second))
+				g.Ordered(newOrder("v2", 1), testTime.Add(-recordLag))
+				g.obey(doneNotice(1), time.Time{}, testTime.Add(-recordLag))
+				g.obey(doneNotice(1), time.Time{}, testTime.Add(-time.Second))
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"completed, as was told after a halt": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(haltOf(1), time.Time{}, noon)
-				g.obey(doneOf(1), time.Time{}, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(haltNotice(1), time.Time{}, testTime)
+				g.obey(doneNotice(1), time.Time{}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"another order completed, as was told": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(doneOf(9), time.Time{}, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(doneNotice(9), time.Time{}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"a hold for no time": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(grantOf(1, Hold, 0), noon, noon)
-				g.obey(grantOf(1, Move, time.Minute), noon, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(newGrant(1, Hold, 0), testTime, testTime)
+				g.obey(newGrant(1, Move, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Only: "v2"},
 		},
 		"rolled back": {
 			func(g *Gate) {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.Recorded(rolledBack, 2, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.Recorded(rolledBack, 2, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
 		"an order after a completed one": {
 			func(g *Gate) {
-				g.Recorded(completed, 2, noon)
-				g.Ordered(orderOf("v3", 3), noon)
+				g.Recorded(completed, 2, testTime)
+				g.Ordered(newOrder("v3", 3), testTime)
 			},
 			balance.Versions{Not: []string{"v1", "v3"}, Rather: "v2"},
 		},
 		"an order for the version that all have": {
 			func(g *Gate) {
-				g.Recorded(completed, 2, noon)
-				g.Ordered(orderOf("v2", 3), noon)
-				g.obey(grantOf(3, Canary, time.Minute), noon, noon)
+				g.Recorded(completed, 2, testTime)
+				g.Ordered(newOrder("v2", 3), testTime)
+				g.obey(newGrant(3, Canary, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
@@ -256,12 +256,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := NewGate(theOptions)
+			g := NewGate(testOptions)
 			c.play(g)
-			assignment := g.Assign(AssignRequest{Service: theService}, noon)
+			assignment := g.Assign(AssignRequest{Service: testService}, testTime)
 			is.Equal(assignment.Versions, c.want)
 			is.Equal(assignment.Fallback, nil)
-			is.Equal(g.AdmittedVersions(theService, noon), c.want)
+			is.Equal(g.AdmittedVersions(testService, testTime), c.want)
 		})
 	}
 }
@@ -270,36 +270,36 @@
 // for as long as the order does.
 func TestGrantsEnd(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(theOptions)
-	g.Ordered(orderOf("v2", 1), noon)
-	is.Equal(send(g, 1000, "v2", "v1", noon), 0) // no grant
-	g.obey(grantOf(2, Move, time.Second), noon, noon)
-	is.Equal(send(g, 10, "v2", "v1", noon), 0) // of another order
-	g.obey(grantOf(1, Canary, time.Second), time.Time{}, noon)
-	is.Equal(send(g, 10, "v2", "v1", noon), 0) // a notice allows nothing
-	g.obey(grantOf(1, Canary, time.Second), noon.Add(-2*time.Second), noon)
-	is.Equal(send(g, 10, "v2", "v1", noon), 0) // it came too late
-	g.obey(grantOf(1, Canary, time.Second), noon, noon)
-	g.obey(grantOf(1, Move, time.Second), noon.Add(-2*time.Second), noon) // too late to end anything
-	sent := send(g, 1000, "v2", "v1", noon)
+	g := NewGate(testOptions)
+	g.Ordered(newOrder("v2", 1), testTime)
+	is.Equal(send(g, 1000, "v2", "v1", testTime), 0) // no grant
+	g.obey(newGrant(2, Move, time.Second), testTime, testTime)
+	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // of another order
+	g.obey(newGrant(1, Canary, time.Second), time.Time{}, testTime)
+	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // a notice allows nothing
+	g.obey(newGrant(1, Canary, time.Second), testTime.Add(-2*time.Second), testTime)
+	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // it came too late
+	g.obey(newGrant(1, Canary, time.Second), testTime, testTime)
+	g.obey(newGrant(1, Move, time.Second), testTime.Add(-2*time.Second), testTime) // too late to end anything
+	sent := send(g, 1000, "v2", "v1", testTime)
 	is.True(sent > 10 && sent <= 200)
-	is.Equal(send(g, 10, "v2", "v1", noon.Add(time.Second)), 0)
-	later := noon.Add(2 * time.Second)
-	g.obey(grantOf(1, Move, time.Second), later, later)
+	is.Equal(send(g, 10, "v2", "v1", testTime.Add(time.Second)), 0)
+	later := testTime.Add(2 * time.Second)
+	g.obey(newGrant(1, Move, time.Second), later, later)
 	is.Equal(send(g, 10, "v2", "v1", later), 10)
-	is.Equal(g.AdmittedVersions(theService, later).Only, "v2")
-	report, _ := g.report(theService, later)
+	is.Equal(g.AdmittedVersions(testService, later).Only, "v2")
+	report, _ := g.report(testService, later)
 	is.Equal(report.Exposed, sent+10) // a move costs exposure, too
 	is.Equal(report.Stage, Move)
-	g.obey(grantOf(1, Canary, time.Minute), later, later)
-	g.obey(grantOf(1, Hold, time.Minute), later, later)
+	g.obey(newGrant(1, Canary, time.Minute), later, later)
+	g.obey(newGrant(1, Hold, time.Minute), later, later)
 	is.Equal(send(g, 10, "v2", "v1", later), 10) // who moves keeps to it
-	_, halted := g.obey(haltOf(1), time.Time{}, later)
+	_, halted := g.obey(haltNotice(1), time.Time{}, later)
 	is.True(halted)
 	is.Equal(send(g, 10, "v2", "v1", later), 0)
-	g.obey(grantOf(1, Move, time.Minute), later, later)
+	g.obey(newGrant(1, Move, time.Minute), later, later)
 	is.Equal(send(g, 1000, "v2", "v1", later), 0) // halted
-	_, halted = g.obey(haltOf(1), time.Time{}, later)
+	_, halted = g.obey(haltNotice(1), time.Time{}, later)
 	is.True(!halted) // it was before
 }
 
@@ -307,13 +307,13 @@
 // what was not sent to the version is given back.
 func TestCanaryShare(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(theOptions)
+	g := NewGate(testOptions)
 	g.random = func() float64 { return 0 } // no head start
-	g.Ordered(orderOf("v2", 1), noon)
-	g.obey(grantOf(1, Canary, time.Minute), noon, noon)
+	g.Ordered(newOrder("v2", 1), testTime)
+	g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
 	requests, exposed := 0, 0
 	for i := range 5000 {
-		assignment := g.Assign(AssignRequest{Service: theService, Route: "a", Retry: i%7 == 0}, noon)
+		assignment := g.Assign(AssignRequest{Service: testService, Route: "a", Retry: i%7 == 0}, testTime)
 		only := assignment.Versions.Only
 		if i%7 == 0 {
 			is.Equal(only, "")
@@ -332,10 +332,10 @@
 			to = "v2"
 			exposed++
 		}
-		g.RecordSend(assignment, to, noon)
+		g.RecordSend(assignment, to, testTime)
 		is.True(float64(exposed) <= 0.1*float64(requests))
 	}
-	report, ok := g.report(theService, noon)
+	report, ok := g.report(testService, testTime)
 	is.True(ok)
 	is.Equal(report.Requests, requests)
 	is.Equal(report.Exposed, exposed)
@@ -346,14 +346,14 @@
 // other versions, too.
 func TestUnderWayBeforeTheOrder(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(theOptions)
-	assignment := g.Assign(AssignRequest{Service: theService}, noon)
-	g.RecordSend(assignment, "v1", noon)
-	g.Ordered(orderOf("v2", 1), noon)
-	report, _ := g.report(theService, noon)
+	g := NewGate(testOptions)
+	assignment := g.Assign(AssignRequest{Service: testService}, testTime)
+	g.RecordSend(assignment, "v1", testTime)
+	g.Ordered(newOrder("v2", 1), testTime)
+	report, _ := g.report(testService, testTime)
 	is.Equal(report.Others, 1)
-	g.Observe(Outcome{Service: theService, Version: "v1", Ending: Neutral}, noon)
-	report, _ = g.report(theService, noon)
+	g.Observe(Outcome{Service: testService, Version: "v1", Ending: Neutral}, testTime)
+	report, _ = g.report(testService, testTime)
 	is.Equal(report.Others, 0)
 	is.Equal(len(report.Tallies), 0)
 }
@@ -362,21 +362,21 @@
 // the one before has left of its share isn't the new one's.
 func TestOrderRepeated(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(theOptions)
+	g := NewGate(testOptions)
 	g.random = func() float64 { return 0 } // no head start
-	first, second := orderOf("v2", 1), orderOf("v2", 2)
+	first, second := newOrder("v2", 1), newOrder("v2", 2)
 	second.Duration = time.Second
-	g.Ordered(first, noon)
-	send(g, 1000, "v2", "v1", noon)
-	g.Ordered(second, noon.Add(time.Second))
-	v := g.views(noon)[0]
+	g.Ordered(first, testTime)
+	send(g, 1000, "v2", "v1", testTime)
+	g.Ordered(second, testTime.Add(time.Second))
+	v := g.views(testTime)[0]
 	is.Equal(v.firstRevision, int64(1))
 	is.Equal(v.requests, 1000)
-	is.Equal(deadlineOf(v.order, v.knownSince, v.notBefore), deadlineOf(first, noon, time.Time{}))
-	g.obey(grantOf(2, Canary, time.Minute), noon.Add(time.Second), noon.Add(time.Second))
-	is.Equal(send(g, 5, "v2", "v1", noon.Add(time.Second)), 0)
-	g.Recorded(Record{Order: first, State: RolledBack, Refused: []string{"v2"}}, 3, noon)
-	v = g.views(noon)[0]
+	is.Equal(deadlineOf(v.order, v.knownSince, v.notBefore), deadlineOf(first, testTime, time.Time{}))
+	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(time.Second), testTime.Add(time.Second))
+	is.Equal(send(g, 5, "v2", "v1", testTime.Add(time.Second)), 0)
+	g.Recorded(Record{Order: first, State: RolledBack, Refused: []string{"v2"}}, 3, testTime)
+	v = g.views(testTime)[0]
 	is.Equal(v.firstRevision, int64(2)) // the one before ended: this one begins anew
 	is.Equal(v.requests, 0)
 	is.True(!slices.Contains(v.refused, "v2"))
@@ -385,11 +385,11 @@
 // TestReportsDue: one each interval, at once with news, and again if no answer comes.
 func TestReportsDue(t *testing.T) {
 	is := is.New(t)
-	g := NewGate(theOptions)
-	g.Ordered(orderOf("v2", 1), noon)
+	g := NewGate(testOptions)
+	g.Ordered(newOrder("v2", 1), testTime)
 	all := func(string) bool { return true }
 	due := func(after time.Duration) int {
-		return len(g.due(noon.Add(after), time.Second, all))
+		return len(g.due(testTime.Add(after), time.Second, all))
 	}
 	is.Equal(due(0), 1)
 	is.Equal(due(10*time.Millisecond), 0)
@@ -397,20 +397,20 @@
 	is.Equal(due(2*reportRetryDelay), 1)
 	is.Equal(due(3*reportRetryDelay), 0) // no more than that
 	is.Equal(due(2*reportRetryDelay+time.Second), 1)
-	g.obey(grantOf(1, Canary, time.Minute), noon.Add(2*time.Second), noon.Add(2*time.Second))
+	g.obey(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
 	is.Equal(due(2*time.Second), 1) // another stage
-	g.obey(grantOf(1, Canary, time.Minute), noon.Add(2*time.Second), noon.Add(2*time.Second))
+	g.obey(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
 	is.Equal(due(2*time.Second+reportRetryDelay), 0) // answered
 	is.Equal(due(3*time.Second), 1)
-	is.Equal(len(g.due(noon.Add(time.Minute), time.Second, func(string) bool { return false })), 0)
-	short := orderOf("v2", 2)
+	is.Equal(len(g.due(testTime.Add(time.Minute), time.Second, func(string) bool { return false })), 0)
+	short := newOrder("v2", 2)
 	short.Duration = 10 * time.Second
-	g.Ordered(short, noon)
+	g.Ordered(short, testTime)
 	is.Equal(due(4*time.Second), 1)
-	g.obey(grantOf(2, Canary, time.Minute), noon.Add(4*time.Second), noon.Add(4*time.Second))
+	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(4*time.Second), testTime.Add(4*time.Second))
 	is.Equal(due(4500*time.Millisecond), 0)
 	is.Equal(due(6*time.Second), 1)
-	g.obey(grantOf(2, Canary, time.Minute), noon.Add(6*time.Second), noon.Add(6*time.Second))
+	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(6*time.Second), testTime.Add(6*time.Second))
 	is.Equal(due(6500*time.Millisecond), 1) // the move comes near
 }
 
@@ -421,19 +421,19 @@
 	const gateways, each = 200, 10
 	requests, exposed := 0, 0
 	for range gateways {
-		g := NewGate(theOptions)
+		g := NewGate(testOptions)
 		g.random = random.Float64
-		g.Ordered(orderOf("v2", 1), noon)
-		g.obey(grantOf(1, Canary, time.Minute), noon, noon)
-		send(g, each, "v2", "v1", noon)
-		report, _ := g.report(theService, noon)
+		g.Ordered(newOrder("v2", 1), testTime)
+		g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
+		send(g, each, "v2", "v1", testTime)
+		report, _ := g.report(testService, testTime)
 		requests += report.Requests
 		exposed += report.Exposed
 	}
 	is.Equal(requests, gateways*each)
-	share := maxCanaryPart * theOptions.Share * float64(requests)
+	share := maxCanaryPart * testOptions.Share * float64(requests)
 	is.True(float64(exposed) > share/2)
-	is.True(float64(exposed) < share+theOptions.Slack/2)
+	is.True(float64(exposed) < share+testOptions.Slack/2)
 }
 
 // BenchmarkRequest is what a request costs at the gate: without any order, and as a
@@ -441,16 +441,16 @@
 func BenchmarkRequest(b *testing.B) {
 	for name, order := range map[string]bool{"no order": false, "canary": true} {
 		b.Run(name, func(b *testing.B) {
-			g := NewGate(theOptions)
+			g := NewGate(testOptions)
 			if order {
-				g.Ordered(orderOf("v2", 1), noon)
-				g.obey(grantOf(1, Canary, time.Minute), noon, noon)
+				g.Ordered(newOrder("v2", 1), testTime)
+				g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
 			}
-			outcome := Outcome{Service: theService, Route: "a", Version: "v1", Ending: Answered, Head: 50 * time.Millisecond}
+			outcome := Outcome{Service: testService, Route: "a", Version: "v1", Ending: Answered, Head: 50 * time.Millisecond}
 			b.ReportAllocs()
 			for b.Loop() {
-				g.RecordSend(g.Assign(AssignRequest{Service: theService, Route: "a"}, noon), "v1", noon)
-				g.Observe(outcome, noon)
+				g.RecordSend(g.Assign(AssignRequest{Service: testService, Route: "a"}, testTime), "v1", testTime)
+				g.Observe(outcome, testTime)
 			}
 		})
 	}
@@ -467,26 +467,26 @@
 		left  func(versions balance.Versions) bool
 		takes string
 	}{
-		"the others have left":        {func(g *Gate) { g.Ordered(orderOf("v2", 1), noon) }, all, "v2"},
-		"they are there, or lost":     {func(g *Gate) { g.Ordered(orderOf("v2", 1), noon) }, none, ""},
-		"whether is not known":        {func(g *Gate) { g.Ordered(orderOf("v2", 1), noon) }, nil, ""},
+		"the others have left":        {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, all, "v2"},
+		"they are there, or lost":     {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, none, ""},
+		"whether is not known":        {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, nil, ""},
 		"no order":                    {func(*Gate) {}, all, ""},
-		"another order has its place": {func(g *Gate) { g.Ordered(orderOf("v2", 1), noon); g.Ordered(orderOf("v3", 2), noon) }, all, "v3"},
+		"another order has its place": {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime); g.Ordered(newOrder("v3", 2), testTime) }, all, "v3"},
 		"it was halted": {func(g *Gate) {
-			g.Ordered(orderOf("v2", 1), noon)
-			g.obey(haltOf(1), time.Time{}, noon)
+			g.Ordered(newOrder("v2", 1), testTime)
+			g.obey(haltNotice(1), time.Time{}, testTime)
 		}, all, ""},
 		"its order was withdrawn": {func(g *Gate) {
-			g.Ordered(orderOf("v2", 1), noon)
-			g.Withdrawn(theService, noon)
+			g.Ordered(newOrder("v2", 1), testTime)
+			g.Withdrawn(testService, testTime)
 		}, all, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := NewGate(theOptions)
+			g := NewGate(testOptions)
 			c.play(g)
-			assignment := g.Assign(AssignRequest{Service: theService, HaveLeft: c.left}, noon)
+			assignment := g.Assign(AssignRequest{Service: testService, HaveLeft: c.left}, testTime)
 			takes := ""
 			if assignment.Fallback != nil {
 				takes = assignment.Fallback.Only
--- a/internal/rollout/heard.go
+++ b/internal/rollout/gateway_reports.go
@@ -53,7 +53,7 @@
 	if since := now.Add(-report.Age); since.Before(d.knownSince) {
 		d.knownSince = since
 	}
-	d.judge.Take(from+"#"+strconv.Itoa(h.incarnations), report.Tallies)
+	d.judge.AddReport(from+"#"+strconv.Itoa(h.incarnations), report.Tallies)
 }
 
 // restarted says whether a report's sums are those of another life of its gateway.
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -133,7 +133,7 @@
 // Take takes the sums that a gateway has reported. A gateway that has begun anew needs
 // another name. Lost reports do no harm, as the next sums hold their news, and neither do
 // those that come late or twice: a sum that is no later one of its counter is ignored.
-func (j *Judge) Take(gateway string, tallies []Tally) {
+func (j *Judge) AddReport(gateway string, tallies []Tally) {
 	known, ok := j.known[gateway]
 	if !ok {
 		known = make(map[tallyKey]Counts)
@@ -306,7 +306,7 @@
 
 // Wanted are the routes with traffic whose samples on the version are too small yet, in
 // order. They are all routes if only what they show together speaks against the version.
-func (j *Judge) Wanted() []uint32 {
+func (j *Judge) UndersampledRoutes() []uint32 {
 	if j.bad != "" {
 		return nil
 	}
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -12,20 +12,20 @@
 )
 
 // usual are sums of others that answer well on a route.
-func usual(route uint32, answers int) Tally {
+func otherVersionsTally(route uint32, answers int) Tally {
 	return Tally{Route: route, Answers: answers}
 }
 
 // takeRounds lets a gateway report often enough that nothing waits any more.
 func takeRounds(judge *Judge, tallies ...Tally) {
 	for range maxDeferRounds + 1 {
-		judge.Take("gateway", tallies)
+		judge.AddReport("gateway", tallies)
 	}
 }
 
 func TestJudge(t *testing.T) {
 	const a, b, rare = 11, 12, 13
-	good := []Tally{usual(a, 400), usual(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 30, 0, 0}, {b, 2, 30, 0, 0}}
+	good := []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 30, 0, 0}, {b, 2, 30, 0, 0}}
 	tests := map[string]struct {
 		tallies []Tally
 		verdict Verdict
@@ -35,7 +35,7 @@
 	}{
 		"nothing is known": {verdict: Undecided, reason: "0 of 0 routes"},
 		"no answers of the version": {
-			tallies: []Tally{usual(a, 400), usual(b, 400)},
+			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400)},
 			verdict: Undecided, reason: "0 of 2 routes", wanted: []uint32{a, b},
 		},
 		"good on all routes": {
@@ -43,19 +43,19 @@
 			verdict: Good, reason: "2 of 2 routes", clean: true,
 		},
 		"a small sample on one route": {
-			tallies: []Tally{usual(a, 400), usual(b, 400), {a, 1, 30, 0, 0}, {b, 2, 8, 0, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {b, 2, 8, 0, 0}},
 			verdict: Undecided, reason: "1 of 2 routes", wanted: []uint32{b}, clean: true,
 		},
 		"a route without traffic needs no sample": {
-			tallies: append(slices.Clone(good), usual(rare, minRouteAnswers-1)),
+			tallies: append(slices.Clone(good), otherVersionsTally(rare, minRouteAnswers-1)),
 			verdict: Good, reason: "2 of 2 routes", clean: true,
 		},
 		"bad on one route": {
-			tallies: []Tally{usual(a, 400), usual(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 20, 8, 0}, {b, 2, 20, 8, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 20, 8, 0}, {b, 2, 20, 8, 0}},
 			verdict: Bad, reason: "route 0000000c: 16 of 40 answers failed at 2 targets of the version, 0 of 400 at the others",
 		},
 		"slow on one route": {
-			tallies: []Tally{usual(a, 400), usual(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 20, 0, 9}, {b, 2, 20, 0, 9}},
+			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 20, 0, 9}, {b, 2, 20, 0, 9}},
 			verdict: Bad, reason: "route 0000000c: 18 of 40 whole answers were slow at 2 targets of the version, 0 of 400 at the others",
 		},
 		"as many failures as the others have": {
@@ -71,39 +71,39 @@
 			verdict: Bad, reason: "60 of 100 answers failed at 2 targets of the version, 56 of 400",
 		},
 		"one broken target of two": {
-			tallies: []Tally{usual(a, 400), {a, 1, 40, 36, 0}, {a, 2, 40, 0, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 40, 36, 0}, {a, 2, 40, 0, 0}},
 			verdict: Good, reason: "1 of 1 routes", clean: true,
 		},
 		"two broken targets of five": {
-			tallies: []Tally{usual(a, 400), {a, 1, 20, 18, 0}, {a, 2, 20, 18, 0}, {a, 3, 20, 0, 0}, {a, 4, 20, 0, 0}, {a, 5, 20, 0, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 20, 18, 0}, {a, 2, 20, 18, 0}, {a, 3, 20, 0, 0}, {a, 4, 20, 0, 0}, {a, 5, 20, 0, 0}},
 			verdict: Good, reason: "1 of 1 routes", clean: true,
 		},
 		"a single target": {
-			tallies: []Tally{usual(a, 400), {a, 1, 20, 9, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 20, 9, 0}},
 			verdict: Bad, reason: "9 of 20 answers failed at 1 targets",
 		},
 		"a rare route has the common sample of all rare ones": {
-			tallies: append(slices.Clone(good), usual(rare, 20), usual(rare+1, 20), Tally{rare, 1, 15, 0, 0}, Tally{rare + 1, 1, 15, 0, 0}),
+			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 15, 0, 0}, Tally{rare + 1, 1, 15, 0, 0}),
 			verdict: Good, reason: "4 of 4 routes", clean: true,
 		},
 		"rare routes without any sample": {
-			tallies: append(slices.Clone(good), usual(rare, 20), usual(rare+1, 20)),
+			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20)),
 			verdict: Undecided, reason: "2 of 4 routes", wanted: []uint32{rare, rare + 1}, clean: true,
 		},
 		"bad on rare routes, by what they show together": {
-			tallies: append(slices.Clone(good), usual(rare, 20), usual(rare+1, 20), Tally{rare, 1, 4, 2, 0}, Tally{rare + 1, 2, 4, 2, 0}),
+			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 4, 2, 0}, Tally{rare + 1, 2, 4, 2, 0}),
 			verdict: Bad, reason: "routes with few requests together: 4 of 8 answers failed",
 		},
 		"something speaks against it on one route": {
-			tallies: []Tally{usual(a, 400), usual(b, 400), {a, 1, 40, 0, 0}, {a, 2, 40, 0, 0}, {b, 1, 4, 1, 0}, {b, 2, 4, 1, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 40, 0, 0}, {a, 2, 40, 0, 0}, {b, 1, 4, 1, 0}, {b, 2, 4, 1, 0}},
 			verdict: Undecided, reason: "1 of 2 routes", wanted: []uint32{b},
 		},
 		"something speaks against it on rare routes together": {
-			tallies: append(slices.Clone(good), usual(rare, 20), usual(rare+1, 20), Tally{rare, 1, 5, 1, 0}, Tally{rare + 1, 1, 5, 1, 0}),
+			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 5, 1, 0}, Tally{rare + 1, 1, 5, 1, 0}),
 			verdict: Undecided, reason: "2 of 4 routes", wanted: []uint32{rare, rare + 1},
 		},
 		"something speaks against it": {
-			tallies: []Tally{usual(a, 400), {a, 1, 4, 1, 0}, {a, 2, 4, 1, 0}},
+			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 4, 1, 0}, {a, 2, 4, 1, 0}},
 			verdict: Undecided, reason: "0 of 1 routes", wanted: []uint32{a},
 		},
 	}
@@ -116,7 +116,7 @@
 			t.Log(verdict, reason)
 			is.Equal(verdict, test.verdict)
 			is.True(strings.Contains(reason, test.reason))
-			is.Equal(judge.Wanted(), test.wanted)
+			is.Equal(judge.UndersampledRoutes(), test.wanted)
 			is.Equal(judge.Clean(), test.clean)
 			is.Equal(judge.Ignored(), 0)
 		})
@@ -127,22 +127,22 @@
 func TestBadAfterGood(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, usual(1, 900), Tally{1, 1, 200, 0, 0}, Tally{1, 2, 200, 0, 0})
+	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 200, 0, 0}, Tally{1, 2, 200, 0, 0})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Good)
-	takeRounds(judge, usual(1, 900), Tally{1, 1, 202, 1, 0}, Tally{1, 2, 202, 1, 0})
+	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 202, 1, 0}, Tally{1, 2, 202, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Undecided)
-	is.Equal(judge.Wanted(), []uint32{1})
-	takeRounds(judge, usual(1, 900), Tally{1, 1, 206, 4, 0}, Tally{1, 2, 206, 4, 0})
+	is.Equal(judge.UndersampledRoutes(), []uint32{1})
+	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 206, 4, 0}, Tally{1, 2, 206, 4, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Bad)
-	takeRounds(judge, usual(1, 900), Tally{1, 1, 900, 4, 0}, Tally{1, 2, 900, 4, 0})
+	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 900, 4, 0}, Tally{1, 2, 900, 4, 0})
 	verdict, reason := judge.Verdict()
 	is.Equal(verdict, Bad)
 	is.Equal(reason, "route 00000001: 8 of 412 answers failed at 2 targets of the version, 0 of 900 at the others")
 	is.True(!judge.Clean())
-	is.Equal(judge.Wanted(), nil)
+	is.Equal(judge.UndersampledRoutes(), nil)
 }
 
 // A failure on each route is luck of one route, but not of all together: they need larger
@@ -150,14 +150,14 @@
 func TestDoubtOfAllRoutesTogether(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, usual(1, 400), usual(2, 400), Tally{1, 1, 99, 0, 0}, Tally{1, 2, 99, 0, 0}, Tally{2, 1, 99, 0, 0})
+	takeRounds(judge, otherVersionsTally(1, 400), otherVersionsTally(2, 400), Tally{1, 1, 99, 0, 0}, Tally{1, 2, 99, 0, 0}, Tally{2, 1, 99, 0, 0})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Good)
-	is.Equal(judge.Wanted(), nil)
+	is.Equal(judge.UndersampledRoutes(), nil)
 	takeRounds(judge, Tally{1, 1, 100, 1, 0}, Tally{2, 1, 100, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Undecided)
-	is.Equal(judge.Wanted(), []uint32{1, 2})
+	is.Equal(judge.UndersampledRoutes(), []uint32{1, 2})
 	takeRounds(judge, Tally{1, 1, 150, 1, 0}, Tally{2, 1, 150, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Good)
@@ -169,14 +169,14 @@
 	is := is.New(t)
 	judge := NewJudge()
 	for gateway := range 100 {
-		judge.Take(fmt.Sprint("gateway-", gateway), []Tally{usual(1, 4)})
+		judge.AddReport(fmt.Sprint("gateway-", gateway), []Tally{otherVersionsTally(1, 4)})
 	}
-	judge.Take("gateway-0", []Tally{{1, 1, 3, 3, 0}, {1, 2, 3, 3, 0}})
-	judge.Take("gateway-1", []Tally{usual(1, 4+maxDeferOthers-1)})
-	judge.Take("gateway-2", []Tally{usual(1, 4)})
+	judge.AddReport("gateway-0", []Tally{{1, 1, 3, 3, 0}, {1, 2, 3, 3, 0}})
+	judge.AddReport("gateway-1", []Tally{otherVersionsTally(1, 4+maxDeferOthers-1)})
+	judge.AddReport("gateway-2", []Tally{otherVersionsTally(1, 4)})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Undecided)
-	judge.Take("gateway-2", []Tally{usual(1, 5)})
+	judge.AddReport("gateway-2", []Tally{otherVersionsTally(1, 5)})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Bad)
 }
@@ -197,8 +197,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			judge := NewJudge()
-			takeRounds(judge, usual(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
-			judge.Take("gateway", trouble)
+			takeRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
+			judge.AddReport("gateway", trouble)
 			verdict, _ := judge.Verdict()
 			is.Equal(verdict, Good) // nothing is judged yet
 			takeRounds(judge, test.others...)
@@ -212,8 +212,8 @@
 func TestNewsOfTheMoveWaitsLittle(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, usual(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
-	judge.Take("gateway", []Tally{{1, 1, 120, 10, 0}, {1, 2, 120, 10, 0}})
+	takeRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
+	judge.AddReport("gateway", []Tally{{1, 1, 120, 10, 0}, {1, 2, 120, 10, 0}})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Bad)
 }
@@ -241,14 +241,14 @@
 				if failed {
 					counts.Failed = 1
 				}
-				sum := want[TallyName(route)]
-				sum.Route = TallyName(route)
+				sum := want[NameHash(route)]
+				sum.Route = NameHash(route)
 				if target == "" {
 					sum.Others = sum.Others.add(counts)
 				} else {
 					sum.Version = sum.Version.add(counts)
 				}
-				want[TallyName(route)] = sum
+				want[NameHash(route)] = sum
 				last[name] = report{name, tallies.List(99)}
 				reports = append(reports, last[name])
 			}
@@ -259,11 +259,11 @@
 				break
 			}
 			delivered := rapid.SampledFrom(reports).Draw(t, "report")
-			judge.Take(delivered.gateway, delivered.tallies)
+			judge.AddReport(delivered.gateway, delivered.tallies)
 		}
 		for range maxDeferRounds + 1 {
 			for _, delivered := range last {
-				judge.Take(delivered.gateway, delivered.tallies)
+				judge.AddReport(delivered.gateway, delivered.tallies)
 			}
 		}
 		got := make(map[uint32]RouteSum)
@@ -280,7 +280,7 @@
 	is := is.New(t)
 	judge := NewJudge()
 	for i := range 1000 {
-		judge.Take("gateway", []Tally{usual(1, 10*i), {1, 1, i, 0, 0}})
+		judge.AddReport("gateway", []Tally{otherVersionsTally(1, 10*i), {1, 1, i, 0, 0}})
 	}
 	is.True(len(judge.routes[1].deferred) <= maxDeferRounds+1)
 }
@@ -305,7 +305,7 @@
 			is := is.New(t)
 			judge := NewJudge()
 			takeRounds(judge, Tally{1, 2, 10, 2, 1})
-			judge.Take("gateway", []Tally{test.tally})
+			judge.AddReport("gateway", []Tally{test.tally})
 			takeRounds(judge)
 			is.Equal(judge.Ignored(), test.ignored)
 			is.Equal(judge.Routes()[0].Version.Answers, test.answers)
@@ -317,8 +317,8 @@
 func TestNextLifeOfAGateway(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	judge.Take("gateway/1", []Tally{usual(1, 40)})
-	judge.Take("gateway/2", []Tally{usual(1, 5)})
+	judge.AddReport("gateway/1", []Tally{otherVersionsTally(1, 40)})
+	judge.AddReport("gateway/2", []Tally{otherVersionsTally(1, 5)})
 	is.Equal(judge.Routes()[0].Others, Counts{Answers: 45})
 	is.Equal(judge.Ignored(), 0)
 }
@@ -353,18 +353,18 @@
 				report[at].Failed++
 			}
 		}
-		judge.Take(names[i%gateways], report)
+		judge.AddReport(names[i%gateways], report)
 	}
 }
 
 func BenchmarkJudgeWanted(b *testing.B) {
 	judge := NewJudge()
 	for route := range 30 {
-		judge.Take("gateway", []Tally{usual(uint32(route+1), 100), {uint32(route + 1), 1, 5, 0, 0}})
+		judge.AddReport("gateway", []Tally{otherVersionsTally(uint32(route+1), 100), {uint32(route + 1), 1, 5, 0, 0}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		judge.Wanted()
+		judge.UndersampledRoutes()
 		judge.Verdict()
 	}
 }
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -23,11 +23,11 @@
 func TestOrders(t *testing.T) {
 	const lasts = 20 * time.Second
 	cases := map[string]struct {
-		play func(w *world)
+		play func(w *cluster)
 		want Record
 	}{
 		"another version while it runs": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.order("v3", lasts)
@@ -36,8 +36,8 @@
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"another version while a bad one runs": {
-			func(w *world) {
-				w.form = forms["fails at once"]
+			func(w *cluster) {
+				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, lasts)
 				w.run(time.Second)
 				w.order("v3", lasts)
@@ -46,7 +46,7 @@
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"withdrawn while it runs": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.store.withdraw()
@@ -55,13 +55,13 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"withdrawn while it runs and all gateways begin anew": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.store.withdraw()
 				for _, n := range w.nodes {
 					w.store.history = w.store.history[len(w.store.history)-1:]
-					n.begin()
+					n.start()
 					record, revision := w.store.record, w.store.recordRevision
 					n.control.recorded(record, revision, "", w.now)
 				}
@@ -70,7 +70,7 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"withdrawn at once": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.store.withdraw()
 				w.run(2 * time.Second)
@@ -78,7 +78,7 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"withdrawn after its completion": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(lasts)
 				w.store.withdraw()
@@ -87,7 +87,7 @@
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the old version while it runs": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.order(oldVersion, lasts)
@@ -96,7 +96,7 @@
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version at once after the new one": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.order(oldVersion, lasts)
 				w.run(2 * time.Second)
@@ -104,11 +104,11 @@
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version while it runs, and all gateways begin anew": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				for _, n := range w.nodes {
-					n.begin()
+					n.start()
 				}
 				w.order(oldVersion, lasts)
 				w.run(2 * time.Second)
@@ -116,8 +116,8 @@
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version after the new one was rolled back": {
-			func(w *world) {
-				w.form = forms["fails at once"]
+			func(w *cluster) {
+				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, lasts)
 				w.run(lasts)
 				w.order(oldVersion, lasts)
@@ -126,7 +126,7 @@
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version while the store is away": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.order(oldVersion, lasts)
@@ -138,7 +138,7 @@
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version, withdrawn before its end is written": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(oldVersion, lasts)
 				w.store.withdraw()
 				w.run(2 * time.Second)
@@ -146,14 +146,14 @@
 			Record{State: RolledBack},
 		},
 		"the first order is for the version that all have": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(oldVersion, lasts)
 				w.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1"},
 		},
 		"ordered again while it runs": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				w.order(newVersion, lasts)
@@ -162,7 +162,7 @@
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"ordered again after its completion": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(lasts)
 				w.order(newVersion, lasts)
@@ -171,18 +171,18 @@
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"ordered again after it was rolled back": {
-			func(w *world) {
-				w.form = forms["fails at once"]
+			func(w *cluster) {
+				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, lasts)
 				w.run(lasts)
-				w.form = form{}
+				w.behavior = versionBehavior{}
 				w.order(newVersion, lasts)
 				w.run(lasts)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the only version there is": {
-			func(w *world) {
+			func(w *cluster) {
 				delete(w.targets, oldVersion)
 				w.order(newVersion, lasts)
 				w.run(soleVersionDelay + time.Second)
@@ -190,8 +190,8 @@
 			Record{State: Completed, Current: "v2"},
 		},
 		"entries lapse for a while": {
-			func(w *world) {
-				w.form = forms["fails at once"]
+			func(w *cluster) {
+				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, lasts)
 				delete(w.targets, oldVersion)
 				w.run(soleVersionDelay - time.Second)
@@ -201,8 +201,8 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"entries lapse while the store is down": {
-			func(w *world) {
-				w.form = forms["fails at once"]
+			func(w *cluster) {
+				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, lasts)
 				w.run(time.Second)
 				w.store.down = true
@@ -216,16 +216,16 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"no targets by the deadline": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.events = nil
-				w.store.putOrder(Order{Service: theService, Version: newVersion, Duration: lasts})
+				w.store.putOrder(Order{Service: testService, Version: newVersion, Duration: lasts})
 				w.run(lasts)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"the service is not known": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.targets = nil
 				w.run(lasts)
@@ -233,9 +233,9 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"its targets come late": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
-				w.run(targetsAfter)
+				w.run(registrationDelay)
 				delete(w.targets, newVersion)
 				w.run(8 * time.Second)
 				w.targets[newVersion] = 10
@@ -244,7 +244,7 @@
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the store is down at the deadline": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(lasts / 2)
 				w.store.down = true
@@ -255,11 +255,11 @@
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"all gateways begin anew": {
-			func(w *world) {
+			func(w *cluster) {
 				w.order(newVersion, lasts)
 				w.run(5 * time.Second)
 				for _, n := range w.nodes {
-					n.begin()
+					n.start()
 				}
 				w.run(lasts)
 			},
@@ -269,9 +269,9 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 5, form{}, 1)
+			w := newCluster(t, 5, versionBehavior{}, 1)
 			c.play(w)
-			w.want(c.want.State)
+			w.wantState(c.want.State)
 			is.Equal(w.store.record.Current, c.want.Current)
 			is.Equal(append([]string(nil), w.store.record.Refused...), c.want.Refused)
 		})
@@ -286,9 +286,9 @@
 	}
 	slices.Sort(names) // or the same draws were other faults in the next run
 	rapid.Check(t, func(rt *rapid.T) {
-		f := forms[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
+		f := versionBehaviors[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
 		lasts := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
-		w := newWorld(rt, rapid.IntRange(1, 7).Draw(rt, "gateways"), f, rapid.Uint64().Draw(rt, "seed"))
+		w := newCluster(rt, rapid.IntRange(1, 7).Draw(rt, "gateways"), f, rapid.Uint64().Draw(rt, "seed"))
 		w.rate = float64(rapid.IntRange(20, 400).Draw(rt, "rate"))
 		w.order(newVersion, lasts)
 		end := w.now.Add(lasts)
@@ -305,7 +305,7 @@
 			case 2:
 				w.store.withdraw()
 			case 3:
-				n.insists = !n.insists
+				n.alwaysDecides = !n.alwaysDecides
 			case 4:
 				w.order(oldVersion, lasts)
 			default:
@@ -314,21 +314,21 @@
 					w.after(mends, faults[name](w, n))
 				}
 			}
-			end = laterTime(end, w.ordered.Add(lasts))
+			end = laterTime(end, w.orderedAt.Add(lasts))
 		}
 		w.run(8 * time.Second) // all is mended
 		if n := w.nodes[0]; n.dead {
-			n.begin()
+			n.start()
 		}
 		// If all have begun anew, the time that no record has kept is lost.
 		w.run(max(end.Sub(w.now), 0) + lasts + 4*time.Second)
-		w.end()
+		w.checkViolations()
 		if !w.store.record.isFinal() {
 			rt.Fatalf("no end: %v, order %d", w.store.record, w.store.order)
 		}
 		// Of fewer requests the share is too few answers to tell; the bound holds anyway.
 		enough := w.rate*lasts.Seconds() >= 2000
-		if f.bad() && enough && w.completed {
+		if f.bad() && enough && w.newCompleted {
 			rt.Fatalf("a bad version has been completed: %v\n%v", w.store.record, w.log)
 		}
 	})
@@ -346,9 +346,9 @@
 	cases := map[string]struct {
 		lasts time.Duration
 		rate  float64
-		play  func(w *world, strike func(fault string, mends time.Duration))
+		play  func(w *cluster, strike func(fault string, mends time.Duration))
 	}{
-		"it begins anew": {6 * time.Second, 158, func(w *world, strike func(string, time.Duration)) {
+		"it begins anew": {6 * time.Second, 158, func(w *cluster, strike func(string, time.Duration)) {
 			strike("half of them killed", 100*time.Millisecond)
 			w.order(newVersion, 6*time.Second)
 			w.order(newVersion, 6*time.Second)
@@ -356,7 +356,7 @@
 			w.run(91 * time.Millisecond)
 			strike("half of them killed", 4801*time.Millisecond)
 		}},
-		"it is connected again": {14 * time.Second, 20, func(w *world, strike func(string, time.Duration)) {
+		"it is connected again": {14 * time.Second, 20, func(w *cluster, strike func(string, time.Duration)) {
 			w.run(271 * time.Millisecond)
 			strike("answers lost, done", 100*time.Millisecond)
 			w.run(6 * time.Second)
@@ -366,49 +366,49 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2, forms["good"], 0)
+			w := newCluster(t, 2, versionBehaviors["good"], 0)
 			w.rate = test.rate
 			w.order(newVersion, test.lasts)
 			w.run(300 * time.Millisecond)
 			test.play(w, func(fault string, mends time.Duration) { w.after(mends, faults[fault](w, w.nodes[0])) })
 			w.run(8 * time.Second)
 			w.run(test.lasts + 4*time.Second)
-			w.end()
+			w.checkViolations()
 		})
 	}
 }
 
-// heldStore answers when the context ends.
-type heldStore struct{ began chan struct{} }
+// blockingStore answers when the context ends.
+type blockingStore struct{ began chan struct{} }
 
-func (s heldStore) Commit(ctx context.Context, _ Commit) (int64, error) {
+func (s blockingStore) Commit(ctx context.Context, _ Commit) (int64, error) {
 	close(s.began)
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-func (heldStore) Reachable() bool { return true }
+func (blockingStore) Reachable() bool { return true }
 
-type silent struct{}
+type noopDeps struct{}
 
-func (silent) RolloutStep(Step)               {}
-func (silent) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
+func (noopDeps) RolloutStep(Step)               {}
+func (noopDeps) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
 
 // TestCloseWaits: for the look at the roll-outs, and for a commit under way.
 func TestCloseWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := heldStore{began: make(chan struct{})}
+		store := blockingStore{began: make(chan struct{})}
 		c := NewController(ControllerOptions{
-			Options: theOptions, Store: store, Registry: silent{}, Watcher: silent{},
+			Options: testOptions, Store: store, Registry: noopDeps{}, Watcher: noopDeps{},
 		})
 		is.NoErr(c.Start(t.Context()))
-		c.Ordered(Order{Service: theService, Version: "v2", Duration: time.Minute, Revision: 1})
+		c.Ordered(Order{Service: testService, Version: "v2", Duration: time.Minute, Revision: 1})
 		<-store.began
-		is.Equal(c.Services(), []string{theService})
-		name, ok := c.ServiceOf(TallyName(theService))
+		is.Equal(c.Services(), []string{testService})
+		name, ok := c.ServiceOf(NameHash(testService))
 		is.True(ok)
-		is.Equal(name, theService)
+		is.Equal(name, testService)
 		status := c.Rollouts()
 		is.Equal(len(status), 1)
 		is.Equal(status[0].Version, "v2")
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -11,7 +11,7 @@
 )
 
 // stream is an answer of 41 events, one in 20 ms, after a head of 30 ms.
-func stream() Outcome {
+func streamOutcome() Outcome {
 	return Outcome{
 		Service: "models", Route: "chat", Ending: Answered,
 		Head: 30 * time.Millisecond, Events: 41, Span: 800 * time.Millisecond,
@@ -19,23 +19,23 @@
 }
 
 // plain is an answer without events, after 20 ms.
-func plain() Outcome {
+func plainOutcome() Outcome {
 	return Outcome{Service: "desk", Route: "order", Ending: Answered, Head: 20 * time.Millisecond}
 }
 
 // with changes an outcome.
-func with(outcome Outcome, change func(o *Outcome)) Outcome {
+func withChange(outcome Outcome, change func(o *Outcome)) Outcome {
 	change(&outcome)
 	return outcome
 }
 
 // learned knows streams and plain requests, some of the streams with a prompt to be read
 // at 50 tokens a millisecond.
-func learned() *Pace {
+func trainedPace() *Pace {
 	pace := NewPace()
 	for i := range 200 {
-		pace.Learn(plain())
-		pace.Learn(with(stream(), func(o *Outcome) {
+		pace.Learn(plainOutcome())
+		pace.Learn(withChange(streamOutcome(), func(o *Outcome) {
 			o.Unread = i % 2 * 1000
 			o.Head += time.Duration(o.Unread) * time.Millisecond / 50
 		}))
@@ -48,27 +48,27 @@
 		outcome     Outcome
 		slow, known bool
 	}{
-		"a usual stream":                 {stream(), false, true},
-		"a usual plain request":          {plain(), false, true},
-		"gaps twice as long":             {with(stream(), func(o *Outcome) { o.Span *= 2 }), false, true},
-		"gaps three times as long":       {with(stream(), func(o *Outcome) { o.Span *= 3 }), true, true},
-		"a head twice as late":           {with(stream(), func(o *Outcome) { o.Head *= 2 }), false, true},
-		"a head three times as late":     {with(stream(), func(o *Outcome) { o.Head *= 3 }), true, true},
-		"reading explains the head":      {with(stream(), func(o *Outcome) { o.Head, o.Unread = 130*time.Millisecond, 5000 }), false, true},
-		"a plain one three times slower": {with(plain(), func(o *Outcome) { o.Head *= 3 }), true, true},
-		"a plain one twice as slow":      {with(plain(), func(o *Outcome) { o.Head *= 2 }), false, true},
-		"a cold target":                  {with(stream(), func(o *Outcome) { o.Span, o.Cold = o.Span*9, true }), false, false},
-		"a failure":                      {with(stream(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Failed }), false, false},
-		"left by its caller, slow":       {with(stream(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Neutral }), true, true},
+		"a usual stream":                 {streamOutcome(), false, true},
+		"a usual plain request":          {plainOutcome(), false, true},
+		"gaps twice as long":             {withChange(streamOutcome(), func(o *Outcome) { o.Span *= 2 }), false, true},
+		"gaps three times as long":       {withChange(streamOutcome(), func(o *Outcome) { o.Span *= 3 }), true, true},
+		"a head twice as late":           {withChange(streamOutcome(), func(o *Outcome) { o.Head *= 2 }), false, true},
+		"a head three times as late":     {withChange(streamOutcome(), func(o *Outcome) { o.Head *= 3 }), true, true},
+		"reading explains the head":      {withChange(streamOutcome(), func(o *Outcome) { o.Head, o.Unread = 130*time.Millisecond, 5000 }), false, true},
+		"a plain one three times slower": {withChange(plainOutcome(), func(o *Outcome) { o.Head *= 3 }), true, true},
+		"a plain one twice as slow":      {withChange(plainOutcome(), func(o *Outcome) { o.Head *= 2 }), false, true},
+		"a cold target":                  {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Cold = o.Span*9, true }), false, false},
+		"a failure":                      {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Failed }), false, false},
+		"left by its caller, slow":       {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Neutral }), true, true},
 		"left before its head":           {Outcome{Service: "models", Route: "chat"}, false, false},
-		"few events, gaps unknown":       {with(stream(), func(o *Outcome) { o.Events, o.Span = 2, time.Second }), false, true},
-		"another route":                  {with(stream(), func(o *Outcome) { o.Route = "tag" }), false, false},
-		"another service":                {with(stream(), func(o *Outcome) { o.Service = "other" }), false, false},
+		"few events, gaps unknown":       {withChange(streamOutcome(), func(o *Outcome) { o.Events, o.Span = 2, time.Second }), false, true},
+		"another route":                  {withChange(streamOutcome(), func(o *Outcome) { o.Route = "tag" }), false, false},
+		"another service":                {withChange(streamOutcome(), func(o *Outcome) { o.Service = "other" }), false, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			slow, known := learned().Slow(test.outcome)
+			slow, known := trainedPace().Slow(test.outcome)
 			is.Equal(slow, test.slow)   // slow
 			is.Equal(known, test.known) // known
 		})
@@ -92,9 +92,9 @@
 			is := is.New(t)
 			pace := NewPace()
 			for range minPaceAnswers {
-				pace.Learn(with(stream(), test.change))
+				pace.Learn(withChange(streamOutcome(), test.change))
 			}
-			_, known := pace.Slow(stream())
+			_, known := pace.Slow(streamOutcome())
 			is.Equal(known, test.known)
 		})
 	}
@@ -105,13 +105,13 @@
 func TestPaceNeedsAnswers(t *testing.T) {
 	is := is.New(t)
 	pace := NewPace()
-	late := with(plain(), func(o *Outcome) { o.Head *= 9 })
+	late := withChange(plainOutcome(), func(o *Outcome) { o.Head *= 9 })
 	for range minPaceAnswers - 1 {
-		pace.Learn(plain())
+		pace.Learn(plainOutcome())
 	}
 	_, known := pace.Slow(late)
 	is.True(!known)
-	pace.Learn(plain())
+	pace.Learn(plainOutcome())
 	slow, known := pace.Slow(late)
 	is.True(slow)
 	is.True(known)
@@ -123,10 +123,10 @@
 // The usual follows the load, and a stray answer doesn't move it.
 func TestPaceFollows(t *testing.T) {
 	is := is.New(t)
-	pace := learned()
-	loaded := with(plain(), func(o *Outcome) { o.Head *= 4 })
+	pace := trainedPace()
+	loaded := withChange(plainOutcome(), func(o *Outcome) { o.Head *= 4 })
 	for range 4 {
-		pace.Learn(with(plain(), func(o *Outcome) { o.Head = time.Hour }))
+		pace.Learn(withChange(plainOutcome(), func(o *Outcome) { o.Head = time.Hour }))
 	}
 	slow, _ := pace.Slow(loaded)
 	is.True(slow)
@@ -145,14 +145,14 @@
 	for range 600 {
 		unread := 130 + random.IntN(2)*700
 		took := (12 + float64(unread)/50) * math.Exp(0.2*random.NormFloat64())
-		pace.Learn(with(plain(), func(o *Outcome) {
+		pace.Learn(withChange(plainOutcome(), func(o *Outcome) {
 			o.Unread, o.Head = unread, time.Duration(took*float64(time.Millisecond))
 		}))
 	}
 	for unread, usual := range map[int]float64{130: 14.6, 830: 28.6, 8300: 178} {
 		for factor, want := range map[float64]bool{1: false, 1.5: false, 4: true} {
 			took := time.Duration(usual * factor * float64(time.Millisecond))
-			slow, known := pace.Slow(with(plain(), func(o *Outcome) { o.Unread, o.Head = unread, took }))
+			slow, known := pace.Slow(withChange(plainOutcome(), func(o *Outcome) { o.Unread, o.Head = unread, took }))
 			is.True(known)
 			is.Equal(slow, want) // unread, factor
 		}
@@ -167,7 +167,7 @@
 	answer := func(factor float64) Outcome {
 		speed := math.Pow(1.3, float64(random.IntN(3)-1)) * factor
 		spread := func(sigma float64) float64 { return speed * math.Exp(sigma*random.NormFloat64()) }
-		return with(stream(), func(o *Outcome) {
+		return withChange(streamOutcome(), func(o *Outcome) {
 			o.Head = time.Duration(float64(o.Head) * spread(0.35))
 			o.Span = time.Duration(float64(o.Span) * spread(0.15))
 		})
@@ -194,7 +194,7 @@
 	is := is.New(t)
 	pace := NewPace()
 	routeOf := func(i int) Outcome {
-		return with(plain(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
+		return withChange(plainOutcome(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
 	}
 	for i := range maxPaceRoutes + 100 {
 		for range minPaceAnswers {
@@ -212,7 +212,7 @@
 	pace := NewPace()
 	outcomes := make([]Outcome, 30)
 	for i := range outcomes {
-		outcomes[i] = with(stream(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
+		outcomes[i] = withChange(streamOutcome(), func(o *Outcome) { o.Route = fmt.Sprint("route-", i) })
 		for range minPaceAnswers {
 			pace.Learn(outcomes[i])
 		}
--- a/internal/rollout/record_test.go
+++ b/internal/rollout/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func goodRecord() Record {
+func validRecord() Record {
 	return Record{
 		Order: Order{Service: "s", Version: "v2", Duration: time.Minute, Revision: 7},
 		State: Completed, Elapsed: time.Second, Current: "v2", Refused: []string{"v0", "v1"}, Served: []string{"v3"},
@@ -16,15 +16,15 @@
 
 func TestRecordComesBack(t *testing.T) {
 	is := is.New(t)
-	data, err := Encode(goodRecord())
+	data, err := Encode(validRecord())
 	is.NoErr(err)
 	read, err := Decode(data)
 	is.NoErr(err)
-	is.Equal(read, goodRecord())
+	is.Equal(read, validRecord())
 	later := append([]byte(`{"of a later release":{"x":[1]},`), data[1:]...)
 	read, err = Decode(later)
 	is.NoErr(err)
-	is.Equal(read, goodRecord())
+	is.Equal(read, validRecord())
 }
 
 func TestRecordsThatAreRefused(t *testing.T) {
@@ -49,7 +49,7 @@
 	for name, spoil := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			record := goodRecord()
+			record := validRecord()
 			spoil(&record)
 			_, err := Encode(record)
 			is.True(err != nil)
@@ -60,7 +60,7 @@
 // FuzzDecode: whatever the store holds, a record that is taken is a sound one, and comes
 // back as it is.
 func FuzzDecode(f *testing.F) {
-	data, err := Encode(goodRecord())
+	data, err := Encode(validRecord())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -214,7 +214,7 @@
 		}
 	}
 	return Report{
-		Service:  TallyName(s.name),
+		Service:  NameHash(s.name),
 		Order:    t.order.Revision,
 		Age:      now.Sub(t.knownSince),
 		Stage:    t.stageAt(now),
--- a/internal/rollout/share.go
+++ b/internal/rollout/share.go
@@ -38,7 +38,7 @@
 }
 
 // Request counts one sending to the service, to whatever version.
-func (s *Share) Request() {
+func (s *Share) CountRequest() {
 	s.requests++
 	s.saved = min(s.saved+s.ratio, maxSaved)
 }
@@ -59,7 +59,7 @@
 }
 
 // Return gives a reserved one back that was not sent.
-func (s *Share) Return() {
+func (s *Share) Release() {
 	if s.exposed > 0 {
 		s.exposed--
 		s.saved = min(s.saved+1, maxSaved)
@@ -68,6 +68,6 @@
 
 // Sent are the sendings to the service and those to the version; what is reserved is
 // among the latter.
-func (s *Share) Sent() (requests, exposed int) {
+func (s *Share) Totals() (requests, exposed int) {
 	return s.requests, s.exposed
 }
--- a/internal/rollout/share_test.go
+++ b/internal/rollout/share_test.go
@@ -19,17 +19,17 @@
 		for _, step := range rapid.SliceOf(rapid.IntRange(0, 3)).Draw(t, "steps") {
 			switch step {
 			case 0, 1:
-				share.Request()
+				share.CountRequest()
 				requests++
 			case 2:
 				if share.Reserve(rapid.Uint32Range(0, 3).Draw(t, "route"), rapid.Bool().Draw(t, "wanted")) {
 					exposed++
 				}
 			case 3:
-				share.Return()
+				share.Release()
 				exposed = max(exposed-1, 0)
 			}
-			gotRequests, gotExposed := share.Sent()
+			gotRequests, gotExposed := share.Totals()
 			if gotRequests != requests || gotExposed != exposed {
 				t.Fatalf("%d of %d, not %d of %d", gotExposed, gotRequests, exposed, requests)
 			}
@@ -60,10 +60,10 @@
 			share := NewShare(test.ratio)
 			share.random = rand.New(rand.NewPCG(3, 3)).Float64
 			for range requests {
-				share.Request()
+				share.CountRequest()
 				share.Reserve(1, test.wanted)
 			}
-			_, exposed := share.Sent()
+			_, exposed := share.Totals()
 			is.True(exposed >= test.least) // too little
 			is.True(exposed <= test.most)  // too much
 		})
@@ -74,15 +74,15 @@
 func TestShareReturns(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.5)
-	share.Request()
-	share.Request()
+	share.CountRequest()
+	share.CountRequest()
 	is.True(share.Reserve(1, true))
 	is.True(!share.Reserve(1, true)) // one of two is the share
-	share.Return()
+	share.Release()
 	is.True(share.Reserve(1, true))
-	share.Return()
-	share.Return()
-	_, exposed := share.Sent()
+	share.Release()
+	share.Release()
+	_, exposed := share.Totals()
 	is.Equal(exposed, 0)
 }
 
@@ -91,10 +91,10 @@
 	is := is.New(t)
 	share := NewShare(0.1 - 1e-11)
 	for range 10 {
-		share.Request()
+		share.CountRequest()
 	}
 	is.True(!share.Reserve(1, true))
-	share.Request()
+	share.CountRequest()
 	is.True(share.Reserve(1, true))
 }
 
@@ -103,7 +103,7 @@
 	is := is.New(t)
 	share := NewShare(0.1)
 	for range 10_000 {
-		share.Request()
+		share.CountRequest()
 	}
 	taken := 0
 	for share.Reserve(1, true) {
@@ -120,7 +120,7 @@
 		share := NewShare(0.1)
 		share.random = rand.New(rand.NewPCG(seed, 5)).Float64
 		for request := 1; ; request++ {
-			share.Request()
+			share.CountRequest()
 			if share.Reserve(1, false) {
 				first[request] = true
 				break
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/simulation_test.go
@@ -5,22 +5,22 @@
 	"math/rand/v2"
 )
 
-// trialRoute is a kind of requests with its rate in requests a second, and how long after
+// simRoute is a kind of requests with its rate in requests a second, and how long after
 // its sending an answer that is whole, or one that failed, is over.
-type trialRoute struct {
-	name       string
-	rate       float64
-	whole, bad float64
+type simRoute struct {
+	name                    string
+	rate                    float64
+	answerTime, failureTime float64
 }
 
 // trouble are the shares of answers that fail or are slow.
-type trouble struct {
+type faultRates struct {
 	failed, slow float64
 }
 
 // trial is one roll-out of a service, played in memory. Times are seconds since the order.
 type simulation struct {
-	routes   []trialRoute
+	routes   []simRoute
 	gateways int
 	// targets are those of the version that take the share.
 	targets int
@@ -29,15 +29,15 @@
 	// is when the order ends.
 	moveAt, until float64
 	// lost is the chance that a report is lost, and most how many tallies one has.
-	lost float64
-	most int
+	reportLoss float64
+	maxTallies int
 	// base is what strikes both sides, and added what the version adds to it.
-	base  func(at float64, route string) trouble
-	added func(at float64, route string, target int, moving bool) trouble
+	base  func(at float64, route string) faultRates
+	added func(at float64, route string, target int, moving bool) faultRates
 }
 
-// trialEnd is how a trial ended.
-type trialEnd struct {
+// simResult is how a trial ended.
+type simResult struct {
 	verdict Verdict
 	reason  string
 	// at is when the version was found bad; until if it wasn't.
@@ -53,42 +53,42 @@
 }
 
 const (
-	// trialTick is a step of the played time, and each gateway reports once in
-	// trialTurns of them.
-	trialTick  = 0.025
-	trialTurns = 10
-	// trialHalt is the time from the verdict to the last request that gets through.
-	trialHalt = 0.25
+	// simTick is a step of the played time, and each gateway reports once in
+	// ticksPerReport of them.
+	simTick        = 0.025
+	ticksPerReport = 10
+	// haltDelay is the time from the verdict to the last request that gets through.
+	haltDelay = 0.25
 )
 
-type trialAnswer struct {
+type simAnswer struct {
 	gateway       int
 	route, target string
 	failed, slow  bool
 }
 
-// trialRun is a trial under way.
-type trialRun struct {
+// simRun is a trial under way.
+type simRun struct {
 	simulation
 	random  *rand.Rand
 	judge   *Judge
 	shares  []*Share
 	tallies []*Tallies
 	// names are those of the version's targets.
-	names []string
-	// due are the answers by the tick at which they are over, and onTheWay how many
+	targetNames []string
+	// due are the answers by the tick at which they are over, and inFlight how many
 	// of the version's there are.
-	due      [][]trialAnswer
-	onTheWay int
-	wanted   map[uint32]bool
-	end      trialEnd
-	moving   bool
-	halted   bool
-	haltAt   float64
+	due          [][]simAnswer
+	inFlight     int
+	undersampled map[uint32]bool
+	result       simResult
+	moving       bool
+	halted       bool
+	haltAt       float64
 }
 
-func (t simulation) run(seed uint64) trialEnd {
-	r := &trialRun{simulation: t, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
+func (t simulation) run(seed uint64) simResult {
+	r := &simRun{simulation: t, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
 	for range t.gateways {
 		share := NewShare(t.share)
 		share.random = r.random.Float64
@@ -96,31 +96,31 @@
 		r.tallies = append(r.tallies, NewTallies())
 	}
 	for target := range t.targets {
-		r.names = append(r.names, fmt.Sprint("new-", target))
+		r.targetNames = append(r.targetNames, fmt.Sprint("new-", target))
 	}
-	r.end.at = t.until
-	for step := 0; float64(step)*trialTick < t.until; step++ {
-		now := float64(step) * trialTick
+	r.result.at = t.until
+	for step := 0; float64(step)*simTick < t.until; step++ {
+		now := float64(step) * simTick
 		r.arrive(now, step)
 		r.answer(step)
 		r.report(now, step)
-		if r.halted && r.onTheWay == 0 {
+		if r.halted && r.inFlight == 0 {
 			break
 		}
 	}
-	r.end.verdict, r.end.reason = r.judge.Verdict()
-	r.end.judge = r.judge
-	return r.end
+	r.result.verdict, r.result.reason = r.judge.Verdict()
+	r.result.judge = r.judge
+	return r.result
 }
 
-func (r *trialRun) chance(p float64) bool {
+func (r *simRun) chance(p float64) bool {
 	return r.random.Float64() < p
 }
 
 // arrive sends the requests of one tick.
-func (r *trialRun) arrive(now float64, step int) {
+func (r *simRun) arrive(now float64, step int) {
 	for _, route := range r.routes {
-		expected := route.rate * trialTick
+		expected := route.rate * simTick
 		count := int(expected)
 		if r.chance(expected - float64(count)) {
 			count++
@@ -131,28 +131,28 @@
 	}
 }
 
-func (r *trialRun) send(now float64, step int, route trialRoute) {
+func (r *simRun) send(now float64, step int, route simRoute) {
 	gateway := r.random.IntN(r.gateways)
 	share := r.shares[gateway]
-	name := TallyName(route.name)
+	name := NameHash(route.name)
 	// No wanted routes are known before the first grants.
 	onTrial := r.moving && !r.halted
 	if !onTrial && !r.halted {
-		onTrial = share.Reserve(name, r.wanted[name] || now < trialTurns*trialTick)
+		onTrial = share.Reserve(name, r.undersampled[name] || now < ticksPerReport*simTick)
 	}
-	share.Request()
-	r.end.requests++
-	answer := trialAnswer{gateway: gateway, route: route.name}
-	length := route.whole
-	base := trouble{}
+	share.CountRequest()
+	r.result.requests++
+	answer := simAnswer{gateway: gateway, route: route.name}
+	length := route.answerTime
+	base := faultRates{}
 	if r.base != nil {
 		base = r.base(now, route.name)
 	}
 	if onTrial {
-		r.end.exposed++
+		r.result.exposed++
 		target := r.random.IntN(r.targets)
-		answer.target = r.names[target]
-		r.onTheWay++
+		answer.target = r.targetNames[target]
+		r.inFlight++
 		more := r.added(now, route.name, target, r.moving)
 		base.failed = 1 - (1-base.failed)*(1-more.failed)
 		base.slow = 1 - (1-base.slow)*(1-more.slow)
@@ -160,16 +160,16 @@
 	answer.failed = r.chance(base.failed)
 	answer.slow = !answer.failed && r.chance(base.slow)
 	if answer.failed {
-		length = route.bad
+		length = route.failureTime
 	}
-	at := step + 1 + int(length/trialTick)
+	at := step + 1 + int(length/simTick)
 	for len(r.due) <= at {
 		r.due = append(r.due, nil)
 	}
 	r.due[at] = append(r.due[at], answer)
 }
 
-func (r *trialRun) answer(step int) {
+func (r *simRun) answer(step int) {
 	if step >= len(r.due) {
 		return
 	}
@@ -178,62 +178,62 @@
 		if answer.target == "" {
 			continue
 		}
-		r.onTheWay--
+		r.inFlight--
 		if answer.failed || answer.slow {
-			r.end.badAnswers++
+			r.result.badAnswers++
 		}
 	}
 }
 
 // report lets the gateways report in turn.
-func (r *trialRun) report(now float64, step int) {
-	for gateway := step % trialTurns; gateway < r.gateways; gateway += trialTurns {
-		tallies := r.tallies[gateway].List(r.most)
-		if !r.chance(r.lost) {
-			r.judge.Take(fmt.Sprintf("gateway-%d", gateway), tallies)
+func (r *simRun) report(now float64, step int) {
+	for gateway := step % ticksPerReport; gateway < r.gateways; gateway += ticksPerReport {
+		tallies := r.tallies[gateway].List(r.maxTallies)
+		if !r.chance(r.reportLoss) {
+			r.judge.AddReport(fmt.Sprintf("gateway-%d", gateway), tallies)
 		}
 	}
-	r.wanted = make(map[uint32]bool)
-	for _, name := range r.judge.Wanted() {
-		r.wanted[name] = true
+	r.undersampled = make(map[uint32]bool)
+	for _, name := range r.judge.UndersampledRoutes() {
+		r.undersampled[name] = true
 	}
 	verdict, _ := r.judge.Verdict()
 	if verdict == Bad && r.haltAt == 0 {
-		r.end.at = now
-		r.haltAt = now + trialHalt
+		r.result.at = now
+		r.haltAt = now + haltDelay
 	}
-	if verdict == Good && r.end.goodAt == 0 {
-		r.end.goodAt = now
+	if verdict == Good && r.result.goodAt == 0 {
+		r.result.goodAt = now
 	}
 	r.halted = r.haltAt > 0 && now >= r.haltAt
 	if now >= r.moveAt && !r.moving && verdict != Bad && (verdict == Good || r.judge.Clean()) {
 		r.moving = true
-		r.end.moved = true
+		r.result.moved = true
 	}
 }
 
 // The services of two sites whose rates the roll-outs were asked for; streams take a
 // while, requests to plain services don't.
-func largeModels() []trialRoute {
-	return []trialRoute{{"a", 47.7, 0.9, 0.9}, {"b", 136, 0.7, 0.7}, {"c", 69.1, 0.1, 0.1}}
+func largeModels() []simRoute {
+	return []simRoute{{"a", 47.7, 0.9, 0.9}, {"b", 136, 0.7, 0.7}, {"c", 69.1, 0.1, 0.1}}
 }
 
-func largePlain() []trialRoute {
-	return []trialRoute{{"a", 84.6, 0.02, 0.02}, {"b", 19.6, 0.02, 0.02}}
+func largePlain() []simRoute {
+	return []simRoute{{"a", 84.6, 0.02, 0.02}, {"b", 19.6, 0.02, 0.02}}
 }
 
-func evenModels() []trialRoute {
-	return []trialRoute{{"a", 69.6, 1.2, 1.2}, {"b", 63.3, 1, 1}, {"c", 88.7, 0.1, 0.1}}
+func evenModels() []simRoute {
+	return []simRoute{{"a", 69.6, 1.2, 1.2}, {"b", 63.3, 1, 1}, {"c", 88.7, 0.1, 0.1}}
 }
 
-func evenPlain() []trialRoute {
-	return []trialRoute{{"a", 55.4, 0.03, 0.03}, {"b", 22.2, 0.03, 0.03}}
+func evenPlain() []simRoute {
+	return []simRoute{{"a", 55.4, 0.03, 0.03}, {"b", 22.2, 0.03, 0.03}}
 }
 
 // short is an order of 12 s, of which the last 0.7 s may be the move.
-func short(routes []trialRoute, targets int) simulation {
+func shortOrder(routes []simRoute, targets int) simulation {
 	return simulation{
-		routes: routes, gateways: 28, targets: targets, share: 0.1, moveAt: 11.3, until: 12, most: 64,
-		added: func(float64, string, int, bool) trouble { return trouble{} },
+		routes: routes, gateways: 28, targets: targets, share: 0.1, moveAt: 11.3, until: 12, maxTallies: 64,
+		added: func(float64, string, int, bool) faultRates { return faultRates{} },
 	}
 }
--- a/internal/rollout/tallies.go
+++ b/internal/rollout/tallies.go
@@ -14,8 +14,8 @@
 // otherRoutes stands in tallies for all routes beyond maxTallyRoutes together.
 const otherRoutes uint32 = 0
 
-// TallyName is how tallies name routes and targets: the upper half of the name's hash.
-func TallyName(name string) uint32 {
+// NameHash is how tallies name routes and targets: the upper half of the name's hash.
+func NameHash(name string) uint32 {
 	return uint32(policy.HashName(name) >> 32)
 }
 
@@ -50,7 +50,7 @@
 func (t *Tallies) Add(route string, target string, failed, slow bool) {
 	key := tallyKey{route: t.routeOf(route)}
 	if target != "" {
-		key.target = TallyName(target)
+		key.target = NameHash(target)
 	}
 	count, ok := t.counts[key]
 	if !ok {
@@ -67,7 +67,7 @@
 }
 
 func (t *Tallies) routeOf(name string) uint32 {
-	route := TallyName(name)
+	route := NameHash(name)
 	if t.knownRoutes[route] {
 		return route
 	}
--- a/internal/rollout/tallies_test.go
+++ b/internal/rollout/tallies_test.go
@@ -13,8 +13,8 @@
 		route, target string
 		failed, slow  bool
 	}
-	chat, order := TallyName("chat"), TallyName("order")
-	one, two := TallyName("one"), TallyName("two")
+	chat, order := NameHash("chat"), NameHash("order")
+	one, two := NameHash("one"), NameHash("two")
 	tests := map[string]struct {
 		// told is what is listed before news is added.
 		told, news []added
@@ -107,9 +107,9 @@
 			failed := rapid.Bool().Draw(t, "failed")
 			slow := rapid.Bool().Draw(t, "slow")
 			tallies.Add(route, target, failed, slow)
-			key := tallyKey{route: TallyName(route)}
+			key := tallyKey{route: NameHash(route)}
 			if target != "" {
-				key.target = TallyName(target)
+				key.target = NameHash(target)
 			}
 			counts := Counts{Answers: 1}
 			if failed {
--- a/internal/rollout/probation.go
+++ b/internal/rollout/trial.go
@@ -63,7 +63,7 @@
 		t.headStart = int(random() / ratio)
 	}
 	for range t.headStart {
-		t.share.Request()
+		t.share.CountRequest()
 	}
 	return t
 }
@@ -138,7 +138,7 @@
 // sent are the sendings to the service and to the version. Further attempts don't
 // count as requests to the service: the bound is on what callers ask.
 func (t *trial) totals() (requests, exposed int) {
-	requests, exposed = t.share.Sent()
+	requests, exposed = t.share.Totals()
 	return requests - t.headStart, exposed + t.moveSends
 }
 
