--- a/internal/rollout/baseline_test.go
+++ b/internal/rollout/baseline_test.go
@@ -11,9 +11,9 @@
 		answers, troubled int
 	}
 	tests := map[string]struct {
-		steps       []step
-		prior       float64
-		least, most float64
+		reports   []step
+		prior     float64
+		low, high float64
 	}{
 		"nothing known":                    {nil, 0, 0.02, 0.02},
 		"nothing known of this route":      {nil, 0.3, 0.3, 0.4},
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var base baseline
-			for _, step := range test.steps {
+			for _, step := range test.reports {
 				base.add(step.answers, step.troubled)
 			}
 			// The service has had the prior share for long.
@@ -42,18 +42,18 @@
 			service.add(100_000, int(100_000*test.prior))
 			got := base.tolerated(&service, minBaseFailures)
 			t.Log(got)
-			is.True(got >= test.least)
-			is.True(got <= test.most)
+			is.True(got >= test.low)
+			is.True(got <= test.high)
 		})
 	}
 }
 
 // What rises on all routes together has risen on each of them, as far as is known; what
 // falls there hasn't fallen yet.
-func TestBaselineRisesWithTheService(t *testing.T) {
+func TestBaselineFollowsServiceRise(t *testing.T) {
 	tests := map[string]struct {
-		lately      int
-		least, most float64
+		recentTroubled int
+		low, high      float64
 	}{
 		"as ever":  {0, minBaseFailures, minBaseFailures},
 		"a rise":   {12, 0.1, 0.2},
@@ -65,11 +65,11 @@
 			var service, route baseline
 			service.add(4000, 0)
 			route.add(400, 0)
-			service.add(30, test.lately)
+			service.add(30, test.recentTroubled)
 			got := route.tolerated(&service, minBaseFailures)
 			t.Log(got)
-			is.True(got >= test.least)
-			is.True(got <= test.most)
+			is.True(got >= test.low)
+			is.True(got <= test.high)
 		})
 	}
 	is := is.New(t)
--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -212,26 +212,26 @@
 }
 
 // after has something done later.
-func (w *cluster) after(d time.Duration, do func()) {
+func (w *cluster) after(d time.Duration, fn func()) {
 	at := w.now.Add(d)
 	w.seq++
 	i := sort.Search(len(w.events), func(i int) bool { return w.events[i].at.After(at) })
-	w.events = slices.Insert(w.events, i, event{at, w.seq, do})
+	w.events = slices.Insert(w.events, i, event{at, w.seq, fn})
 }
 
 // send carries a message between gateways.
-func (w *cluster) send(from, to *node, do func()) {
+func (w *cluster) send(from, to *node, deliver func()) {
 	if w.random.Float64() < w.loss || !reaches(from, to) {
 		return
 	}
-	life := to.incarnation
+	incarnation := to.incarnation
 	w.after(time.Duration(w.random.Int64N(int64(w.delay))), func() {
 		switch {
-		case to.dead || to.incarnation != life || !reaches(from, to):
+		case to.dead || to.incarnation != incarnation || !reaches(from, to):
 		case to.frozen:
-			to.queued = append(to.queued, do)
+			to.queued = append(to.queued, deliver)
 		default:
-			do()
+			deliver()
 		}
 	})
 }
@@ -337,10 +337,10 @@
 	}
 }
 
-func (n *node) request(route string, again bool) {
+func (n *node) request(route string, retry bool) {
 	w := n.w
 	gate := n.control.Gate()
-	assignment := gate.Assign(AssignRequest{Service: testService, Route: route, Retry: again, HaveLeft: w.haveLeft}, w.now)
+	assignment := gate.Assign(AssignRequest{Service: testService, Route: route, Retry: retry, HaveLeft: w.haveLeft}, w.now)
 	version := w.pick(assignment.Versions)
 	if version == "" && assignment.Fallback != nil {
 		version = w.pick(*assignment.Fallback)
@@ -353,20 +353,20 @@
 		return
 	}
 	gate.RecordSend(assignment, version, w.now)
-	w.checkSend(n, version, again)
+	w.checkSend(n, version, retry)
 	target := w.random.IntN(max(w.targets[version], 1))
-	lasts := 50 * time.Millisecond
+	duration := 50 * time.Millisecond
 	if w.random.IntN(10) == 0 {
-		lasts = 1500 * time.Millisecond
+		duration = 1500 * time.Millisecond
 	}
-	life := n.incarnation
-	w.after(lasts, func() {
-		if n.dead || n.incarnation != life {
+	incarnation := n.incarnation
+	w.after(duration, func() {
+		if n.dead || n.incarnation != incarnation {
 			return
 		}
 		outcome := w.answer(route, version, target)
 		gate.Observe(outcome, w.now)
-		if outcome.Ending == Failed && !again {
+		if outcome.Ending == Failed && !retry {
 			n.request(route, true)
 		}
 	})
@@ -436,17 +436,17 @@
 }
 
 // sent checks where a request went.
-func (w *cluster) checkSend(n *node, version string, again bool) {
-	isNew := 0.0
+func (w *cluster) checkSend(n *node, version string, retry bool) {
+	newVersionPart := 0.0
 	if version == newVersion {
-		isNew = 1
+		newVersionPart = 1
 	}
-	w.newVersionShare += 0.1 * (isNew - w.newVersionShare)
+	w.newVersionShare += 0.1 * (newVersionPart - w.newVersionShare)
 	for _, win := range w.windows {
 		if w.now.After(win.until) {
 			continue
 		}
-		if !again {
+		if !retry {
 			win.requests++
 		}
 		if version == win.version {
@@ -492,19 +492,19 @@
 
 // order has the operators order a version, whose targets come soon. They can't while
 // the store is down.
-func (w *cluster) order(version string, lasts time.Duration) {
+func (w *cluster) order(version string, duration time.Duration) {
 	if w.store.down {
 		return
 	}
 	w.orderedAt, w.badAnswers, w.badShownAt, w.haltedAt = w.now, 0, time.Time{}, time.Time{}
-	w.windows = append(w.windows, &window{version: version, until: w.now.Add(lasts)})
+	w.windows = append(w.windows, &window{version: version, until: w.now.Add(duration)})
 	// Its targets register after it, as the store's order has it.
 	w.after(registrationDelay, func() {
 		if w.targets != nil {
 			w.targets[version] = max(w.targets[version], 10)
 		}
 	})
-	w.store.putOrder(Order{Service: testService, Version: version, Duration: lasts})
+	w.store.putOrder(Order{Service: testService, Version: version, Duration: duration})
 }
 
 // end fails the test for what was broken.
@@ -548,11 +548,11 @@
 func (s *memStore) publish(apply func(n *node)) {
 	s.history = append(s.history, apply)
 	for _, n := range s.w.nodes {
-		life := n.incarnation
+		incarnation := n.incarnation
 		// In the store's order.
 		n.replicaAt = laterTime(n.replicaAt, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
 		s.w.after(n.replicaAt.Sub(s.w.now), func() {
-			if n.incarnation == life {
+			if n.incarnation == incarnation {
 				n.pendingChanges = append(n.pendingChanges, apply)
 			}
 		})
@@ -604,10 +604,10 @@
 		answer(w.timeout, 0, errNoAnswer)
 		return
 	}
-	takes := 4*time.Millisecond + s.slow
-	lose := s.lostAnswers
-	s.w.after(takes/2, func() {
-		switch lose {
+	latency := 4*time.Millisecond + s.slow
+	lostAnswers := s.lostAnswers
+	s.w.after(latency/2, func() {
+		switch lostAnswers {
 		case "not":
 			answer(w.timeout, 0, errNoAnswer)
 		case "later":
@@ -615,11 +615,11 @@
 			answer(w.timeout, 0, errNoAnswer)
 		default:
 			revision, err := s.apply(w.commit)
-			if lose == "done" || takes > w.timeout {
+			if lostAnswers == "done" || latency > w.timeout {
 				answer(w.timeout, 0, errNoAnswer)
 				return
 			}
-			answer(takes/2, revision, err)
+			answer(latency/2, revision, err)
 		}
 	})
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -10,50 +10,53 @@
 )
 
 const (
-	// stepInterval is the time between two looks at all roll-outs: short beside the time
-	// between reports.
+	// stepInterval is the time between two evaluations of all roll-outs. It is short compared
+	// with the time between reports.
 	stepInterval = 100 * time.Millisecond
-	// moveStepInterval is the same in a move, whose last moment for a commit may not be missed:
-	// commitReserve leaves the store some 150 ms after it, which a look every 100 ms made 50.
+	// moveStepInterval is the same during a move, whose last moment for a commit must not be
+	// missed: commitReserve leaves the store some 150 ms after it, which steps every 100 ms
+	// reduced to 50 ms.
 	moveStepInterval = 20 * time.Millisecond
-	// maxStepGap is after what time without a look no report is answered: the process was
-	// held up, and another one may decide.
+	// maxStepGap is the time since the last step after which reports are no longer answered: the
+	// process was stalled, and another gateway may have become the decider.
 	maxStepGap = 500 * time.Millisecond
-	// noticeInterval and noticeRepeats have an end told again: datagrams get lost.
+	// noticeInterval and noticeRepeats control how often the end of an order is announced again,
+	// since datagrams get lost.
 	noticeInterval = 250 * time.Millisecond
 	noticeRepeats  = 4
-	// maxPeersTTL is how long a controller remembers how many gateways there were: long
-	// beside orders and cuts of the network. A fleet that shrinks to less than half has to
-	// wait so long for its next completion.
+	// maxPeersTTL is how long a controller remembers the largest number of gateways seen. It is
+	// long compared with orders and network partitions. A fleet that shrinks to less than half
+	// has to wait this long for its next completion.
 	maxPeersTTL = time.Hour
-	// maxPendingSteps bounds the steps kept for the watcher between two looks.
+	// maxPendingSteps limits the steps queued for the watcher between two evaluations.
 	maxPendingSteps = 256
 )
 
-// Registry says which targets there are.
+// Registry lists the registered targets.
 type Registry interface {
-	// Versions are how many targets of each version a service has; nil if it is unknown.
+	// Versions returns the number of targets per version of a service, or nil if the service is
+	// unknown.
 	Versions(service string) map[string]int
 }
 
-// ControllerOptions are what a controller is made of.
+// ControllerOptions holds the options and dependencies of a controller.
 type ControllerOptions struct {
 	Options Options
 	Store   Store
 	// Peers is nil for a single gateway, which decides about all services.
 	Peers Peers
-	// Registry may be nil where only orders are handed in, and Start isn't called.
+	// Registry may be nil if only orders are passed in and Start isn't called.
 	Registry Registry
 	Watcher  Watcher
 }
 
-// Controller moves traffic as the operators order it: it decides about some services,
-// and obeys those who decide about the others. It is safe for concurrent use. It calls
-// none of its parts while it holds a lock, so that they may call it under theirs.
+// Controller moves traffic as the operators order it. It decides about some services, and follows
+// the gateways that decide about the others. It is safe for concurrent use. It calls none of its
+// dependencies while it holds a lock, so that they may call it while holding theirs.
 type Controller struct {
 	options ControllerOptions
 	gate    *Gate
-	// commit begins to write, and has committed called with the answer.
+	// startCommit begins a write, and arranges for commitDone to be called with the result.
 	startCommit func(w pendingCommit)
 	wake        chan struct{}
 	cancel      context.CancelFunc
@@ -63,23 +66,24 @@
 	mu             sync.Mutex
 	deciders       map[string]*deciderState
 	reportInterval time.Duration
-	// most other gateways were heard at maxPeersAt.
+	// maxPeers is the largest number of other gateways seen recently, and maxPeersAt is when they
+	// were seen.
 	maxPeers   int
 	maxPeersAt time.Time
-	// steppedAt is when the roll-outs were last looked at.
+	// steppedAt is the time of the last evaluation of the roll-outs.
 	steppedAt time.Time
 	notices   []notice
-	// steps are those that the watcher has not been told yet.
+	// steps are queued for the watcher.
 	steps []Step
 }
 
-// notice is a grant that nobody asked for, to be sent at a time.
+// notice is an unsolicited grant to be sent at a given time.
 type notice struct {
 	grant Grant
 	at    time.Time
 }
 
-// NewController returns a controller that Start begins.
+// NewController returns a controller, which Start runs.
 func NewController(options ControllerOptions) *Controller {
 	c := &Controller{
 		options:        options,
@@ -92,12 +96,12 @@
 	return c
 }
 
-// Gate is this gateway's part in all roll-outs.
+// Gate returns this gateway's gate, which applies all roll-outs to its requests.
 func (c *Controller) Gate() *Gate {
 	return c.gate
 }
 
-// Start begins to decide.
+// Start begins to evaluate the roll-outs in the background.
 func (c *Controller) Start(context.Context) error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.wait.Go(func() {
@@ -115,7 +119,7 @@
 	return nil
 }
 
-// nextStepDelay is the time until the next look at all roll-outs.
+// nextStepDelay returns the time until the next evaluation of all roll-outs.
 func (c *Controller) nextStepDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,14 +132,14 @@
 	return next
 }
 
-// Close ends the work and waits for it.
+// Close stops the background work and waits for it to end.
 func (c *Controller) Close() error {
 	c.cancel()
 	c.wait.Wait()
 	return nil
 }
 
-// urge has the roll-outs looked at soon.
+// requestStep triggers an evaluation of the roll-outs soon.
 func (c *Controller) requestStep() {
 	select {
 	case c.wake <- struct{}{}:
@@ -143,8 +147,8 @@
 	}
 }
 
-// Ordered takes an order from the replica of the store. It doesn't block, like
-// Withdrawn and Recorded.
+// Ordered handles an order from the replica of the store. Like Withdrawn and Recorded, it doesn't
+// block.
 func (c *Controller) Ordered(order Order) {
 	c.ordered(order, clock.Now())
 }
@@ -161,7 +165,7 @@
 	c.requestStep()
 }
 
-// Withdrawn says that the store holds no order for a service any more.
+// Withdrawn handles the removal of a service's order from the store.
 func (c *Controller) Withdrawn(service string) {
 	c.withdrawn(service, clock.Now())
 }
@@ -171,7 +175,7 @@
 	c.requestStep()
 }
 
-// Recorded takes a record and its revision from the replica of the store.
+// Recorded handles a record and its revision from the replica of the store.
 func (c *Controller) Recorded(record Record, revision int64) {
 	c.recorded(record, revision, "", clock.Now())
 }
@@ -183,7 +187,7 @@
 	}
 	c.requestStep()
 	if before.Order.Revision == record.Order.Revision && before.State == record.State {
-		return // only the time since the order is another one
+		return // only the time elapsed since the order has changed
 	}
 	c.addStep(Step{
 		Kind: StepRecorded, Service: record.Order.Service, Version: record.Order.Version,
@@ -191,14 +195,14 @@
 	})
 }
 
-// tell keeps a step for the watcher.
+// addStep queues a step for the watcher.
 func (c *Controller) addStep(step Step) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addStepLocked(step)
 }
 
-// addStepLocked is tell while c.mu is held.
+// addStepLocked is addStep with c.mu held.
 func (c *Controller) addStepLocked(step Step) {
 	if d := c.deciders[step.Service]; d != nil && d.decider != nil {
 		step.Requests, step.Exposed = d.decider.totals()
@@ -208,14 +212,14 @@
 	}
 }
 
-// outside is what the other parts say about a service.
+// serviceInput is what the dependencies report about a service.
 type serviceInput struct {
 	view     view
 	decides  bool
 	versions map[string]int
 }
 
-// step looks at all roll-outs. While none is under way it only counts the gateways.
+// step evaluates all roll-outs. While none is running it only counts the gateways.
 func (c *Controller) step(now time.Time) {
 	var inputs []serviceInput
 	for _, v := range c.gate.views(now) {
@@ -241,7 +245,7 @@
 	}
 }
 
-// stepAll decides about the services whose roll-outs are under way.
+// stepAll decides about the services whose roll-outs are running.
 func (c *Controller) stepAll(inputs []serviceInput, livePeers []string, reachable bool, now time.Time) ([]Step, []pendingCommit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -279,7 +283,7 @@
 	return steps, commits
 }
 
-// duty is that of a service, made at need; c.mu is held.
+// deciderFor returns a service's state, creating it if necessary; c.mu is held.
 func (c *Controller) deciderFor(service string) *deciderState {
 	d := c.deciders[service]
 	if d == nil {
@@ -289,10 +293,10 @@
 	return d
 }
 
-// fewer says whether this process hears less than half of the gateways that there were.
-// It is probably the one that is cut off then: it begins no move, completes nothing, and
-// judges nothing for lack of evidence. If it doesn't reach the store either nobody could
-// tell it of a halt, so it allows itself nothing. c.mu is held.
+// inMinority reports whether this process is in contact with less than half of the gateways that
+// there were. It is probably the one that is partitioned off then, so it begins no move,
+// completes nothing, and passes no verdict for lack of evidence. If it can't reach the store
+// either, no other gateway could tell it of a halt, so it grants itself nothing. c.mu is held.
 func (c *Controller) inMinority(livePeers int, now time.Time) bool {
 	if livePeers >= c.maxPeers || now.Sub(c.maxPeersAt) > maxPeersTTL {
 		c.maxPeers, c.maxPeersAt = livePeers, now
@@ -316,12 +320,13 @@
 	}
 	decision := d.decider.step(s, now)
 	c.noteStage(d, decision, now)
-	// Nobody answers the own reports; what is granted holds as if they had been sent.
+	// No peer answers the gateway's own reports, so its grant is applied as if they had been
+	// sent.
 	c.gate.obey(d.decider.answerReport(NameHash(input.view.service), now), now, now)
 	return decision
 }
 
-// noteStage tells of a change of what is allowed; c.mu is held.
+// noteStage queues a step for the watcher if the allowed stage has changed; c.mu is held.
 func (c *Controller) noteStage(d *deciderState, decision decision, now time.Time) {
 	step := Step{
 		Kind: StepStage, Service: d.decider.order.Service, Version: d.decider.order.Version,
@@ -340,14 +345,14 @@
 	c.addStepLocked(step)
 }
 
-// notifyEndLocked has all other gateways told of an order's end; c.mu is held.
+// notifyEndLocked schedules notices of an order's end to all other gateways; c.mu is held.
 func (c *Controller) notifyEndLocked(grant Grant, now time.Time) {
 	for i := range noticeRepeats {
 		c.notices = append(c.notices, notice{grant: grant, at: now.Add(time.Duration(i) * noticeInterval)})
 	}
 }
 
-// stepWithdrawn has the end of an order written that was withdrawn before it.
+// stepWithdrawn commits the end of an order that was withdrawn while it was running.
 func (c *Controller) stepWithdrawn(v view, now time.Time) decision {
 	confirmed := v.withdrawalSeen || now.Sub(v.recordedAt) >= replicaReadTime
 	if v.withdrawnOrder.Revision == 0 || !confirmed {
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -10,60 +10,60 @@
 )
 
 const (
-	// commitRetryDelay is the time between a commit that failed and the next one: short, since
-	// a move's time costs exposure.
+	// commitRetryDelay is the delay before a failed commit is retried. It is short, since time
+	// spent in a move costs exposure.
 	commitRetryDelay = 200 * time.Millisecond
-	// maxCommitRetryDelay is what it grows to while the store is away, but in a move: a record
-	// that is late by so much costs nothing, and the store is tried at once when it answers
-	// anything.
+	// maxCommitRetryDelay limits the backoff while the store is unavailable, except in a move. A
+	// record delayed by this much does no harm, and a commit is retried at once when the store
+	// answers any call.
 	maxCommitRetryDelay = 5 * time.Second
-	// maxCountedFailures is how many are counted: the pause has grown by then.
+	// maxCountedFailures limits the count of failures: the delay has reached its maximum by then.
 	maxCountedFailures = 8
-	// outdatedRetryDelay is the same where the store holds something else than was known,
-	// which the replica brings soon.
+	// outdatedRetryDelay is the delay if the store holds something newer than was known, which
+	// the replica delivers soon.
 	outdatedRetryDelay = time.Second
 )
 
-// duty is what a controller keeps of a service besides its gate.
+// deciderState is what a controller keeps about a service besides its gate.
 type deciderState struct {
-	// decides says whether this process decides about the service.
+	// decides reports whether this process decides about the service.
 	decides bool
-	// decider is nil before this process has ever decided about the running order.
+	// decider is nil if this process has never decided about the running order.
 	decider *decider
-	// stage and halted are those that the watcher was told.
+	// stage and halted are the values last reported to the watcher.
 	stage  Stage
 	halted bool
-	// writing says that the store has not answered a commit yet.
+	// commitInFlight is set until the store has answered a commit.
 	commitInFlight bool
-	// failed is how the last commit ended, and over the record that it built on; it is
-	// tried again at again, or when another record is known.
+	// lastErr is the result of the last commit, and lastOver the revision of the record that it
+	// replaced. The commit is retried at retryAt, or when another record becomes known.
 	lastErr  error
 	lastOver int64
 	retryAt  time.Time
-	// moveRetryAt is again in a move, whose time costs exposure.
+	// moveRetryAt replaces retryAt in a move, whose time costs exposure.
 	moveRetryAt time.Time
-	// failures counts the commits that failed since the store answered last, and told is
-	// the last one that the watcher was told.
+	// failures counts the failed commits since the store last answered, and lastReported is the
+	// last failure reported to the watcher.
 	failures     int
 	lastReported string
-	// away says that the store didn't answer at the last look.
+	// storeAway is set if the store was unreachable at the last evaluation.
 	storeAway bool
-	// unsure is a completion that the store has not answered, and may still take; nil
-	// for none. A newer record or order ends the doubt.
+	// unresolved is a completion whose commit was not answered and may still take effect, or nil.
+	// A newer record or order resolves it.
 	unresolved *Commit
-	// completing says that it was the last commit.
+	// lastCompleted is set if the last commit was a completion.
 	lastCompleted bool
 }
 
-// writing is a commit that the store is to take within a time.
+// pendingCommit is a commit to be made within a time limit.
 type pendingCommit struct {
 	commit  Commit
 	timeout time.Duration
-	// reason is in plain words.
+	// reason explains the commit to operators.
 	reason string
 }
 
-// doubts says whether the store may still take a completion that it has not answered.
+// hasUnresolved reports whether an unanswered completion may still take effect in the store.
 func (d *deciderState) hasUnresolved(v view) bool {
 	if d.unresolved != nil && (v.revision != d.unresolved.Over || v.order.Revision != d.unresolved.Record.Order.Revision) {
 		d.unresolved = nil
@@ -71,7 +71,8 @@
 	return d.unresolved != nil
 }
 
-// back has a commit tried at once if the store answers again.
+// noteReachable records whether the store is reachable; a commit is retried at once if it has
+// come back.
 func (d *deciderState) noteReachable(reachable bool) {
 	if reachable && d.storeAway {
 		d.failures, d.retryAt = 0, time.Time{}
@@ -79,7 +80,7 @@
 	d.storeAway = !reachable
 }
 
-// fail takes that a commit failed, and says whether that is news.
+// noteFailure records a failed commit and reports whether it differs from the last reported one.
 func (d *deciderState) noteFailure(state State, err error, now time.Time) bool {
 	if errors.Is(err, ErrOutdated) {
 		d.failures = 0
@@ -98,7 +99,7 @@
 	return changed
 }
 
-// due is the commit to be begun now, if one is wanted.
+// nextCommit returns the commit to begin now, if there is one.
 func (d *deciderState) nextCommit(decision decision, revision int64, now time.Time) (pendingCommit, bool) {
 	timeout := decision.by.Sub(now)
 	if decision.commit == nil || d.commitInFlight || timeout <= 0 {
@@ -117,7 +118,7 @@
 	return pendingCommit{commit: *decision.commit, timeout: timeout, reason: decision.reason}, true
 }
 
-// commitAsync writes in a goroutine of its own.
+// commitAsync makes the commit in its own goroutine.
 func (c *Controller) commitAsync(w pendingCommit) {
 	c.wait.Go(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, w.timeout)
@@ -127,7 +128,7 @@
 	})
 }
 
-// committed takes the store's answer.
+// commitDone handles the store's answer to a commit.
 func (c *Controller) commitDone(w pendingCommit, revision int64, err error, now time.Time) {
 	record := w.commit.Record
 	c.mu.Lock()
@@ -139,7 +140,7 @@
 		d.unresolved = &w.commit
 	}
 	if err == nil && d.lastCompleted {
-		// The old targets stop now, and the record takes a while to reach the others.
+		// The old targets stop now, and the record takes a while to reach the other gateways.
 		c.notifyEndLocked(Grant{
 			Service: NameHash(record.Order.Service), Order: record.Order.Revision,
 			Stage: Move, Age: record.Elapsed, End: Done,
--- a/internal/rollout/controller_peers.go
+++ b/internal/rollout/controller_peers.go
@@ -7,7 +7,7 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// Reports are those that are due to the gateways that decide.
+// Reports returns the reports that are due to the gateways that decide.
 func (c *Controller) Reports(now time.Time) []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -17,7 +17,8 @@
 	})
 }
 
-// Report takes another gateway's report and answers it; false for no answer.
+// Report handles another gateway's report and returns the grant that answers it; false means no
+// answer.
 func (c *Controller) Report(from string, report Report, now time.Time) (Grant, bool) {
 	name, ok := c.gate.nameOf(report.Service)
 	if !ok {
@@ -39,8 +40,8 @@
 	return d.decider.answerReport(report.Service, now), true
 }
 
-// Grant takes the answer to a report that was sent at sentAt, or a notice if that is
-// the zero time.
+// Grant handles the answer to a report that was sent at sentAt, or a notice if sentAt is the zero
+// time.
 func (c *Controller) Grant(from string, grant Grant, sentAt, now time.Time) {
 	order, halted := c.gate.obey(grant, sentAt, now)
 	if !halted {
@@ -48,12 +49,12 @@
 	}
 	c.addStep(Step{
 		Kind: StepHalted, Service: order.Service, Version: order.Version, Order: order.Revision,
-		Age: grant.Age, Reason: "gateway " + from + " has halted the version; its log has the reason",
+		Age: grant.Age, Reason: "gateway " + from + " halted the version; its log has the reason",
 	})
 	c.requestStep()
 }
 
-// Notices are to be sent to all other gateways at once; each is given out once.
+// Notices returns the notices to be sent to all other gateways now. Each is returned once.
 func (c *Controller) Notices(now time.Time) []Grant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,12 +69,12 @@
 	return due
 }
 
-// ServiceOf is the name of a service with an order, by the upper half of its hash.
+// ServiceOf returns the name of a service by the upper half of the name's hash.
 func (c *Controller) ServiceOf(hash uint32) (string, bool) {
 	return c.gate.nameOf(hash)
 }
 
-// Services are those with a running order, by name.
+// Services returns the names of the services with a running order, sorted.
 func (c *Controller) Services() []string {
 	var names []string
 	for _, v := range c.gate.views(clock.Now()) {
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -8,19 +8,19 @@
 )
 
 // parts are all that a controller has around it.
-type fakeParts struct {
+type fakeDeps struct {
 	noopDeps
 	nodeStore
-	decides bool
-	live    []string
-	away    bool
+	decides   bool
+	live      []string
+	storeAway bool
 }
 
-func (p *fakeParts) Decides(string) bool { return p.decides }
-func (p *fakeParts) LiveIDs() []string   { return p.live }
-func (p *fakeParts) Reachable() bool     { return !p.away }
+func (p *fakeDeps) Decides(string) bool { return p.decides }
+func (p *fakeDeps) LiveIDs() []string   { return p.live }
+func (p *fakeDeps) Reachable() bool     { return !p.storeAway }
 
-func newTestController(p *fakeParts) *Controller {
+func newTestController(p *fakeDeps) *Controller {
 	c := NewController(ControllerOptions{
 		Options: testOptions, Store: p, Peers: p, Registry: p, Watcher: p,
 	})
@@ -33,10 +33,10 @@
 	return Report{Service: NameHash(testService), Order: 1, Stage: stage}
 }
 
-// TestHaltIsTold: to all, some times, each notice once.
-func TestHaltIsTold(t *testing.T) {
+// TestHaltNotices: to all, some times, each notice once.
+func TestHaltNotices(t *testing.T) {
 	is := is.New(t)
-	c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
 	c.step(testTime)
 	c.Grant("b", haltNotice(1), time.Time{}, testTime)
 	c.step(testTime)
@@ -51,8 +51,8 @@
 	is.Equal(grant.For, time.Duration(0)) // and so says each answer
 }
 
-// TestCompletionIsTold: to all, some times, once the store has it.
-func TestCompletionIsTold(t *testing.T) {
+// TestCompletionNotices: to all, some times, once the store has it.
+func TestCompletionNotices(t *testing.T) {
 	cases := map[string]struct {
 		state State
 		err   error
@@ -67,13 +67,13 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+			c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
 			c.step(testTime)
 			record := Record{Order: newOrder("v2", 1), State: test.state, Elapsed: time.Second}
 			c.commitDone(pendingCommit{commit: Commit{Record: record}}, 2, test.err, testTime)
-			told := c.Notices(testTime.Add(noticeRepeats * noticeInterval))
-			is.Equal(len(told), test.want)
-			for _, grant := range told {
+			notices := c.Notices(testTime.Add(noticeRepeats * noticeInterval))
+			is.Equal(len(notices), test.want)
+			for _, grant := range notices {
 				want := doneNotice(1)
 				want.Age = time.Second
 				is.Equal(grant, want)
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestWhoAnswers: only a process that decides, and that has looked lately.
-func TestWhoAnswers(t *testing.T) {
+// TestReportsAnsweredByDecider: only a process that decides, and that has looked lately.
+func TestReportsAnsweredByDecider(t *testing.T) {
 	is := is.New(t)
-	p := &fakeParts{decides: true, live: []string{"b"}}
+	p := &fakeDeps{decides: true, live: []string{"b"}}
 	c := newTestController(p)
 	answer := func(now time.Time) (Stage, bool) {
 		grant, ok := c.Report("b", testReport(Hold), now)
@@ -115,25 +115,25 @@
 	is.Equal(stage, Hold) // until it has heard all again
 }
 
-// TestCutOff: a process that hears few of the gateways, and not the store, allows itself
+// TestPartitionedGateway: a process that hears few of the gateways, and not the store, allows itself
 // nothing.
-func TestCutOff(t *testing.T) {
+func TestPartitionedGateway(t *testing.T) {
 	cases := map[string]struct {
-		live []string
-		away bool
-		want bool
+		live      []string
+		storeAway bool
+		want      bool
 	}{
-		"few are heard":                        {nil, false, true},
-		"the store is away":                    {[]string{"b", "c"}, true, true},
-		"few are heard, and the store is away": {nil, true, false},
+		"few are heard":     {nil, false, true},
+		"the store is away": {[]string{"b", "c"}, true, true},
+		"few are heard, and the store is unreachable": {nil, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := &fakeParts{decides: true, live: []string{"b", "c"}}
+			p := &fakeDeps{decides: true, live: []string{"b", "c"}}
 			control := newTestController(p)
 			control.step(testTime)
-			p.live, p.away = c.live, c.away
+			p.live, p.storeAway = c.live, c.storeAway
 			control.step(testTime.Add(stepInterval))
 			_, ok := control.Report("b", testReport(Hold), testTime.Add(stepInterval))
 			is.Equal(ok, c.want)
@@ -141,11 +141,11 @@
 	}
 }
 
-// TestOrderedAgainAfterItsEnd: sums of an order that has ended are not the next one's,
+// TestTotalsResetAfterEnd: sums of an order that has ended are not the next one's,
 // also if nobody looked in between.
-func TestOrderedAgainAfterItsEnd(t *testing.T) {
+func TestTotalsResetAfterEnd(t *testing.T) {
 	is := is.New(t)
-	c := newTestController(&fakeParts{decides: true, live: []string{"b"}})
+	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
 	c.step(testTime)
 	c.Report("b", Report{Service: NameHash(testService), Order: 1, Requests: 900, Exposed: 90}, testTime)
 	c.recorded(Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", testTime)
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -6,59 +6,61 @@
 	"time"
 )
 
-// situation is what a decider is told at each step.
+// stepInput is the input of one step of a decider.
 type stepInput struct {
-	// view is what the own gate knows; its trial is running.
+	// view is the state of the own gate; its trial is running.
 	view view
-	// report is what the own gate reports.
+	// report is the own gate's report.
 	report Report
-	// every is the time between reports.
+	// reportInterval is the time between reports.
 	reportInterval time.Duration
-	// live are the other gateways that are heard.
+	// livePeers are the other gateways that are alive.
 	livePeers []string
-	// few says that they are so few that this process is probably cut off from the others,
-	// and most how many there were.
+	// minority is set if there are so few peers that this process is probably partitioned off
+	// from the others; maxPeers is how many there were.
 	minority bool
 	maxPeers int
-	// reachable says whether the store answered the last call.
+	// reachable reports whether the store answered the last call.
 	reachable bool
-	// versions are the service's targets, by version.
+	// versions is the number of the service's targets per version.
 	versions map[string]int
-	// committing says that the store has not yet answered a commit.
+	// committing is set while the store has not answered a commit.
 	committing bool
-	// unsure says that a completion which builds on the known record was not answered:
-	// the store may still take it.
+	// completionUnresolved is set if a completion that replaces the known record was not
+	// answered: the store may still apply it.
 	completionUnresolved bool
 }
 
-// decider takes the steps of one service's roll-out. It is pure: it hears reports, and
-// tells what to allow and what to write.
+// decider takes the steps of one service's roll-out. It is a pure state machine: its inputs are
+// reports, and its outputs are what to allow and what to write.
 type decider struct {
 	options Options
 	order   Order
-	// first is the revision of the first order of the trial.
+	// firstRevision is the revision of the trial's first order.
 	firstRevision int64
-	// since is when the order became known to the first gateway, as far as is known.
+	// knownSince is when the order became known to the first gateway, as far as this process
+	// knows.
 	knownSince time.Time
 	deadline   time.Time
-	// before are the sums at the last order, if it is not the trial's first.
+	// requestsBefore and exposedBefore are the totals at the last order, if it is not the trial's
+	// first.
 	requestsBefore, exposedBefore int
 	judge                         *Judge
 	gateways                      map[string]*gatewayReports
-	// began is when this process began to decide.
+	// decidingSince is when this process began to decide.
 	decidingSince  time.Time
 	reportInterval time.Duration
 	stage          Stage
-	// moveUntil is when the gateways leave the move; it is in the past but in a move.
+	// moveUntil is when the gateways leave the move. It is in the past unless a move is running.
 	moveBegan, moveUntil time.Time
-	// reason is why the version gets nothing any more; empty if it may.
+	// haltReason is why the version may get no more requests; empty if it may.
 	haltReason string
-	// alone is since when the service has had targets of the version only.
+	// soleSince is when the service was first seen with targets of this version only.
 	soleSince time.Time
-	// others are the other versions that were seen since the order.
+	// otherVersions are the other versions seen since the order.
 	otherVersions map[string]bool
-	// listed are the versions that had targets when the first order was taken up, if no
-	// gateway had taken it up before; nil before the registry has said so.
+	// initialVersions are the versions that had targets when the first order was taken up, unless
+	// a gateway had taken up an order before. It is nil until the registry has answered.
 	initialVersions []string
 }
 
@@ -69,18 +71,18 @@
 	}
 }
 
-// rest has the decider allow nothing until it has heard all gateways again: it was not
-// its turn in between.
+// reset makes the decider allow nothing until all gateways have reported again, after another
+// process has decided in between.
 func (d *decider) reset(now time.Time) {
 	d.stage, d.decidingSince, d.soleSince = Hold, now, time.Time{}
 }
 
-// decision is what a step decides; the stage is the decider's.
+// decision is the result of a step. The stage is in the decider.
 type decision struct {
-	// commit is what is to be written, if it isn't nil, with an answer before by.
+	// commit is the commit to make, to be answered before by, or nil.
 	commit *Commit
 	by     time.Time
-	// reason is why the stage or the state is another one now; empty for no change.
+	// reason is why the stage or the state has changed; empty for no change.
 	reason string
 }
 
@@ -101,10 +103,11 @@
 	reason := d.advance(s, now)
 	if d.stage == Move && d.moveComplete(s, now) {
 		by := d.moveUntil.Add(-holdMargin)
-		return decision{commit: d.commitFor(s, Completed, now), by: by, reason: "all gateways send everything to the version"}
+		return decision{commit: d.commitFor(s, Completed, now), by: by, reason: "all gateways send all requests to the version"}
 	}
 	if s.completionUnresolved && !now.Before(d.moveUntil.Add(-holdMargin)) {
-		// The gateways send to the others again: the completion must not be taken now.
+		// The gateways send to the other versions again, so the completion must not take effect
+		// now.
 		return decision{commit: d.commitFor(s, Running, now), by: now.Add(commitTimeout), reason: reason}
 	}
 	if d.stage != Move && d.recordOutdated(s, now) {
@@ -113,9 +116,9 @@
 	return decision{reason: reason}
 }
 
-// recordOutdated says whether the record lacks the order, or much of the time since: all
-// gateways may begin anew, and the deadline is to stay. Not shortly before a move, since
-// a record that is written late would take the place of the one that it builds on.
+// recordOutdated reports whether the record lacks the order or much of the time elapsed since.
+// All gateways may restart, and the deadline must not change. It is false shortly before a move,
+// since a record that is written late would replace the one that the completion builds on.
 func (d *decider) recordOutdated(s stepInput, now time.Time) bool {
 	record := s.view.record
 	if record.Order.Revision < d.order.Revision {
@@ -125,14 +128,14 @@
 	return age-record.Elapsed >= elapsedInterval && age+elapsedInterval < d.timePart(moveStart)
 }
 
-// learn takes what has changed since the last step.
+// update takes over what has changed since the last step.
 func (d *decider) update(s stepInput, now time.Time) {
 	d.reportInterval = s.reportInterval
 	if s.view.order.Revision != d.order.Revision {
 		d.order, d.knownSince = s.view.order, s.view.knownSince
 		d.requestsBefore, d.exposedBefore = d.totals()
 		if d.stage == Move {
-			// The completion of the order before can't be written any more.
+			// The completion of the previous order can no longer be written.
 			d.stage = Canary
 		}
 	}
@@ -158,8 +161,8 @@
 	}
 }
 
-// versionsBeforeOrder are the versions that have targets before the first order's version has
-// shown anything; none if another order or a record came before.
+// versionsBeforeOrder returns the versions that have targets before the version of the first
+// order has proved itself. It is empty if there was another order or a record before.
 func versionsBeforeOrder(s stepInput) []string {
 	if s.view.revision != 0 {
 		return []string{}
@@ -173,7 +176,8 @@
 	return sortedVersions(listed, append([]string{s.view.order.Version}, s.view.refused...)...)
 }
 
-// served are the versions that served before the first order, for the record.
+// initialVersionsToRecord returns the versions that served before the first order, for the
+// record.
 func (d *decider) initialVersionsToRecord(v view) []string {
 	if v.record.Current != "" {
 		return nil
@@ -185,10 +189,10 @@
 	return served
 }
 
-// condemned is why the version gets nothing any more; empty if it may.
+// checkHalt returns why the version may get no more requests; empty if it may.
 func (d *decider) checkHalt(s stepInput, now time.Time) string {
 	if s.view.halted {
-		return "another gateway has halted the version; its log has the reason"
+		return "another gateway halted the version; its log has the reason"
 	}
 	if s.view.isProven() {
 		return ""
@@ -200,8 +204,9 @@
 	return d.checkDeadline(s, now)
 }
 
-// overdue is what the clock says against the version; empty for nothing. Before the
-// deadline the others are heard first: what a new decider lacks they may have.
+// checkDeadline returns the reason to halt the version for lack of time; empty for none. Before
+// the deadline all gateways must have reported first, since they may have the evidence that a new
+// decider lacks.
 func (d *decider) checkDeadline(s stepInput, now time.Time) string {
 	if !now.Before(d.deadline) {
 		return d.appendMissing(s, "the deadline has passed")
@@ -219,25 +224,26 @@
 	return d.appendMissing(s, "no time is left for the move")
 }
 
-// undone adds to a reason what the roll-out lacks.
+// appendMissing adds what the roll-out lacks to a reason.
 func (d *decider) appendMissing(s stepInput, reason string) string {
 	switch {
 	case s.versions == nil:
-		return reason + ", and the service is not known"
+		return reason + ", and the service is unknown"
 	case s.versions[d.order.Version] == 0:
 		return reason + ", and the version has no targets"
 	case !s.reachable:
-		return reason + ", and the store is away"
+		return reason + ", and the store is unreachable"
 	}
 	return reason
 }
 
-// at is a part of the time from the order to its deadline.
+// timePart returns a fraction of the time from the order to its deadline.
 func (d *decider) timePart(factor float64) time.Duration {
 	return scale(d.deadline.Sub(d.knownSince), factor)
 }
 
-// standing is why the version has everything without a move; empty if it hasn't.
+// completeWithoutMove returns why the version gets all requests without a move; empty if it
+// doesn't.
 func (d *decider) completeWithoutMove(s stepInput, now time.Time) string {
 	if s.minority {
 		return ""
@@ -257,13 +263,13 @@
 	return "the service has no targets of other versions"
 }
 
-// hadOthers says whether the service ever had another version, as far as is known: a new
-// decider has not seen those that were there before it.
+// hadOthers reports whether the service is known to have had another version. A new decider
+// hasn't seen the ones that were there before it.
 func (d *decider) hadOthers(v view) bool {
 	return len(d.otherVersions) > 0 || v.record.Current != "" || len(v.refused) > 0
 }
 
-// advance goes to another stage if it is time, and says why.
+// advance moves to another stage if it is time, and returns the reason.
 func (d *decider) advance(s stepInput, now time.Time) string {
 	switch d.stage {
 	case Hold:
@@ -272,7 +278,7 @@
 			return ""
 		}
 		d.stage = Canary
-		return "the version's targets are listed"
+		return "targets of the version are registered"
 	case Canary:
 		return d.beginMove(s, now)
 	case Move:
@@ -280,12 +286,12 @@
 			return ""
 		}
 		d.stage = Canary
-		return "the move's time is over, and the store has not taken it"
+		return "the move ended before the store recorded its completion"
 	}
 	return ""
 }
 
-// begin starts the move if it is time, and says why.
+// beginMove starts the move if it is time, and returns the reason.
 func (d *decider) beginMove(s stepInput, now time.Time) string {
 	verdict, reason := d.judge.Verdict()
 	age := now.Sub(d.knownSince)
@@ -297,8 +303,8 @@
 		return ""
 	}
 	if s.versions[d.order.Version] == 0 || s.view.record.Order.Revision != d.order.Revision {
-		// A record that the store may write later would take the place of the one on
-		// which the completion builds.
+		// A record that the store may apply later would replace the one that the completion
+		// builds on.
 		return ""
 	}
 	duration := d.affordableMove(s, now)
@@ -306,16 +312,16 @@
 		return ""
 	}
 	d.stage, d.moveBegan, d.moveUntil = Move, now, now.Add(duration)
-	return fmt.Sprintf("%s; the share is enough for a move of %d ms", reason, duration.Milliseconds())
+	return fmt.Sprintf("%s; the share allows a move of %d ms", reason, duration.Milliseconds())
 }
 
-// minMoveDuration is how long a move lasts at least: all gateways hear of it with their next
-// report, say so, and the store answers.
+// minMoveDuration returns the shortest useful duration of a move: all gateways receive its grant
+// with their next report and confirm it, and the store answers.
 func (d *decider) minMoveDuration() time.Duration {
 	return d.moveReportInterval() + entryMargin + commitReserve
 }
 
-// stepInterval is the time until the next look at the roll-out.
+// stepInterval returns the time until the next evaluation of the roll-out.
 func (d *decider) stepInterval() time.Duration {
 	if d.stage == Move {
 		return moveStepInterval
@@ -323,7 +329,7 @@
 	return stepInterval
 }
 
-// moveReportInterval is the time between reports when a move may begin.
+// moveReportInterval returns the time between reports when a move may begin.
 func (d *decider) moveReportInterval() time.Duration {
 	if isShortOrder(d.order, d.options) {
 		return d.reportInterval / shortOrderReportFactor
@@ -331,9 +337,9 @@
 	return d.reportInterval
 }
 
-// moved says whether the completion may be written now: all live gateways obey the
-// move, all requests have gone to the version for a while, and nothing is under way at
-// others, or there is no more time to wait for it.
+// moveComplete reports whether the completion may be written now: all live gateways follow the
+// move, all requests have gone to the version for a while, and no requests are in flight at other
+// versions, or there is no more time to wait for them.
 func (d *decider) moveComplete(s stepInput, now time.Time) bool {
 	if !s.reachable || s.minority || !now.Before(d.moveUntil.Add(-holdMargin)) {
 		return false
--- a/internal/rollout/decider_commits.go
+++ b/internal/rollout/decider_commits.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// write is the record of a state.
+// commitFor returns the commit of a state.
 func (d *decider) commitFor(s stepInput, state State, now time.Time) *Commit {
 	v := s.view
 	record := Record{
@@ -32,7 +32,7 @@
 	return &Commit{Record: record, Over: v.revision}
 }
 
-// withdraw is the record of an order that was withdrawn before its end.
+// withdrawalCommit returns the commit that ends an order withdrawn while it was running.
 func withdrawalCommit(v view, now time.Time) *Commit {
 	elapsed := time.Duration(0)
 	if v.record.Order.Revision == v.withdrawnOrder.Revision {
@@ -46,7 +46,7 @@
 	return &Commit{Record: record, Over: v.revision, Withdrawn: true}
 }
 
-// answer is the grant for a report that arrives now.
+// answerReport returns the grant for a report that arrives now.
 func (d *decider) answerReport(service uint32, now time.Time) Grant {
 	grant := Grant{
 		Service: service,
@@ -63,7 +63,7 @@
 		grant.For = d.moveUntil.Sub(now)
 	}
 	if grant.For <= 0 {
-		// The next step decides; until then nothing is allowed that a halt would end.
+		// The next step decides. Until then nothing is allowed that a halt would end.
 		grant.Stage, grant.For = Hold, d.reportInterval
 	}
 	return grant
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -12,28 +12,28 @@
 	return newDecider(options, v, testTime)
 }
 
-// TestSumsOfLives: what a gateway had sent before it began anew still counts, and parts
+// TestTotalsAcrossIncarnations: what a gateway had sent before it began anew still counts, and parts
 // of the share that are given back are no new beginning.
-func TestSumsOfLives(t *testing.T) {
+func TestTotalsAcrossIncarnations(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
-	hear := func(requests, exposed int) (int, int) {
+	report := func(requests, exposed int) (int, int) {
 		d.addReport("a", Report{Order: 1, Requests: requests, Exposed: exposed}, testTime)
 		return d.totals()
 	}
-	hear(100, 10)
-	requests, exposed := hear(100, 9)
+	report(100, 10)
+	requests, exposed := report(100, 9)
 	is.Equal([]int{requests, exposed}, []int{100, 9})
-	requests, exposed = hear(5, 1)
+	requests, exposed = report(5, 1)
 	is.Equal([]int{requests, exposed}, []int{105, 10})
 	d.addReport("a", Report{Order: 2, Requests: 900}, testTime) // another order
 	requests, _ = d.totals()
 	is.Equal(requests, 105)
 }
 
-// TestAgeIsTheLongest: the deadline is reckoned from the gateway that knew the order
+// TestOrderAgeOfEarliestGateway: the deadline is reckoned from the gateway that knew the order
 // first.
-func TestAgeIsTheLongest(t *testing.T) {
+func TestOrderAgeOfEarliestGateway(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
 	d.addReport("a", Report{Order: 1, Age: 20 * time.Second}, testTime)
@@ -42,13 +42,13 @@
 	is.Equal(d.answerReport(1, testTime).Age, 20*time.Second)
 }
 
-// TestTimesOfReports: among more gateways reports come less often, but never so late
+// TestReportIntervals: among more gateways reports come less often, but never so late
 // that a grant's time were over before the bound for rolling back.
-func TestTimesOfReports(t *testing.T) {
+func TestReportIntervals(t *testing.T) {
 	cases := map[string]struct {
-		gateways     int
-		rollback     time.Duration
-		every, grant time.Duration
+		gateways        int
+		rollback        time.Duration
+		interval, grant time.Duration
 	}{
 		"one":             {1, 5 * time.Second, 250 * time.Millisecond, 1200 * time.Millisecond},
 		"28":              {28, 5 * time.Second, 250 * time.Millisecond, 1200 * time.Millisecond},
@@ -61,15 +61,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			options := Options{Rollback: c.rollback}
-			every := reportInterval(options, c.gateways)
-			is.Equal(every, c.every)
-			is.Equal(grantDuration(options, every), c.grant)
+			interval := reportInterval(options, c.gateways)
+			is.Equal(interval, c.interval)
+			is.Equal(grantDuration(options, interval), c.grant)
 		})
 	}
 }
 
-// TestAnswersEndAtTheDeadline: no grant outlasts the order or its move.
-func TestAnswersEndAtTheDeadline(t *testing.T) {
+// TestGrantsEndAtDeadline: no grant outlasts the order or its move.
+func TestGrantsEndAtDeadline(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
 	d.reportInterval, d.stage, d.deadline = baseReportInterval, Canary, testTime.Add(time.Second)
@@ -115,20 +115,20 @@
 	}
 }
 
-// TestAMoveLeavesTheStoreItsTime: whenever the steps of the process that decides fall, the
+// TestMoveLeavesTimeForCommit: whenever the steps of the process that decides fall, the
 // completion of the shortest move has time for the store to answer. A commit that had less
 // was not made, the move was spent for nothing, and the share not enough for another before
 // the deadline: a good version was rolled back, in three of five runs after the gateway that
 // decided had begun anew.
-func TestAMoveLeavesTheStoreItsTime(t *testing.T) {
+func TestMoveLeavesTimeForCommit(t *testing.T) {
 	const storeTakes = 100 * time.Millisecond
 	for phase := time.Duration(0); phase < stepInterval; phase += tick {
 		t.Run(phase.String(), func(t *testing.T) {
 			is := is.New(t)
 			d := newTestDecider(testOptions)
-			begins := scale(time.Minute-orderLag, moveStart)
-			runSteps(d, 0, begins, func(*stepInput) {})
-			d.stage, d.moveBegan = Move, testTime.Add(begins)
+			start := scale(time.Minute-orderLag, moveStart)
+			runSteps(d, 0, start, func(*stepInput) {})
+			d.stage, d.moveBegan = Move, testTime.Add(start)
 			d.moveUntil = d.moveBegan.Add(d.minMoveDuration())
 			for now := d.moveBegan.Add(phase); ; now = now.Add(d.stepInterval()) {
 				made := d.step(newStepInput(d, now), now)
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestMoveBegins: in its time, and only if all gateways are heard, the store answers, no
+// TestMoveStart: in its time, and only if all gateways are heard, the store answers, no
 // record is under way, and the share is enough.
-func TestMoveBegins(t *testing.T) {
+func TestMoveStart(t *testing.T) {
 	cases := map[string]struct {
 		change func(s *stepInput)
 		want   Stage
@@ -163,10 +163,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := newTestDecider(testOptions)
-			begins := scale(time.Minute-orderLag, moveStart)
-			runSteps(d, 0, begins-baseReportInterval, func(*stepInput) {})
+			start := scale(time.Minute-orderLag, moveStart)
+			runSteps(d, 0, start-baseReportInterval, func(*stepInput) {})
 			is.Equal(d.stage, Canary) // not before its time
-			runSteps(d, begins, begins+time.Second, c.change)
+			runSteps(d, start, start+time.Second, c.change)
 			is.Equal(d.stage, c.want)
 			is.Equal(d.moveBegan.IsZero(), c.want != Move)
 			is.Equal(d.haltReason, "")
@@ -174,36 +174,36 @@
 	}
 }
 
-// TestAlone: a service counts as moved that has had targets of the version only for a
+// TestSoleVersion: a service counts as moved that has had targets of the version only for a
 // while, in which the store would have told of others.
-func TestAlone(t *testing.T) {
+func TestSoleVersion(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
-	standing := func(after time.Duration, reachable bool) string {
+	completionReason := func(after time.Duration, reachable bool) string {
 		now := testTime.Add(after)
 		s := newStepInput(d, now)
 		s.versions, s.reachable = map[string]int{"v2": 1}, reachable
 		d.step(s, now)
 		return d.completeWithoutMove(s, now)
 	}
-	is.Equal(standing(0, true), "")
-	is.Equal(standing(soleVersionDelay-time.Millisecond, false), "")
-	is.Equal(standing(soleVersionDelay, true), "") // the store was away
-	is.True(standing(2*soleVersionDelay, true) != "")
+	is.Equal(completionReason(0, true), "")
+	is.Equal(completionReason(soleVersionDelay-time.Millisecond, false), "")
+	is.Equal(completionReason(soleVersionDelay, true), "") // the store was away
+	is.True(completionReason(2*soleVersionDelay, true) != "")
 	d.otherVersions["v1"] = true
-	is.Equal(standing(2*soleVersionDelay, true), "") // it has not proved good, and others were there
+	is.Equal(completionReason(2*soleVersionDelay, true), "") // it has not proved good, and others were there
 }
 
-// TestClockWaitsForReports: what the clock says against a version waits until a new
+// TestDeadlineCheckWaitsForReports: what the clock says against a version waits until a new
 // decider has heard the others, but not for ever, and not after the deadline.
-func TestClockWaitsForReports(t *testing.T) {
+func TestDeadlineCheckWaitsForReports(t *testing.T) {
 	late := scale(time.Minute-orderLag, verdictDeadline) + time.Second
 	waits := 2*baseReportInterval + reportGrace
 	cases := map[string]struct {
 		// live are heard at once as far as they have reported.
 		live, reported []string
 		// after is how long after the decider began it looks.
-		began, after time.Duration
+		start, after time.Duration
 		want         bool
 	}{
 		"nobody has reported":                     {[]string{"b", "c"}, nil, late, 0, false},
@@ -218,7 +218,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			began, now := testTime.Add(c.began), testTime.Add(c.began+c.after)
+			began, now := testTime.Add(c.start), testTime.Add(c.start+c.after)
 			v := view{
 				service: testService, running: true, order: newOrder("v2", 1), knownSince: testTime,
 				record: Record{Order: newOrder("v2", 1), State: Running},
@@ -239,9 +239,9 @@
 	}
 }
 
-// TestAloneAfterOthers: a new decider that sees no other version goes by what is known of
+// TestSoleVersionAfterOthers: a new decider that sees no other version goes by what is known of
 // the service.
-func TestAloneAfterOthers(t *testing.T) {
+func TestSoleVersionAfterOthers(t *testing.T) {
 	cases := map[string]struct {
 		change func(s *stepInput)
 		want   bool
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestCompletionWaits: for each live gateway to say that it obeys the move.
-func TestCompletionWaits(t *testing.T) {
+// TestCompletionWaitsForGateways: for each live gateway to say that it obeys the move.
+func TestCompletionWaitsForGateways(t *testing.T) {
 	cases := map[string]struct {
 		change func(d *decider, s *stepInput)
 		want   bool
@@ -325,9 +325,9 @@
 	}
 }
 
-// TestAffords: everything may go to the version for as long as the share and the slack
+// TestAffordableMove: everything may go to the version for as long as the share and the slack
 // cover it, counted from the last order.
-func TestAffords(t *testing.T) {
+func TestAffordableMove(t *testing.T) {
 	const rate = 80 // requests a second of two gateways
 	bound := testOptions.Share*1000 + testOptions.Slack
 	cases := map[string]struct {
@@ -354,19 +354,19 @@
 			}
 			now := testTime.Add(time.Second + baseReportInterval) // all reports are due
 			c.change(d)
-			lasts := d.affordableMove(stepInput{livePeers: []string{"b"}}, now)
+			duration := d.affordableMove(stepInput{livePeers: []string{"b"}}, now)
 			want := min(maxMove.Seconds(), c.want/(rate*rateMargin))
-			is.True(lasts.Seconds() > want-0.001 && lasts.Seconds() < want+0.001)
+			is.True(duration.Seconds() > want-0.001 && duration.Seconds() < want+0.001)
 		})
 	}
 }
 
-// TestPartOfTheSlack: by the most gateways that there were.
-func TestPartOfTheSlack(t *testing.T) {
+// TestUsableSlack: by the most gateways that there were.
+func TestUsableSlack(t *testing.T) {
 	cases := map[string]struct {
-		live []string
-		most int
-		want float64
+		live     []string
+		maxPeers int
+		want     float64
 	}{
 		"all":                     {[]string{"b"}, 1, testOptions.Slack},
 		"a fresh one":             {[]string{"b"}, 0, testOptions.Slack},
@@ -380,13 +380,13 @@
 			d := newTestDecider(testOptions)
 			d.addReport(selfID, Report{Order: 1}, testTime)
 			d.addReport("b", Report{Order: 1}, testTime)
-			is.Equal(d.usableSlack(stepInput{livePeers: c.live, maxPeers: c.most}), c.want)
+			is.Equal(d.usableSlack(stepInput{livePeers: c.live, maxPeers: c.maxPeers}), c.want)
 		})
 	}
 }
 
-// TestMoveOfAnOrderBefore: it can't be completed for the next order.
-func TestMoveOfAnOrderBefore(t *testing.T) {
+// TestMoveOfPreviousOrder: it can't be completed for the next order.
+func TestMoveOfPreviousOrder(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
 	d.stage, d.moveBegan, d.moveUntil = Move, testTime, testTime.Add(3*time.Second)
@@ -397,11 +397,11 @@
 	is.Equal(d.order.Revision, int64(2))
 }
 
-// TestCompletionInDoubt: after a completion that the store has not answered, the running
+// TestUnresolvedCompletion: after a completion that the store has not answered, the running
 // record is written over the same one, and no move begins.
-func TestCompletionInDoubt(t *testing.T) {
+func TestUnresolvedCompletion(t *testing.T) {
 	cases := map[string]struct {
-		unsure bool
+		unresolved bool
 		// left is what is left of a move; below zero after it.
 		left   time.Duration
 		reason string
@@ -424,7 +424,7 @@
 			now := testTime.Add(scale(time.Minute-orderLag, cleanMoveStart)).Add(time.Second)
 			d.stage, d.moveBegan, d.moveUntil = Move, now.Add(-maxMove/2), now.Add(c.left)
 			s := newStepInput(d, now)
-			s.completionUnresolved, s.view.record.Elapsed = c.unsure, now.Sub(testTime)
+			s.completionUnresolved, s.view.record.Elapsed = c.unresolved, now.Sub(testTime)
 			decision := d.step(s, now)
 			if c.want == "" {
 				is.Equal(decision.commit, nil)
@@ -436,9 +436,9 @@
 	}
 }
 
-// TestFailuresAreTold: the first, and each other one. The pause grows, but in a move, and
+// TestCommitFailures: the first, and each other one. The pause grows, but in a move, and
 // ends when the store answers again.
-func TestFailuresAreTold(t *testing.T) {
+func TestCommitFailures(t *testing.T) {
 	is := is.New(t)
 	d := new(deciderState)
 	wait := func() time.Duration { return d.retryAt.Sub(testTime) }
@@ -464,13 +464,13 @@
 	is.Equal(wait(), outdatedRetryDelay)
 }
 
-// TestCommitsAgain: one at a time, after a while, or at once when what it was too late
+// TestCommitRetries: one at a time, after a while, or at once when what it was too late
 // for is known.
-func TestCommitsAgain(t *testing.T) {
+func TestCommitRetries(t *testing.T) {
 	commit := decision{commit: &Commit{}, by: testTime.Add(time.Second)}
-	again := testTime.Add(commitRetryDelay)
+	retryAt := testTime.Add(commitRetryDelay)
 	cases := map[string]struct {
-		duty     deciderState
+		state    deciderState
 		decision decision
 		want     bool
 	}{
@@ -478,17 +478,17 @@
 		"nothing to write":            {deciderState{}, decision{by: commit.by}, false},
 		"no time":                     {deciderState{}, decision{commit: commit.commit, by: testTime}, false},
 		"one under way":               {deciderState{commitInFlight: true}, commit, false},
-		"failed just now":             {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
-		"a completion just now":       {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: again}, commit, true},
-		"failed after a completion":   {deciderState{lastErr: errNoAnswer, retryAt: again}, commit, false},
+		"failed just now":             {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
+		"a completion just now":       {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: retryAt}, commit, true},
+		"failed after a completion":   {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
 		"failed a while ago":          {deciderState{lastErr: errNoAnswer, retryAt: testTime}, commit, true},
-		"outdated, nothing new":       {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: again}, commit, false},
-		"outdated, and a record came": {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: again}, commit, true},
+		"outdated, nothing new":       {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: retryAt}, commit, false},
+		"outdated, and a record came": {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: retryAt}, commit, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, due := c.duty.nextCommit(c.decision, 7, testTime)
+			_, due := c.state.nextCommit(c.decision, 7, testTime)
 			is.Equal(due, c.want)
 		})
 	}
--- a/internal/rollout/dependencies.go
+++ b/internal/rollout/dependencies.go
@@ -7,40 +7,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOutdated says that a commit was not done, and never will be, since the store holds
-// another order or another record than it builds on.
-var ErrOutdated = errors.New("another order or record is in the store")
+// ErrOutdated means that a commit had no effect, and never will, since the store holds another
+// order or record than the commit builds on.
+var ErrOutdated = errors.New("the store holds another order or record")
 
 // Commit is a record to be written together with the status that operators read.
 type Commit struct {
 	Record Record
-	// Over is the revision of the record that it takes the place of; zero for none.
+	// Over is the revision of the record to be replaced; zero for none.
 	Over int64
-	// Withdrawn says that the condition on the order is that the store holds none.
+	// Withdrawn makes the commit conditional on the store holding no order for the service.
 	Withdrawn bool
 }
 
-// Store keeps records. A commit that ends with an error other than ErrOutdated may have
-// been done, or may be done later if what it builds on still holds then.
+// Store keeps records. A commit that fails with an error other than ErrOutdated may have taken
+// effect, or may take effect later if its conditions still hold then.
 type Store interface {
-	// Commit writes the record and the status in one transaction, on condition that the
-	// order's key still has the order's revision and the record's key that of Over. It
-	// returns the new revision of the record.
+	// Commit writes the record and the status in one transaction, on the conditions that the
+	// order's key still has the order's revision and that the record's key still has the revision
+	// Over. It returns the new revision of the record.
 	Commit(ctx context.Context, commit Commit) (int64, error)
-	// Reachable says whether the last call to the store was answered.
+	// Reachable reports whether the last call to the store was answered.
 	Reachable() bool
 }
 
-// Peers are the other gateways.
+// Peers gives access to the other gateways.
 type Peers interface {
-	// Decides says whether this process is the one that decides about a service, by the
-	// gateways that it hears.
+	// Decides reports whether this process is the one that decides about a service, among the
+	// gateways that it knows to be alive.
 	Decides(service string) bool
-	// LiveIDs are the ids of the other gateways that sent a beat lately.
+	// LiveIDs returns the IDs of the other gateways that have sent a heartbeat recently.
 	LiveIDs() []string
 }
 
-// StepKind is what happened to a roll-out.
+// StepKind is the kind of a change to a roll-out.
 type StepKind string
 
 // The kinds of steps.
@@ -49,15 +49,15 @@
 	StepOrdered StepKind = "ordered"
 	// StepStage: this process, which decides, allows another stage from now on.
 	StepStage StepKind = "stage"
-	// StepHalted: the version gets nothing any more, before the store has it.
+	// StepHalted: the version gets no more requests, before the store has the record of that.
 	StepHalted StepKind = "halted"
 	// StepRecorded: the store has a new state.
 	StepRecorded StepKind = "recorded"
-	// StepCommitFailed: a state could not be written; it will be tried again.
+	// StepCommitFailed: a state could not be written; the commit will be retried.
 	StepCommitFailed StepKind = "commit_failed"
 )
 
-// Step is a change that operators want to know of, with the figures that decided it.
+// Step is a change that operators want to know of, with the figures behind the decision.
 type Step struct {
 	Kind    StepKind
 	Service string
@@ -65,12 +65,12 @@
 	Order   int64
 	State   State
 	Stage   Stage
-	// Reason is in plain words; empty if the kind says all.
+	// Reason explains the step in plain language; empty if the kind says it all.
 	Reason string
 	// Age is how long the order has been known.
 	Age time.Duration
-	// Requests and Exposed are the sendings of all gateways to the service and to the
-	// version since the order, as far as they have been reported.
+	// Requests and Exposed count the requests that all gateways have reported since the order:
+	// those to the service, and those to the version.
 	Requests, Exposed int
 	Err               error
 }
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -9,33 +9,33 @@
 	"github.com/capersaddle/capersaddle/internal/balance"
 )
 
-// Options are the operators' bounds.
+// Options are the limits that the operators set.
 type Options struct {
-	// Share of the requests to a service, plus Slack requests, is what a version may get
-	// before it has proved good, over all gateways.
+	// Share of the requests to a service, plus Slack requests, is the most that a version may get
+	// from all gateways together before it has proved good.
 	Share float64
 	Slack float64
-	// Rollback is how long after its failures have shown a bad version may still get
-	// requests.
+	// Rollback is the time within which a bad version stops getting requests after its failures
+	// have shown.
 	Rollback time.Duration
 }
 
-// Gate is one gateway's part in all roll-outs: which versions may get a request, and
-// how they answer. It is safe for concurrent use.
+// Gate is one gateway's part in all roll-outs: it selects the versions that may get a request,
+// and counts how they answer. It is safe for concurrent use.
 type Gate struct {
 	options Options
-	// random is in [0, 1); no two gateways are to do the same at the same time.
+	// random returns a number in [0, 1). It keeps gateways from acting in step.
 	random func() float64
 
 	mu       sync.Mutex
 	services map[string]*service
-	// byHash are the services by the upper half of the hash of their name.
+	// byHash holds the services by the upper half of the hash of their name.
 	byHash map[uint32]*service
-	// news is closed, and another one made, when an order or a record becomes known.
+	// changed is closed and replaced when an order or a record becomes known.
 	changed chan struct{}
 }
 
-// NewGate returns a gate that knows of no order.
+// NewGate returns a gate that knows no orders.
 func NewGate(options Options) *Gate {
 	return &Gate{
 		options: options, random: rand.Float64,
@@ -44,16 +44,16 @@
 	}
 }
 
-// announce wakes those that wait for news; g.mu is held.
+// notifyChange wakes the requests that wait for a change; g.mu is held.
 func (g *Gate) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Await is for a request that has found no target though the version of a running order may
-// have some: the order may be completed, and the news of that on its way. It gives a channel
-// that is closed when an order or a record becomes known, and until when to wait for that;
-// false where there is nothing to wait for, or no more.
+// Await serves a request that has found no target although the version of a running order may
+// have some: the order may be completed, with the record of that still in transit. It returns a
+// channel that is closed when an order or a record becomes known, and the time until which to
+// wait for that. ok is false if there is nothing to wait for, or the wait is over.
 func (g *Gate) Await(service string, now time.Time) (changed <-chan struct{}, until time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,29 +68,30 @@
 	return g.changed, until, now.Before(until)
 }
 
-// Ask is a request that needs a target.
+// AssignRequest describes a request that needs a target.
 type AssignRequest struct {
 	Service string
 	Route   string
-	// Again says that another target has had it before.
+	// Retry is set if the request was sent to another target before.
 	Retry bool
-	// Left says whether all targets of some versions have left by plan; nil is never.
+	// HaveLeft reports whether all targets of some versions have left as planned. A nil function
+	// means they haven't.
 	HaveLeft func(versions balance.Versions) bool
 }
 
-// Assignment is which versions a request may go to.
+// Assignment holds the versions that a request may go to.
 type Assignment struct {
 	Versions balance.Versions
-	// Otherwise takes its place where no target of Versions is open; nil for nothing.
+	// Fallback replaces Versions if none of their targets is available; nil for no fallback.
 	Fallback *balance.Versions
 	service  string
 	isRetry  bool
-	// reserved is the trial whose share holds a part for the request; nil for none.
+	// reserved is the trial whose share has a reservation for the request; nil for none.
 	reserved *trial
 }
 
-// Assign says where a request may go. Each is followed by one call of Chosen, or of
-// Unused if no target was found.
+// Assign returns the versions that a request may go to. Each call is followed by one call of
+// RecordSend, or of Release if no target was found.
 func (g *Gate) Assign(ask AssignRequest, now time.Time) Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,7 +128,8 @@
 	return assignment
 }
 
-// Chosen counts a sending to a target of a version. Each is followed by one Observe.
+// RecordSend counts a request sent to a target of a version. Each call is followed by one call of
+// Observe.
 func (g *Gate) RecordSend(assignment Assignment, version string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -154,7 +156,7 @@
 	}
 }
 
-// Unused gives an assignment back.
+// Release returns the reservation of an assignment that was not used.
 func (g *Gate) Release(assignment Assignment) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,8 +165,8 @@
 	}
 }
 
-// Admitting says which versions take requests of a service at all, as far as is known
-// now: what counts for the room that it has.
+// AdmittedVersions returns the versions that currently take requests of a service, as far as is
+// known. The capacity of the service is computed from them.
 func (g *Gate) AdmittedVersions(service string, now time.Time) balance.Versions {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,40 +180,41 @@
 	return s.baseVersions
 }
 
-// Ending is how a sending ended, as far as it says something of the target's version.
+// Ending is how a request to a target ended, as far as that is evidence about the target's
+// version.
 type Ending int
 
 // The endings.
 const (
-	// Neutral: the caller left, nothing arrived at the target, or the fault was ours.
+	// Neutral: the caller left, nothing reached the target, or the gateway was at fault.
 	Neutral Ending = iota
-	// Answered: whole, as it should be.
+	// Answered: the answer was complete and valid.
 	Answered
-	// Failed: a failure of the target's own, no answer, one broken off or spoilt.
+	// Failed: the target failed, gave no answer, or its answer was cut off or corrupt.
 	Failed
 )
 
-// Outcome is how a sending ended.
+// Outcome describes the result of one request to a target.
 type Outcome struct {
 	Service string
 	Route   string
-	// Target is its id, and Version its version.
+	// Target is the target's ID, and Version its version.
 	Target  string
 	Version string
 	Ending  Ending
-	// Head is the time to the head of the answer, or to the first event; zero if none came.
+	// Head is the time to the response head, or to the first event; zero if none came.
 	Head time.Duration
-	// Unread are the tokens of the prompt that the target probably had to read; zero for
-	// plain requests.
+	// Unread is the number of prompt tokens that the target probably had to process, rather than
+	// find in its cache; zero for plain requests.
 	Unread int
-	// Events is how many events came, and Span the time from the first to the last.
+	// Events is the number of events, and Span the time from the first to the last.
 	Events int
 	Span   time.Duration
-	// Cold says that the target had just started.
+	// Cold is set if the target had just started.
 	Cold bool
 }
 
-// Observe ends a sending that Chosen counted.
+// Observe records the outcome of a request that RecordSend counted.
 func (g *Gate) Observe(outcome Outcome, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -242,7 +245,7 @@
 	s.trial.tallies.Add(outcome.Route, target, failed, slow)
 }
 
-// service is the part of a service, made at need; g.mu is held.
+// service returns the state of a service, creating it if necessary; g.mu is held.
 func (g *Gate) service(name string) *service {
 	s := g.services[name]
 	if s == nil {
@@ -253,13 +256,13 @@
 	return s
 }
 
-// Ordered takes an order, and says whether it is new.
+// Ordered handles an order and reports whether it is new.
 func (g *Gate) Ordered(order Order, now time.Time) bool {
 	return g.ordered(order, nil, now)
 }
 
-// ordered is Ordered, with the numbers of the service's targets by version; nil if they
-// are unknown.
+// ordered is Ordered with the number of the service's targets per version; nil if that is
+// unknown.
 func (g *Gate) ordered(order Order, listed map[string]int, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -276,7 +279,7 @@
 	return true
 }
 
-// Withdrawn says that the store holds no order for a service any more.
+// Withdrawn handles the removal of a service's order from the store.
 func (g *Gate) Withdrawn(service string, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -290,13 +293,13 @@
 	g.notifyChange()
 }
 
-// Recorded takes a record with its revision in the store, and says whether it is new.
+// Recorded handles a record with its revision in the store and reports whether it is new.
 func (g *Gate) Recorded(record Record, revision int64, now time.Time) bool {
 	_, taken := g.recorded(record, revision, now)
 	return taken
 }
 
-// recorded is Recorded, and tells the record before.
+// recorded is Recorded, and also returns the previous record.
 func (g *Gate) recorded(record Record, revision int64, now time.Time) (Record, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -311,8 +314,8 @@
 	return before, true
 }
 
-// obey takes a grant, or a notice if sentAt is the zero time. It says whether that has
-// halted an order's version.
+// obey applies a grant, or a notice if sentAt is the zero time. It returns the order, and reports
+// whether its version was halted by that.
 func (g *Gate) obey(grant Grant, sentAt, now time.Time) (Order, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -323,7 +326,7 @@
 	return s.trial.order, s.trial.apply(grant, sentAt, now)
 }
 
-// report is what there is to say about a service; false for no running order.
+// report returns this gateway's report about a service; false if no order is running.
 func (g *Gate) report(service string, now time.Time) (Report, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -334,7 +337,7 @@
 	return s.report(now), true
 }
 
-// due are the reports to be sent now, but for services that are left out.
+// due returns the reports to be sent now, for the services that include accepts.
 func (g *Gate) due(now time.Time, every time.Duration, include func(service string) bool) []Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -354,7 +357,7 @@
 	return reports
 }
 
-// nameOf is the service of a hash, if it has or had an order or a request.
+// nameOf returns the service with a hash, if it has or had an order or a request.
 func (g *Gate) nameOf(hash uint32) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -365,7 +368,7 @@
 	return s.name, true
 }
 
-// views are the services that an order or a record says something of, by name.
+// views returns the services that have an order or a record, sorted by name.
 func (g *Gate) views(now time.Time) []view {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -36,8 +36,8 @@
 	return sent
 }
 
-func newGrant(order int64, stage Stage, lasts time.Duration) Grant {
-	return Grant{Service: NameHash(testService), Order: order, Stage: stage, For: lasts, Wanted: []uint32{NameHash("a")}}
+func newGrant(order int64, stage Stage, duration time.Duration) Grant {
+	return Grant{Service: NameHash(testService), Order: order, Stage: stage, For: duration, Wanted: []uint32{NameHash("a")}}
 }
 
 func haltNotice(order int64) Grant {
@@ -53,8 +53,8 @@
 	completed := Record{Order: newOrder("v2", 1), State: Completed, Current: "v2", Refused: []string{"v1"}}
 	rolledBack := Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}
 	cases := map[string]struct {
-		play func(g *Gate)
-		want balance.Versions
+		setup func(g *Gate)
+		want  balance.Versions
 	}{
 		"nothing": {func(*Gate) {}, balance.Versions{}},
 		"an order": {
@@ -257,7 +257,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			g := NewGate(testOptions)
-			c.play(g)
+			c.setup(g)
 			assignment := g.Assign(AssignRequest{Service: testService}, testTime)
 			is.Equal(assignment.Versions, c.want)
 			is.Equal(assignment.Fallback, nil)
@@ -266,9 +266,9 @@
 	}
 }
 
-// TestGrantsEnd: a grant holds for its time from the sending of the report, and a halt
+// TestGrantExpiry: a grant holds for its time from the sending of the report, and a halt
 // for as long as the order does.
-func TestGrantsEnd(t *testing.T) {
+func TestGrantExpiry(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
 	g.Ordered(newOrder("v2", 1), testTime)
@@ -342,9 +342,9 @@
 	is.True(exposed > 50)
 }
 
-// TestUnderWayBeforeTheOrder: requests that began before an order are under way at
+// TestRequestsInFlightBeforeOrder: requests that began before an order are under way at
 // other versions, too.
-func TestUnderWayBeforeTheOrder(t *testing.T) {
+func TestRequestsInFlightBeforeOrder(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
 	assignment := g.Assign(AssignRequest{Service: testService}, testTime)
@@ -358,9 +358,9 @@
 	is.Equal(len(report.Tallies), 0)
 }
 
-// TestOrderRepeated: the order goes on with its sums and the later deadline, but what
+// TestRepeatedOrder: the order goes on with its sums and the later deadline, but what
 // the one before has left of its share isn't the new one's.
-func TestOrderRepeated(t *testing.T) {
+func TestRepeatedOrder(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
 	g.random = func() float64 { return 0 } // no head start
@@ -456,16 +456,16 @@
 	}
 }
 
-// TestAVersionSucceedsWhatHasLeft: before the record of a completion is known here, the version takes
+// TestFallbackAfterOthersLeft: before the record of a completion is known here, the version takes
 // the place of others whose targets have all left by plan; a halted or withdrawn one never, nor
 // one that is not on trial.
-func TestAVersionSucceedsWhatHasLeft(t *testing.T) {
+func TestFallbackAfterOthersLeft(t *testing.T) {
 	all := func(balance.Versions) bool { return true }
 	none := func(balance.Versions) bool { return false }
 	cases := map[string]struct {
-		play  func(g *Gate)
-		left  func(versions balance.Versions) bool
-		takes string
+		setup    func(g *Gate)
+		haveLeft func(versions balance.Versions) bool
+		fallback string
 	}{
 		"the others have left":        {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, all, "v2"},
 		"they are there, or lost":     {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, none, ""},
@@ -485,13 +485,13 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			g := NewGate(testOptions)
-			c.play(g)
-			assignment := g.Assign(AssignRequest{Service: testService, HaveLeft: c.left}, testTime)
-			takes := ""
+			c.setup(g)
+			assignment := g.Assign(AssignRequest{Service: testService, HaveLeft: c.haveLeft}, testTime)
+			fallback := ""
 			if assignment.Fallback != nil {
-				takes = assignment.Fallback.Only
+				fallback = assignment.Fallback.Only
 			}
-			is.Equal(takes, c.takes)
+			is.Equal(fallback, c.fallback)
 		})
 	}
 }
--- a/internal/rollout/gateway_reports.go
+++ b/internal/rollout/gateway_reports.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// own is the name under which the gateway that decides keeps its own reports.
+// selfID is the key of the deciding gateway's own reports.
 const selfID = ""
 
-// heard is what a gateway has reported.
+// gatewayReports is what one gateway has reported.
 type gatewayReports struct {
 	report Report
 	at     time.Time
-	// lives counts its lives; requests and exposed are the sums of those that are over.
+	// incarnations counts the gateway's incarnations; requests and exposed are the totals of the
+	// ended ones.
 	incarnations      int
 	requests, exposed int
-	// samples are the counts of its last reports of this life, the oldest first.
+	// samples are the request counts of the last reports of this incarnation, oldest first.
 	samples []rateSample
 }
 
-// obeysMove says whether the last report is of a gateway that sends all to the version
-// of an order.
+// obeysMove reports whether the gateway's last report says that it sends all requests to the
+// order's version.
 func (h *gatewayReports) obeysMove(order int64) bool {
 	return h.report.Order == order && h.report.Stage == Move
 }
@@ -31,8 +32,8 @@
 	requests int
 }
 
-// hear takes a report. What a gateway has sent to the version may become fewer: parts of
-// the share that it holds for requests count until they are given back.
+// addReport takes in a report. A gateway's count of requests to the version may decrease, since
+// it includes reservations that are released later.
 func (d *decider) addReport(from string, report Report, now time.Time) {
 	if report.Order != d.order.Revision {
 		return
@@ -56,12 +57,12 @@
 	d.judge.AddReport(from+"#"+strconv.Itoa(h.incarnations), report.Tallies)
 }
 
-// restarted says whether a report's sums are those of another life of its gateway.
+// restarted reports whether a report's totals come from another incarnation of the gateway.
 func (h *gatewayReports) restarted(report Report) bool {
 	return report.Incarnation != h.report.Incarnation || report.Requests < h.report.Requests
 }
 
-// sample keeps what the rate is measured by.
+// addSample keeps a sample for measuring the rate.
 func (h *gatewayReports) addSample(sample rateSample) {
 	if last := len(h.samples) - 1; last >= 0 && sample.at.Sub(h.samples[last].at) < minSampleInterval {
 		return
@@ -72,7 +73,7 @@
 	}
 }
 
-// rate is how many requests a second the gateway sends; false if that is not known yet.
+// rate returns the gateway's requests per second; false if that is not known yet.
 func (h *gatewayReports) rate() (float64, bool) {
 	if len(h.samples) < 2 {
 		return 0, false
@@ -81,7 +82,7 @@
 	return float64(last.requests-first.requests) / last.at.Sub(first.at).Seconds(), true
 }
 
-// sums are the sendings of all gateways since the order.
+// totals returns the requests of all gateways since the order.
 func (d *decider) totals() (requests, exposed int) {
 	for _, h := range d.gateways {
 		requests += h.requests + h.report.Requests
@@ -90,9 +91,9 @@
 	return requests, exposed
 }
 
-// informed says whether this process knows what there is to know: all live gateways have
-// reported lately, or they have had the time to, and half of them did. Of fewer the others
-// may report to another gateway that decides.
+// informed reports whether this process has the available evidence: all live gateways have
+// reported recently, or they have had the time to and half of them did. With fewer reports, the
+// others may report to another gateway that decides.
 func (d *decider) informed(s stepInput, now time.Time) bool {
 	if s.minority {
 		return false
@@ -109,12 +110,12 @@
 	return d.waitedForReports(now) && 2*reported >= len(s.livePeers)+1
 }
 
-// waited says whether all gateways have had the time to report to this process.
+// waitedForReports reports whether all gateways have had the time to report to this process.
 func (d *decider) waitedForReports(now time.Time) bool {
 	return now.Sub(d.decidingSince) >= 2*d.reportInterval+reportGrace
 }
 
-// allReported says whether each live gateway has reported lately.
+// allReported reports whether each live gateway has reported recently.
 func (d *decider) allReported(s stepInput, now time.Time) bool {
 	for _, id := range s.livePeers {
 		h := d.gateways[id]
@@ -125,18 +126,18 @@
 	return true
 }
 
-// late says whether a gateway has not reported lately.
+// isLate reports whether a gateway's next report is overdue.
 func (d *decider) isLate(h *gatewayReports, now time.Time) bool {
 	return now.Sub(h.at) > 2*d.reportInterval+reportGrace
 }
 
-// affords is how long everything may go to the version from now on: what is left of
-// the share and the slack covers it, even if all of it then proves bad.
+// affordableMove returns for how long all requests may go to the version from now on, so that the
+// remaining share and slack cover them even if the version then proves bad.
 func (d *decider) affordableMove(s stepInput, now time.Time) time.Duration {
 	requests, exposed := d.totals()
 	budget := d.options.Share*float64(requests) - float64(exposed)
 	if sinceOrder := d.options.Share*float64(requests-d.requestsBefore) - float64(exposed-d.exposedBefore); sinceOrder < budget {
-		// The bound holds for each order, also if it repeats the one before.
+		// The bound holds for each order, even if it repeats the previous one.
 		budget = sinceOrder
 	}
 	budget += d.usableSlack(s)
@@ -153,8 +154,8 @@
 	return min(duration, covered+scale(d.meanEntryDelay(now), unspentEntryPart))
 }
 
-// entry is how long it takes a gateway on average until it hears of the move, by when
-// its next report is due.
+// meanEntryDelay returns the average time until a gateway receives the grant of the move, which
+// is when its next report is due.
 func (d *decider) meanEntryDelay(now time.Time) time.Duration {
 	total := time.Duration(0)
 	for id, h := range d.gateways {
@@ -165,8 +166,8 @@
 	return total / time.Duration(max(len(d.gateways), 1))
 }
 
-// slack is the part of it that this process may use: if it hears some of the gateways
-// only that there were, another one may decide for the others.
+// usableSlack returns the part of the slack that this process may use. If it is in contact with
+// only some of the gateways, another one may decide for the rest.
 func (d *decider) usableSlack(s stepInput) float64 {
 	live := 0
 	for id := range d.gateways {
@@ -178,7 +179,7 @@
 	return d.options.Slack * float64(min(live+1, known)) / float64(known)
 }
 
-// rate is how many requests a second reach the service; false if that is not known yet.
+// rate returns the service's requests per second; false if that is not known yet.
 func (d *decider) rate(now time.Time) (float64, bool) {
 	total := 0.0
 	for _, h := range d.gateways {
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// minRouteAnswers is how many answers of the others make a route one with traffic: of
-	// fewer requests, the version can't have got a share.
+	// minRouteAnswers is the number of the others' answers from which a route counts as one with
+	// traffic. With fewer requests, the version can't have received a share of them.
 	minRouteAnswers = 4
-	// rareRoutePart is the part of the service's answers below which a route is rare: a tenth
-	// of the requests of a short order holds no sample of its own for it.
+	// rareRoutePart is the part of the service's answers below which a route is rare: a tenth of
+	// the requests of a short order doesn't contain a sample of its own for it.
 	rareRoutePart = 0.05
-	// maxDeferOthers and maxDeferRounds are how long the version's news waits for the others':
-	// until they gave so many answers on the route, or all gateways have had time for so
-	// many reports. Trouble that begins on both sides shows in the others' shares only then.
+	// maxDeferOthers and maxDeferRounds limit how long the version's answers are deferred in
+	// favor of the others': until the others have given this many answers on the route, or all
+	// gateways have had time for this many reports. Trouble that starts on both sides only shows
+	// in the others' shares by then.
 	maxDeferOthers = 30
 	maxDeferRounds = 2
-	// maxDeferExcess is by how many answers what waits may exceed what the others gave since:
-	// there are more only in the move, when the others get no requests.
+	// maxDeferExcess is by how many answers the deferred ones may exceed those of the others
+	// since. The excess is only larger during the move, when the others get no requests.
 	maxDeferExcess = 6
-	// cleanWeight is the least that the tests of all routes together must say in favour
-	// of a version that is called clean: that of some three good answers. Without any,
+	// cleanWeight is the least weight in favor of a version that the tests of all routes together
+	// must reach to call it clean, which is that of some three good answers. Without any answers
 	// nothing is known.
 	cleanWeight = -1.0
 )
 
-// Verdict is what is known of a version.
+// Verdict is the judgement of a version.
 type Verdict int
 
-// The verdicts. Bad is never taken back; Good is, when the version turns bad.
+// The verdicts. Bad is final; Good is revoked if the version turns bad.
 const (
 	Undecided Verdict = iota
 	Good
 	Bad
 )
 
-// String is the verdict in a word.
+// String returns the verdict in lower case.
 func (v Verdict) String() string {
 	switch v {
 	case Undecided:
@@ -49,7 +50,7 @@
 	return fmt.Sprintf("verdict %d", int(v))
 }
 
-// Counts are answers; Failed and Slow are among them, and no answer is both.
+// Counts counts answers. Failed and Slow are included in Answers, and no answer is both.
 type Counts struct {
 	Answers, Failed, Slow int
 }
@@ -58,14 +59,14 @@
 	return Counts{c.Answers + other.Answers, c.Failed + other.Failed, c.Slow + other.Slow}
 }
 
-// since is what came after an earlier sum; false if this one isn't a later sum of the
-// same counter.
+// delta returns the answers since an earlier total; false if c is not a later total of the same
+// counter.
 func (c Counts) delta(earlier Counts) (Counts, bool) {
 	delta := Counts{c.Answers - earlier.Answers, c.Failed - earlier.Failed, c.Slow - earlier.Slow}
 	return delta, delta.valid()
 }
 
-// whole are the answers that did not fail: those that have a pace.
+// succeeded returns the number of answers that did not fail, which are the ones that have a pace.
 func (c Counts) succeeded() int {
 	return c.Answers - c.Failed
 }
@@ -80,43 +81,43 @@
 	Route   uint32 `json:"route"`
 	Version Counts `json:"of_version"`
 	Others  Counts `json:"of_others"`
-	// Passed says that the version's sample is large enough and good.
+	// Passed is set if the version's sample is large enough and good.
 	Passed bool `json:"passed"`
 }
 
-// Judge compares the answers of the version on trial with those of the others, by route,
-// from the tallies of all gateways. It is not safe for concurrent use.
+// Judge compares the answers of the version on trial with those of the others, by route, based on
+// the tallies of all gateways. It is not safe for concurrent use.
 type Judge struct {
-	// known are the last sums of each gateway's counters.
+	// known holds the last totals of each gateway's counters.
 	known  map[string]map[tallyKey]Counts
 	routes map[uint32]*judgedRoute
-	// names are the keys of routes, in order.
+	// routeKeys holds the sorted keys of routes.
 	routeKeys []uint32
-	// rare are the common tests of the routes with few requests, and whole those of all
-	// routes: they find soonest what strikes all of them.
+	// rareRoutes are the combined tests of the routes with few requests. allRoutes are those of
+	// all routes, which are the first to detect trouble that affects all of them.
 	rareRoutes, allRoutes routeTests
-	// failures and slow are the troubles of the others lately, on all routes.
+	// failureBaseline and slowBaseline are the recent troubles of the others over all routes.
 	failureBaseline, slowBaseline baseline
 	// bad is why the version is bad; empty until it is.
 	bad string
-	// takes is how many reports were taken, and ignored how many sums were of no use.
+	// reports counts the reports taken in, and ignored the totals that were stale or invalid.
 	reports, ignored int
 }
 
 type judgedRoute struct {
 	routeTests
 	failureBaseline, slowBaseline baseline
-	// waiting is, from the first on, the version's news that is not judged yet, the oldest
-	// first, and deferredAnswers how many answers that is.
+	// deferred[head:] are the version's answers that are not evaluated yet, oldest first, and
+	// deferredAnswers is their number.
 	deferred              []deferredTally
 	head, deferredAnswers int
 }
 
-// deferredTally waits until the others' answers show how it was at its time.
+// deferredTally is kept until the others' answers show how things were at its time.
 type deferredTally struct {
 	tally Tally
-	// others is how many answers the others had given on the route when it came, and
-	// takes the number of Judge.Take that brought it.
+	// othersAnswers is the number of answers that the others had given on the route when the
+	// tally arrived, and report the number of the report that brought it.
 	othersAnswers, report int
 }
 
@@ -130,9 +131,9 @@
 	}
 }
 
-// Take takes the sums that a gateway has reported. A gateway that has begun anew needs
-// another name. Lost reports do no harm, as the next sums hold their news, and neither do
-// those that come late or twice: a sum that is no later one of its counter is ignored.
+// AddReport takes in the totals that a gateway has reported. A restarted gateway needs another
+// name. Lost reports do no harm, as the next totals include their answers, and neither do late or
+// repeated ones: a total that is no later one of its counter is ignored.
 func (j *Judge) AddReport(gateway string, tallies []Tally) {
 	known, ok := j.known[gateway]
 	if !ok {
@@ -160,7 +161,8 @@
 	}
 }
 
-// settle sums up tests that have news; the first that make the version bad say why.
+// update recomputes tests that have new answers. The first ones to find the version bad give the
+// reason.
 func (j *Judge) update(t *routeTests) {
 	t.update()
 	if j.bad == "" && t.bad() {
@@ -168,7 +170,8 @@
 	}
 }
 
-// increments is what is new in sums, as tallies of the news alone.
+// increments returns what the totals add to the known ones, as tallies of the added answers
+// alone.
 func (j *Judge) increments(known map[tallyKey]Counts, tallies []Tally) []Tally {
 	increments := make([]Tally, 0, len(tallies))
 	for _, tally := range tallies {
@@ -188,7 +191,7 @@
 	return increments
 }
 
-// Ignored is how many sums were of no use: older than what was known, or impossible.
+// Ignored returns the number of totals that were older than the known ones or impossible.
 func (j *Judge) Ignored() int {
 	return j.ignored
 }
@@ -218,14 +221,14 @@
 	j.slowBaseline.add(counts.succeeded(), counts.Slow)
 }
 
-// wait puts the version's news off.
+// deferTally queues the version's answers for later evaluation.
 func (r *judgedRoute) deferTally(tally Tally, report int) {
 	r.deferred = append(r.deferred, deferredTally{tally: tally, othersAnswers: r.others.Answers, report: report})
 	r.deferredAnswers += tally.Answers
 }
 
-// due says whether the oldest of what waits can be judged: the others have answered since,
-// or all gateways have had time to say so, or they answer no more.
+// ready reports whether the oldest deferred tally can be evaluated: the others have answered
+// since, all gateways have had time to report that, or the others answer no more.
 func (r *judgedRoute) ready(oldestRound int) bool {
 	if r.head == len(r.deferred) {
 		return false
@@ -235,7 +238,7 @@
 	return others >= maxDeferOthers || oldestRound >= oldest.report || r.deferredAnswers > others+maxDeferExcess
 }
 
-// next takes the oldest of what waits; compact must follow.
+// pop removes the oldest deferred tally; compact must follow.
 func (r *judgedRoute) pop() Tally {
 	news := r.deferred[r.head].tally
 	r.deferredAnswers -= news.Answers
@@ -248,7 +251,7 @@
 	r.head = 0
 }
 
-// judge weighs the news of a route that is due; false if none is.
+// evaluate weighs the deferred answers of a route that are ready; false if none are.
 func (j *Judge) evaluate(route *judgedRoute) bool {
 	oldestRound := j.reports - maxDeferRounds*len(j.known)
 	if !route.ready(oldestRound) {
@@ -270,19 +273,19 @@
 	return true
 }
 
-// isRare says whether a route has few of the service's requests.
+// isRare reports whether a route has few of the service's requests.
 func (j *Judge) isRare(route *judgedRoute) bool {
 	return float64(route.others.Answers) < rareRoutePart*float64(j.allRoutes.others.Answers)
 }
 
-// passed says whether a route with traffic is good by its own tests or, if it is rare, by
-// the common ones.
+// passed reports whether a route with traffic is good by its own tests or, if it is rare, by the
+// combined ones.
 func (j *Judge) passed(route *judgedRoute) bool {
 	return route.passed() || j.isRare(route) && j.rareRoutes.passed()
 }
 
-// Verdict is what is known now, and why, in plain words with the figures. A version is
-// good when each route with traffic has passed both tests.
+// Verdict returns the current verdict and its reason, in plain language with the figures. A
+// version is good when each route with traffic has passed both tests.
 func (j *Judge) Verdict() (Verdict, string) {
 	if j.bad != "" {
 		return Bad, j.bad
@@ -304,8 +307,8 @@
 	return Undecided, reason
 }
 
-// Wanted are the routes with traffic whose samples on the version are too small yet, in
-// order. They are all routes if only what they show together speaks against the version.
+// UndersampledRoutes returns the routes with traffic whose samples of the version are still too
+// small, sorted. It returns all routes if only their combined answers speak against the version.
 func (j *Judge) UndersampledRoutes() []uint32 {
 	if j.bad != "" {
 		return nil
@@ -327,8 +330,8 @@
 	return wanted
 }
 
-// Clean says that nothing speaks against the version so far, and something in favour of
-// it, although samples may be small. It is what can be said when the time is over.
+// Clean reports whether nothing speaks against the version so far, and something in favor of it,
+// even if the samples are small. It is the criterion when time is running out.
 func (j *Judge) Clean() bool {
 	if j.bad != "" || j.rareRoutes.suspect() {
 		return false
@@ -341,7 +344,7 @@
 	return j.allRoutes.failures.soundWeight+j.allRoutes.slow.soundWeight <= cleanWeight
 }
 
-// Routes are the sums of each route, for operators, in the order of their names.
+// Routes returns the totals of each route for operators, sorted by name.
 func (j *Judge) Routes() []RouteSum {
 	sums := make([]RouteSum, 0, len(j.routeKeys))
 	for _, name := range j.routeKeys {
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -16,8 +16,8 @@
 	return Tally{Route: route, Answers: answers}
 }
 
-// takeRounds lets a gateway report often enough that nothing waits any more.
-func takeRounds(judge *Judge, tallies ...Tally) {
+// addRounds lets a gateway report often enough that nothing waits any more.
+func addRounds(judge *Judge, tallies ...Tally) {
 	for range maxDeferRounds + 1 {
 		judge.AddReport("gateway", tallies)
 	}
@@ -27,16 +27,16 @@
 	const a, b, rare = 11, 12, 13
 	good := []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 30, 0, 0}, {b, 2, 30, 0, 0}}
 	tests := map[string]struct {
-		tallies []Tally
-		verdict Verdict
-		reason  string
-		wanted  []uint32
-		clean   bool
+		tallies      []Tally
+		verdict      Verdict
+		reason       string
+		undersampled []uint32
+		clean        bool
 	}{
 		"nothing is known": {verdict: Undecided, reason: "0 of 0 routes"},
 		"no answers of the version": {
 			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400)},
-			verdict: Undecided, reason: "0 of 2 routes", wanted: []uint32{a, b},
+			verdict: Undecided, reason: "0 of 2 routes", undersampled: []uint32{a, b},
 		},
 		"good on all routes": {
 			tallies: good,
@@ -44,7 +44,7 @@
 		},
 		"a small sample on one route": {
 			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {b, 2, 8, 0, 0}},
-			verdict: Undecided, reason: "1 of 2 routes", wanted: []uint32{b}, clean: true,
+			verdict: Undecided, reason: "1 of 2 routes", undersampled: []uint32{b}, clean: true,
 		},
 		"a route without traffic needs no sample": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, minRouteAnswers-1)),
@@ -56,7 +56,7 @@
 		},
 		"slow on one route": {
 			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 30, 0, 0}, {a, 2, 30, 0, 0}, {b, 1, 20, 0, 9}, {b, 2, 20, 0, 9}},
-			verdict: Bad, reason: "route 0000000c: 18 of 40 whole answers were slow at 2 targets of the version, 0 of 400 at the others",
+			verdict: Bad, reason: "route 0000000c: 18 of 40 successful answers were slow at 2 targets of the version, 0 of 400 at the others",
 		},
 		"as many failures as the others have": {
 			tallies: []Tally{{a, 0, 400, 56, 0}, {a, 1, 50, 7, 0}, {a, 2, 50, 7, 0}},
@@ -64,7 +64,7 @@
 		},
 		"many failures need a larger sample": {
 			tallies: []Tally{{a, 0, 400, 56, 0}, {a, 1, 12, 2, 0}, {a, 2, 12, 2, 0}},
-			verdict: Undecided, reason: "0 of 1 routes", wanted: []uint32{a}, clean: true,
+			verdict: Undecided, reason: "0 of 1 routes", undersampled: []uint32{a}, clean: true,
 		},
 		"more failures than the others have": {
 			tallies: []Tally{{a, 0, 400, 56, 0}, {a, 1, 50, 30, 0}, {a, 2, 50, 30, 0}},
@@ -88,7 +88,7 @@
 		},
 		"rare routes without any sample": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20)),
-			verdict: Undecided, reason: "2 of 4 routes", wanted: []uint32{rare, rare + 1}, clean: true,
+			verdict: Undecided, reason: "2 of 4 routes", undersampled: []uint32{rare, rare + 1}, clean: true,
 		},
 		"bad on rare routes, by what they show together": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 4, 2, 0}, Tally{rare + 1, 2, 4, 2, 0}),
@@ -96,27 +96,27 @@
 		},
 		"something speaks against it on one route": {
 			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 40, 0, 0}, {a, 2, 40, 0, 0}, {b, 1, 4, 1, 0}, {b, 2, 4, 1, 0}},
-			verdict: Undecided, reason: "1 of 2 routes", wanted: []uint32{b},
+			verdict: Undecided, reason: "1 of 2 routes", undersampled: []uint32{b},
 		},
 		"something speaks against it on rare routes together": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 5, 1, 0}, Tally{rare + 1, 1, 5, 1, 0}),
-			verdict: Undecided, reason: "2 of 4 routes", wanted: []uint32{rare, rare + 1},
+			verdict: Undecided, reason: "2 of 4 routes", undersampled: []uint32{rare, rare + 1},
 		},
 		"something speaks against it": {
 			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 4, 1, 0}, {a, 2, 4, 1, 0}},
-			verdict: Undecided, reason: "0 of 1 routes", wanted: []uint32{a},
+			verdict: Undecided, reason: "0 of 1 routes", undersampled: []uint32{a},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			judge := NewJudge()
-			takeRounds(judge, test.tallies...)
+			addRounds(judge, test.tallies...)
 			verdict, reason := judge.Verdict()
 			t.Log(verdict, reason)
 			is.Equal(verdict, test.verdict)
 			is.True(strings.Contains(reason, test.reason))
-			is.Equal(judge.UndersampledRoutes(), test.wanted)
+			is.Equal(judge.UndersampledRoutes(), test.undersampled)
 			is.Equal(judge.Clean(), test.clean)
 			is.Equal(judge.Ignored(), 0)
 		})
@@ -127,17 +127,17 @@
 func TestBadAfterGood(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 200, 0, 0}, Tally{1, 2, 200, 0, 0})
+	addRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 200, 0, 0}, Tally{1, 2, 200, 0, 0})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Good)
-	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 202, 1, 0}, Tally{1, 2, 202, 1, 0})
+	addRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 202, 1, 0}, Tally{1, 2, 202, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Undecided)
 	is.Equal(judge.UndersampledRoutes(), []uint32{1})
-	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 206, 4, 0}, Tally{1, 2, 206, 4, 0})
+	addRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 206, 4, 0}, Tally{1, 2, 206, 4, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Bad)
-	takeRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 900, 4, 0}, Tally{1, 2, 900, 4, 0})
+	addRounds(judge, otherVersionsTally(1, 900), Tally{1, 1, 900, 4, 0}, Tally{1, 2, 900, 4, 0})
 	verdict, reason := judge.Verdict()
 	is.Equal(verdict, Bad)
 	is.Equal(reason, "route 00000001: 8 of 412 answers failed at 2 targets of the version, 0 of 900 at the others")
@@ -147,25 +147,25 @@
 
 // A failure on each route is luck of one route, but not of all together: they need larger
 // samples again.
-func TestDoubtOfAllRoutesTogether(t *testing.T) {
+func TestFailuresAcrossRoutes(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, otherVersionsTally(1, 400), otherVersionsTally(2, 400), Tally{1, 1, 99, 0, 0}, Tally{1, 2, 99, 0, 0}, Tally{2, 1, 99, 0, 0})
+	addRounds(judge, otherVersionsTally(1, 400), otherVersionsTally(2, 400), Tally{1, 1, 99, 0, 0}, Tally{1, 2, 99, 0, 0}, Tally{2, 1, 99, 0, 0})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Good)
 	is.Equal(judge.UndersampledRoutes(), nil)
-	takeRounds(judge, Tally{1, 1, 100, 1, 0}, Tally{2, 1, 100, 1, 0})
+	addRounds(judge, Tally{1, 1, 100, 1, 0}, Tally{2, 1, 100, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Undecided)
 	is.Equal(judge.UndersampledRoutes(), []uint32{1, 2})
-	takeRounds(judge, Tally{1, 1, 150, 1, 0}, Tally{2, 1, 150, 1, 0})
+	addRounds(judge, Tally{1, 1, 150, 1, 0}, Tally{2, 1, 150, 1, 0})
 	verdict, _ = judge.Verdict()
 	is.Equal(verdict, Good)
 }
 
 // Among many gateways enough answers of the others show how it was before all of them
 // have reported.
-func TestNewsWaitsForEnoughOfTheOthers(t *testing.T) {
+func TestDeferredUntilEnoughOtherAnswers(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
 	for gateway := range 100 {
@@ -183,7 +183,7 @@
 
 // The version's news waits until the others' answers show whether they have the same
 // trouble.
-func TestNewsWaitsForTheOthers(t *testing.T) {
+func TestDeferredForOtherVersions(t *testing.T) {
 	trouble := []Tally{{1, 1, 103, 3, 0}, {1, 2, 103, 3, 0}}
 	tests := map[string]struct {
 		others  []Tally
@@ -197,11 +197,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			judge := NewJudge()
-			takeRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
+			addRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
 			judge.AddReport("gateway", trouble)
 			verdict, _ := judge.Verdict()
 			is.Equal(verdict, Good) // nothing is judged yet
-			takeRounds(judge, test.others...)
+			addRounds(judge, test.others...)
 			verdict, _ = judge.Verdict()
 			is.Equal(verdict, test.verdict)
 		})
@@ -209,10 +209,10 @@
 }
 
 // In the move the others get nothing, and the version's news waits for nobody.
-func TestNewsOfTheMoveWaitsLittle(t *testing.T) {
+func TestNotDeferredDuringMove(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	takeRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
+	addRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
 	judge.AddReport("gateway", []Tally{{1, 1, 120, 10, 0}, {1, 2, 120, 10, 0}})
 	verdict, _ := judge.Verdict()
 	is.Equal(verdict, Bad)
@@ -220,7 +220,7 @@
 
 // Whatever reports are lost, come twice or in another order, each answer counts once, and
 // the end is the same.
-func TestReportsMayBeLostOrReordered(t *testing.T) {
+func TestLostAndReorderedReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type report struct {
 			gateway string
@@ -276,7 +276,7 @@
 }
 
 // What was judged isn't kept.
-func TestNewsIsNotKept(t *testing.T) {
+func TestEvaluatedTalliesAreDropped(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
 	for i := range 1000 {
@@ -285,7 +285,7 @@
 	is.True(len(judge.routes[1].deferred) <= maxDeferRounds+1)
 }
 
-func TestSumsOfNoUse(t *testing.T) {
+func TestIgnoredTotals(t *testing.T) {
 	tests := map[string]struct {
 		tally   Tally
 		ignored int
@@ -304,9 +304,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			judge := NewJudge()
-			takeRounds(judge, Tally{1, 2, 10, 2, 1})
+			addRounds(judge, Tally{1, 2, 10, 2, 1})
 			judge.AddReport("gateway", []Tally{test.tally})
-			takeRounds(judge)
+			addRounds(judge)
 			is.Equal(judge.Ignored(), test.ignored)
 			is.Equal(judge.Routes()[0].Version.Answers, test.answers)
 		})
@@ -314,7 +314,7 @@
 }
 
 // A gateway's next life counts from zero, under another name.
-func TestNextLifeOfAGateway(t *testing.T) {
+func TestRestartedGateway(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
 	judge.AddReport("gateway/1", []Tally{otherVersionsTally(1, 40)})
@@ -323,14 +323,14 @@
 	is.Equal(judge.Ignored(), 0)
 }
 
-func TestVerdictWords(t *testing.T) {
+func TestVerdictString(t *testing.T) {
 	is := is.New(t)
 	is.Equal(fmt.Sprint(Undecided, Good, Bad, Verdict(7)), "undecided good bad verdict 7")
 }
 
-// BenchmarkJudgeTake is one report of one of 30 gateways, with news on all of 30 routes
+// BenchmarkJudgeAddReport is one report of one of 30 gateways, with news on all of 30 routes
 // and at each of 16 targets.
-func BenchmarkJudgeTake(b *testing.B) {
+func BenchmarkJudgeAddReport(b *testing.B) {
 	const gateways, routes, targets = 30, 30, 16
 	random := rand.New(rand.NewPCG(2, 2))
 	judge := NewJudge()
@@ -357,7 +357,7 @@
 	}
 }
 
-func BenchmarkJudgeWanted(b *testing.B) {
+func BenchmarkJudgeUndersampledRoutes(b *testing.B) {
 	judge := NewJudge()
 	for route := range 30 {
 		judge.AddReport("gateway", []Tally{otherVersionsTally(uint32(route+1), 100), {uint32(route + 1), 1, 5, 0, 0}})
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Order is the operators' request that the traffic of a service move to a version.
+// Order is the operators' request to move the traffic of a service to a version.
 type Order struct {
 	Service string
-	// Version is the one that the traffic is to move to; not empty.
+	// Version is the version to move the traffic to; not empty.
 	Version string
-	// Duration is the time from the order to its deadline; above zero.
+	// Duration is the time from the order to its deadline; positive.
 	Duration time.Duration
-	// Revision is that of the order in the store; a later order has a larger one, also
-	// if it repeats an earlier one.
+	// Revision is the order's revision in the store. A later order has a larger one, even if it
+	// repeats an earlier order.
 	Revision int64
 }
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -21,33 +21,33 @@
 
 // TestOrders: what operators order while a roll-out runs, or has ended.
 func TestOrders(t *testing.T) {
-	const lasts = 20 * time.Second
+	const duration = 20 * time.Second
 	cases := map[string]struct {
-		play func(w *cluster)
-		want Record
+		setup func(w *cluster)
+		want  Record
 	}{
 		"another version while it runs": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
-				w.order("v3", lasts)
-				w.run(lasts)
+				w.order("v3", duration)
+				w.run(duration)
 			},
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"another version while a bad one runs": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(time.Second)
-				w.order("v3", lasts)
-				w.run(lasts)
+				w.order("v3", duration)
+				w.run(duration)
 			},
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"withdrawn while it runs": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
 				w.store.withdraw()
 				w.run(time.Second)
@@ -56,7 +56,7 @@
 		},
 		"withdrawn while it runs and all gateways begin anew": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
 				w.store.withdraw()
 				for _, n := range w.nodes {
@@ -71,7 +71,7 @@
 		},
 		"withdrawn at once": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.store.withdraw()
 				w.run(2 * time.Second)
 			},
@@ -79,8 +79,8 @@
 		},
 		"withdrawn after its completion": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
-				w.run(lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
 				w.store.withdraw()
 				w.run(replicaReadTime + time.Second)
 			},
@@ -88,29 +88,29 @@
 		},
 		"the old version while it runs": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 				w.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version at once after the new one": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
-				w.order(oldVersion, lasts)
+				w.order(newVersion, duration)
+				w.order(oldVersion, duration)
 				w.run(2 * time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version while it runs, and all gateways begin anew": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
 				for _, n := range w.nodes {
 					n.start()
 				}
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 				w.run(2 * time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
@@ -118,20 +118,20 @@
 		"the old version after the new one was rolled back": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.order(oldVersion, lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
+				w.order(oldVersion, duration)
 				w.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version while the store is away": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 				w.store.down = true
-				w.run(lasts)
+				w.run(duration)
 				w.store.down = false
 				w.run(2 * time.Second)
 			},
@@ -139,7 +139,7 @@
 		},
 		"the old version, withdrawn before its end is written": {
 			func(w *cluster) {
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 				w.store.withdraw()
 				w.run(2 * time.Second)
 			},
@@ -147,25 +147,25 @@
 		},
 		"the first order is for the version that all have": {
 			func(w *cluster) {
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 				w.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1"},
 		},
 		"ordered again while it runs": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
-				w.order(newVersion, lasts)
-				w.run(lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"ordered again after its completion": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
+				w.order(newVersion, duration)
 				w.run(time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
@@ -173,18 +173,18 @@
 		"ordered again after it was rolled back": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
 				w.behavior = versionBehavior{}
-				w.order(newVersion, lasts)
-				w.run(lasts)
+				w.order(newVersion, duration)
+				w.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the only version there is": {
 			func(w *cluster) {
 				delete(w.targets, oldVersion)
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(soleVersionDelay + time.Second)
 			},
 			Record{State: Completed, Current: "v2"},
@@ -192,18 +192,18 @@
 		"entries lapse for a while": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				delete(w.targets, oldVersion)
 				w.run(soleVersionDelay - time.Second)
 				w.targets[oldVersion] = 10
-				w.run(lasts)
+				w.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"entries lapse while the store is down": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(time.Second)
 				w.store.down = true
 				delete(w.targets, oldVersion)
@@ -211,44 +211,44 @@
 				w.store.down = false
 				w.run(time.Second)
 				w.targets[oldVersion] = 10
-				w.run(lasts)
+				w.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"no targets by the deadline": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.events = nil
-				w.store.putOrder(Order{Service: testService, Version: newVersion, Duration: lasts})
-				w.run(lasts)
+				w.store.putOrder(Order{Service: testService, Version: newVersion, Duration: duration})
+				w.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"the service is not known": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.targets = nil
-				w.run(lasts)
+				w.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"its targets come late": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(registrationDelay)
 				delete(w.targets, newVersion)
 				w.run(8 * time.Second)
 				w.targets[newVersion] = 10
-				w.run(lasts - 8*time.Second)
+				w.run(duration - 8*time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the store is down at the deadline": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
-				w.run(lasts / 2)
+				w.order(newVersion, duration)
+				w.run(duration / 2)
 				w.store.down = true
-				w.run(lasts)
+				w.run(duration)
 				w.store.down = false
 				w.run(time.Second)
 			},
@@ -256,12 +256,12 @@
 		},
 		"all gateways begin anew": {
 			func(w *cluster) {
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 				w.run(5 * time.Second)
 				for _, n := range w.nodes {
 					n.start()
 				}
-				w.run(lasts)
+				w.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
@@ -270,7 +270,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newCluster(t, 5, versionBehavior{}, 1)
-			c.play(w)
+			c.setup(w)
 			w.wantState(c.want.State)
 			is.Equal(w.store.record.Current, c.want.Current)
 			is.Equal(append([]string(nil), w.store.record.Refused...), c.want.Refused)
@@ -278,8 +278,8 @@
 	}
 }
 
-// TestAnyOrderOfEvents: the bounds hold whatever happens when.
-func TestAnyOrderOfEvents(t *testing.T) {
+// TestRandomEvents: the bounds hold whatever happens when.
+func TestRandomEvents(t *testing.T) {
 	var names []string
 	for name := range faults {
 		names = append(names, name)
@@ -287,54 +287,54 @@
 	slices.Sort(names) // or the same draws were other faults in the next run
 	rapid.Check(t, func(rt *rapid.T) {
 		f := versionBehaviors[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
-		lasts := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
+		duration := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
 		w := newCluster(rt, rapid.IntRange(1, 7).Draw(rt, "gateways"), f, rapid.Uint64().Draw(rt, "seed"))
 		w.rate = float64(rapid.IntRange(20, 400).Draw(rt, "rate"))
-		w.order(newVersion, lasts)
-		end := w.now.Add(lasts)
+		w.order(newVersion, duration)
+		end := w.now.Add(duration)
 		w.run(300 * time.Millisecond) // an order that nobody has seen binds nobody
 		for range rapid.IntRange(1, 5).Draw(rt, "events") {
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond)
 			n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "gateway")]
-			mends := time.Duration(rapid.IntRange(100, 8000).Draw(rt, "mends")) * time.Millisecond
+			repairAfter := time.Duration(rapid.IntRange(100, 8000).Draw(rt, "mends")) * time.Millisecond
 			switch rapid.IntRange(0, 10).Draw(rt, "kind") {
 			case 0:
-				w.order(newVersion, lasts)
+				w.order(newVersion, duration)
 			case 1:
-				w.order("v3", lasts)
+				w.order("v3", duration)
 			case 2:
 				w.store.withdraw()
 			case 3:
 				n.alwaysDecides = !n.alwaysDecides
 			case 4:
-				w.order(oldVersion, lasts)
+				w.order(oldVersion, duration)
 			default:
 				name := rapid.SampledFrom(names).Draw(rt, "fault")
 				if len(w.nodes) > 1 {
-					w.after(mends, faults[name](w, n))
+					w.after(repairAfter, faults[name](w, n))
 				}
 			}
-			end = laterTime(end, w.orderedAt.Add(lasts))
+			end = laterTime(end, w.orderedAt.Add(duration))
 		}
 		w.run(8 * time.Second) // all is mended
 		if n := w.nodes[0]; n.dead {
 			n.start()
 		}
 		// If all have begun anew, the time that no record has kept is lost.
-		w.run(max(end.Sub(w.now), 0) + lasts + 4*time.Second)
+		w.run(max(end.Sub(w.now), 0) + duration + 4*time.Second)
 		w.checkViolations()
 		if !w.store.record.isFinal() {
 			rt.Fatalf("no end: %v, order %d", w.store.record, w.store.order)
 		}
 		// Of fewer requests the share is too few answers to tell; the bound holds anyway.
-		enough := w.rate*lasts.Seconds() >= 2000
+		enough := w.rate*duration.Seconds() >= 2000
 		if f.bad() && enough && w.newCompleted {
 			rt.Fatalf("a bad version has been completed: %v\n%v", w.store.record, w.log)
 		}
 	})
 }
 
-// TestAGatewayThatLearnsLateOfACompletion finds targets of the version, or of the one before, at
+// TestGatewayLearnsOfCompletionLate finds targets of the version, or of the one before, at
 // every moment.
 //
 // Seen: a gateway refused requests for 10 to 90 ms, since the targets of the old version had
@@ -342,37 +342,37 @@
 // move, and learnt of the completion with the store's changes, which take a tenth of a second.
 // Either it had reported that it sends everything to the version, and begun anew since, or it had
 // been cut off from everything when the completion was written, and was connected a moment later.
-func TestAGatewayThatLearnsLateOfACompletion(t *testing.T) {
+func TestGatewayLearnsOfCompletionLate(t *testing.T) {
 	cases := map[string]struct {
-		lasts time.Duration
-		rate  float64
-		play  func(w *cluster, strike func(fault string, mends time.Duration))
+		duration time.Duration
+		rate     float64
+		steps    func(w *cluster, strike func(fault string, mends time.Duration))
 	}{
-		"it begins anew": {6 * time.Second, 158, func(w *cluster, strike func(string, time.Duration)) {
-			strike("half of them killed", 100*time.Millisecond)
+		"it begins anew": {6 * time.Second, 158, func(w *cluster, inject func(string, time.Duration)) {
+			inject("half of them killed", 100*time.Millisecond)
 			w.order(newVersion, 6*time.Second)
 			w.order(newVersion, 6*time.Second)
-			strike("half of them killed", 100*time.Millisecond)
+			inject("half of them killed", 100*time.Millisecond)
 			w.run(91 * time.Millisecond)
-			strike("half of them killed", 4801*time.Millisecond)
+			inject("half of them killed", 4801*time.Millisecond)
 		}},
-		"it is connected again": {14 * time.Second, 20, func(w *cluster, strike func(string, time.Duration)) {
+		"it is connected again": {14 * time.Second, 20, func(w *cluster, inject func(string, time.Duration)) {
 			w.run(271 * time.Millisecond)
-			strike("answers lost, done", 100*time.Millisecond)
+			inject("answers lost, done", 100*time.Millisecond)
 			w.run(6 * time.Second)
-			strike("half of them killed", 101*time.Millisecond)
-			strike("cut off", 5611*time.Millisecond)
+			inject("half of them killed", 101*time.Millisecond)
+			inject("cut off", 5611*time.Millisecond)
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newCluster(t, 2, versionBehaviors["good"], 0)
 			w.rate = test.rate
-			w.order(newVersion, test.lasts)
+			w.order(newVersion, test.duration)
 			w.run(300 * time.Millisecond)
-			test.play(w, func(fault string, mends time.Duration) { w.after(mends, faults[fault](w, w.nodes[0])) })
+			test.steps(w, func(fault string, repairAfter time.Duration) { w.after(repairAfter, faults[fault](w, w.nodes[0])) })
 			w.run(8 * time.Second)
-			w.run(test.lasts + 4*time.Second)
+			w.run(test.duration + 4*time.Second)
 			w.checkViolations()
 		})
 	}
@@ -394,8 +394,8 @@
 func (noopDeps) RolloutStep(Step)               {}
 func (noopDeps) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
 
-// TestCloseWaits: for the look at the roll-outs, and for a commit under way.
-func TestCloseWaits(t *testing.T) {
+// TestCloseWaitsForCommit: for the look at the roll-outs, and for a commit under way.
+func TestCloseWaitsForCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := blockingStore{began: make(chan struct{})}
--- a/internal/rollout/pace.go
+++ b/internal/rollout/pace.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// slowFactor is how many times the usual time makes an answer slow: above the
-	// twofold that hardware, load and placement explain, below the threefold and more
-	// of a version that is slow.
+	// slowFactor is the multiple of the usual time from which an answer is slow. It is above the
+	// factor of two that differences of hardware, load and placement explain, and below the three
+	// or more of a slow version.
 	slowFactor = 2.25
-	// slowSlack is added to the usual time, so that the scheduling of a busy host
-	// doesn't make answers slow that take a few milliseconds.
+	// slowSlack is added to the usual time, so that scheduling delays on a busy host don't make
+	// answers of a few milliseconds count as slow.
 	slowSlack = 2 * time.Millisecond
-	// paceWindow is how many answers a usual time is the mean of: a gateway with a few
-	// answers of a route a second follows the load within half a minute.
+	// paceWindow is the number of answers that a usual time is averaged over. A gateway with a
+	// few answers per second on a route follows changes of load within half a minute.
 	paceWindow = 64
-	// minPaceAnswers is how many answers make a usual time known; of fewer, one stray answer
-	// would be a large part.
+	// minPaceAnswers is the number of answers from which a usual time is known; among fewer, a
+	// single outlier would weigh too much.
 	minPaceAnswers = 8
-	// maxPaceDeviation is the most, in natural logarithms, that one answer counts as being
-	// away from the usual: a stream that was stuck must not make slow ones usual.
+	// maxPaceDeviation limits the deviation of one answer from the usual time, in natural
+	// logarithms, so that a stalled stream doesn't make slow answers usual.
 	maxPaceDeviation = math.Ln2
-	// minGapEvents is the fewest events whose mean gap is judged: two gaps, as the
-	// shortest answers have three events.
+	// minGapEvents is the smallest number of events whose mean gap is judged. It makes two gaps,
+	// since the shortest answers have three events.
 	minGapEvents = 3
-	// minPaceTime is the shortest time that is told from none; logarithms need one.
+	// minPaceTime is the shortest time that is distinguished from zero, since logarithms need a
+	// positive value.
 	minPaceTime = 100 * time.Microsecond
-	// maxPaceRoutes is how many routes are kept; some 150 bytes each, so that thousands of
-	// routes with little traffic can't fill the memory of a small host.
+	// maxPaceRoutes is the number of routes kept, at some 150 bytes each, so that thousands of
+	// routes with little traffic can't exhaust the memory of a small host.
 	maxPaceRoutes = 2048
-	// minTokenSeconds is the least cost of reading a token, in seconds: far below any engine's,
-	// but above zero, as costs are corrected by factors.
+	// minTokenSeconds is the smallest cost of processing a token, in seconds. It is far below any
+	// engine's, but positive, since costs are corrected by factors.
 	minTokenSeconds = 1e-7
 )
 
-// Pace knows how long answers usually take, by route, from the answers of versions that
-// are not on trial, and says which are slow. All of it is by factors, that is on a log
-// scale, as times of answers are spread. It is not safe for concurrent use.
+// Pace learns how long answers usually take, by route, from the versions that are not on trial,
+// and detects slow ones. It works on a log scale, since response times vary by factors. It is not
+// safe for concurrent use.
 type Pace struct {
 	routes *simplelru.LRU[routeKey, *routePace]
 }
@@ -53,17 +54,18 @@
 	head headModel
 }
 
-// NewPace returns a pace that has learned nothing.
+// NewPace returns a Pace that has learned nothing.
 func NewPace() *Pace {
 	routes, err := simplelru.NewLRU[routeKey, *routePace](maxPaceRoutes, nil)
 	if err != nil {
-		panic(err) // only for a size that is not positive
+		panic(err) // the size is not positive
 	}
 	return &Pace{routes: routes}
 }
 
-// Learn takes the times of an answer of a version that is not on trial. What failed, was
-// left by its caller or came from a target that had just started says nothing of the usual.
+// Learn takes in the times of an answer of a version that is not on trial. It ignores answers
+// that failed, that their caller abandoned, or that came from a newly started target, since they
+// don't show the usual times.
 func (p *Pace) Learn(outcome Outcome) {
 	if outcome.Cold || outcome.Ending != Answered {
 		return
@@ -82,9 +84,9 @@
 	}
 }
 
-// Slow says whether an answer of any version is slow, and whether that is known: it
-// isn't for failures, for targets that have just started, and before enough was learned
-// of the route. An answer is judged before it is learned.
+// Slow reports whether an answer of any version is slow, and whether that is known. It isn't
+// known for failures, for newly started targets, and until enough answers of the route were
+// learned. An answer must be judged before it is learned.
 func (p *Pace) Slow(outcome Outcome) (slow, known bool) {
 	if outcome.Cold || outcome.Ending == Failed {
 		return false, false
@@ -104,7 +106,7 @@
 	return slow, known
 }
 
-// gap is the mean time between events; false if there were too few.
+// gap returns the mean time between events; false if there were too few.
 func (o Outcome) gap() (time.Duration, bool) {
 	if o.Events < minGapEvents {
 		return 0, false
@@ -112,7 +114,7 @@
 	return o.Span / time.Duration(o.Events-1), true
 }
 
-// exceedsUsual compares a time with the usual one, in seconds.
+// exceedsUsual reports whether an answer was too slow compared with the usual time in seconds.
 func exceedsUsual(took time.Duration, usual float64) bool {
 	return took.Seconds() > slowFactor*usual+slowSlack.Seconds()
 }
@@ -136,15 +138,15 @@
 	return math.Exp(u.mean)
 }
 
-// headModel is the time to the head of an answer: a part that is always there, and the
-// reading of the prompt's unread tokens.
+// headModel predicts the time to the response head as a constant part plus the time to process
+// the prompt's uncached tokens.
 type headModel struct {
-	// base is in seconds, and perToken in seconds for each unread token; zero is unknown.
+	// base is in seconds, and perToken in seconds per uncached token; zero means unknown.
 	base, perToken float64
 	answers        int
 }
 
-// knows says whether enough was learned to expect anything.
+// ready reports whether enough was learned to predict the time.
 func (u *headModel) ready(unread int) bool {
 	return u.answers >= minPaceAnswers && (unread == 0 || u.perToken > 0)
 }
@@ -158,15 +160,15 @@
 	u.initialize(seconds, unread)
 	expected := u.expected(unread)
 	step := clampDeviation(math.Log(seconds/expected)) * learningRate(u.answers)
-	// Each part is corrected as far as it makes up the whole: the parts come apart
-	// as prompts with few and with many unread tokens are seen.
+	// Each part is corrected in proportion to its share of the whole. The parts separate as
+	// prompts with few and with many uncached tokens are seen.
 	ofBase := u.base / expected
 	u.base *= math.Exp(step * ofBase)
 	u.perToken *= math.Exp(step * (1 - ofBase))
 	u.answers++
 }
 
-// begin sets the parts that are unknown yet.
+// initialize sets the parts that are still unknown.
 func (u *headModel) initialize(seconds float64, unread int) {
 	if u.base == 0 {
 		u.base = seconds
@@ -179,7 +181,7 @@
 	}
 }
 
-// learningRate is the weight of the next answer after so many.
+// learningRate returns the weight of the next answer after the given number of answers.
 func learningRate(answers int) float64 {
 	return 1 / float64(min(answers+1, paceWindow))
 }
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -102,7 +102,7 @@
 
 // Before enough was learned nothing is slow, and what unread tokens cost is unknown until
 // some were read.
-func TestPaceNeedsAnswers(t *testing.T) {
+func TestPaceNeedsEnoughAnswers(t *testing.T) {
 	is := is.New(t)
 	pace := NewPace()
 	late := withChange(plainOutcome(), func(o *Outcome) { o.Head *= 9 })
@@ -121,7 +121,7 @@
 }
 
 // The usual follows the load, and a stray answer doesn't move it.
-func TestPaceFollows(t *testing.T) {
+func TestPaceFollowsLoad(t *testing.T) {
 	is := is.New(t)
 	pace := trainedPace()
 	loaded := withChange(plainOutcome(), func(o *Outcome) { o.Head *= 4 })
@@ -138,7 +138,7 @@
 }
 
 // The parts of the head come apart though each answer has to read something.
-func TestHeadPartsComeApart(t *testing.T) {
+func TestHeadPartsSeparate(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(8, 8))
 	pace := NewPace()
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is how far the roll-out of an order has come, as the operators see it.
+// State is the progress of an order's roll-out as operators see it.
 type State string
 
 // The states. The last two are final for their order.
@@ -19,9 +19,8 @@
 	RolledBack State = "rolled_back"
 )
 
-// Record is what the store keeps of the roll-outs of a service. Of two records the one
-// with the later revision in the store counts; nothing of it is ever taken back but by
-// a later order.
+// Record is what the store keeps about the roll-outs of a service. Of two records the one with
+// the later revision in the store counts. Only a later order can undo anything in it.
 type Record struct {
 	// Order is the last one that was taken up.
 	Order Order
@@ -30,27 +29,27 @@
 	Elapsed time.Duration
 	// Current is the version of the last completed roll-out; empty before the first.
 	Current string
-	// Refused are the versions that get nothing until an order names them again: those
-	// rolled back, and those that a completed roll-out left. In order, each once; never
+	// Refused are the versions that get no requests until an order names them again: those rolled
+	// back, and those that a completed roll-out replaced. Sorted and unique; never contains
 	// Current.
 	Refused []string
-	// Served are the versions that served when the first order was taken up, until a
-	// roll-out completes: an order for one of them has nothing to prove. In order, each
-	// once; never in Refused.
+	// Served are the versions that served when the first order was taken up, until a roll-out
+	// completes. An order for one of them needs no trial. Sorted and unique; disjoint from
+	// Refused.
 	Served []string
 }
 
-// final says whether the record ends its order.
+// isFinal reports whether the record ends its order.
 func (r *Record) isFinal() bool {
 	return r.State == Completed || r.State == RolledBack
 }
 
-// serves says whether a version has nothing to prove.
+// isProven reports whether a version needs no trial.
 func (r *Record) isProven(version string) bool {
 	return version == r.Current || slices.Contains(r.Served, version)
 }
 
-// stored is a record in the store. Durations are in nanoseconds.
+// storedRecord is the stored form of a record. Durations are in nanoseconds.
 type storedRecord struct {
 	Service  string        `json:"service"`
 	Version  string        `json:"version"`
@@ -63,8 +62,8 @@
 	Served   []string      `json:"served,omitempty"`
 }
 
-// Encode writes a record for the store, as JSON. It fails for one that Decode would
-// not take.
+// Encode encodes a record as JSON for the store. It returns an error for a record that Decode
+// would reject.
 func Encode(record Record) ([]byte, error) {
 	if err := record.validate(); err != nil {
 		return nil, err
@@ -80,15 +79,15 @@
 		Refused:  record.Refused,
 		Served:   record.Served,
 	})
-	return data, errors.Wrap(err, "encode a roll-out's record")
+	return data, errors.Wrap(err, "encode roll-out record")
 }
 
-// Decode reads a record from the store. Fields that it doesn't know are passed over:
-// a later release may have written them.
+// Decode decodes a record from the store. Unknown fields are ignored, since a later release may
+// have written them.
 func Decode(data []byte) (Record, error) {
 	var decoded storedRecord
 	if err := json.Unmarshal(data, &decoded); err != nil {
-		return Record{}, errors.Wrap(err, "decode a roll-out's record")
+		return Record{}, errors.Wrap(err, "decode roll-out record")
 	}
 	record := Record{
 		Order: Order{
@@ -109,40 +108,40 @@
 	return record, nil
 }
 
-// check says what is wrong with a record.
+// validate returns an error if the record is inconsistent.
 func (r *Record) validate() error {
 	order := r.Order
 	switch {
 	case order.Service == "" || order.Version == "":
-		return errors.New("a roll-out's record names no service or no version")
+		return errors.New("roll-out record without a service or version")
 	case order.Duration <= 0 || order.Revision <= 0 || r.Elapsed < 0:
-		return errors.Newf("the record of %q has duration %s, revision %d, elapsed %s", order.Service, order.Duration, order.Revision, r.Elapsed)
+		return errors.Newf("roll-out record of %q has an invalid duration (%s), revision (%d) or elapsed time (%s)", order.Service, order.Duration, order.Revision, r.Elapsed)
 	case r.State != Running && r.State != Completed && r.State != RolledBack:
-		return errors.Newf("the record of %q has the unknown state %q", order.Service, r.State)
+		return errors.Newf("roll-out record of %q has unknown state %q", order.Service, r.State)
 	case r.State == Completed && r.Current != order.Version:
-		return errors.Newf("the record of %q has completed %q, but its current version is %q", order.Service, order.Version, r.Current)
+		return errors.Newf("roll-out record of %q has completed %q, but its current version is %q", order.Service, order.Version, r.Current)
 	case r.State == RolledBack && !r.isProven(order.Version) && !slices.Contains(r.Refused, order.Version):
-		return errors.Newf("the record of %q has rolled %q back, but doesn't refuse it", order.Service, order.Version)
+		return errors.Newf("roll-out record of %q has rolled back %q, but doesn't refuse it", order.Service, order.Version)
 	}
 	for i, version := range r.Refused {
 		if version == "" || version == r.Current || i > 0 && version <= r.Refused[i-1] {
-			return errors.Newf("the record of %q refuses %q, which is empty, current, out of order or twice there", order.Service, version)
+			return errors.Newf("roll-out record of %q refuses %q, which is empty, current, out of order or a duplicate", order.Service, version)
 		}
 	}
 	for i, version := range r.Served {
 		if version == "" || slices.Contains(r.Refused, version) || i > 0 && version <= r.Served[i-1] {
-			return errors.Newf("the record of %q has %q among those that served, which is empty, refused, out of order or twice there", order.Service, version)
+			return errors.Newf("roll-out record of %q lists %q as having served, which is empty, refused, out of order or a duplicate", order.Service, version)
 		}
 	}
 	for _, name := range slices.Concat([]string{order.Service, order.Version, r.Current}, r.Refused, r.Served) {
 		if !utf8.ValidString(name) {
-			return errors.Newf("the record of %q has a name that is not UTF-8", order.Service)
+			return errors.Newf("roll-out record of %q has a name that is not UTF-8", order.Service)
 		}
 	}
 	return nil
 }
 
-// sortedVersions is a list of versions in order, each once, without those left out.
+// sortedVersions returns the sorted, unique versions without the excluded ones.
 func sortedVersions(versions []string, excluded ...string) []string {
 	kept := make([]string, 0, len(versions))
 	for _, version := range versions {
--- a/internal/rollout/record_test.go
+++ b/internal/rollout/record_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestRecordComesBack(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	is := is.New(t)
 	data, err := Encode(validRecord())
 	is.NoErr(err)
@@ -27,7 +27,7 @@
 	is.Equal(read, validRecord())
 }
 
-func TestRecordsThatAreRefused(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	cases := map[string]func(r *Record){
 		"no service":               func(r *Record) { r.Order.Service = "" },
 		"no version":               func(r *Record) { r.Order.Version, r.Current = "", "" },
@@ -46,11 +46,11 @@
 		"empty":                    func(r *Record) { r.Refused = []string{"", "v1"} },
 		"not UTF-8":                func(r *Record) { r.Refused = []string{"v\xff"} },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			record := validRecord()
-			spoil(&record)
+			corrupt(&record)
 			_, err := Encode(record)
 			is.True(err != nil)
 		})
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -138,7 +138,7 @@
 // TestFaultsDuringRollout: whatever fails at whatever step, the bounds hold, an order ends once, and
 // no bad version is completed. A good one is, but where the fault leaves it no time.
 func TestFaultsDuringRollout(t *testing.T) {
-	const gateways, lasts = 9, 30 * time.Second
+	const gateways, duration = 9, 30 * time.Second
 	for faultName, fault := range faults {
 		for momentName, moment := range faultSteps {
 			for _, formName := range []string{"good", "fails at once", "turns bad", "slow"} {
@@ -152,8 +152,8 @@
 						w.after(0, func() { w.after(faultDuration, fault(w, n)) })
 						return true
 					}
-					w.order(newVersion, lasts)
-					w.run(lasts + faultDuration + 3*time.Second)
+					w.order(newVersion, duration)
+					w.run(duration + faultDuration + 3*time.Second)
 					want := Completed
 					if f.bad() {
 						want = RolledBack
@@ -199,12 +199,12 @@
 				w.rate = 150
 				w.order(newVersion, 40*time.Second)
 				w.run(5 * time.Second)
-				lone := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.Decides(testService) })]
-				lone.cutOff = true
-				commit := lone.control.startCommit
-				lone.control.startCommit = func(c pendingCommit) {
+				isolated := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.Decides(testService) })]
+				isolated.cutOff = true
+				commit := isolated.control.startCommit
+				isolated.control.startCommit = func(c pendingCommit) {
 					if c.commit.Record.isFinal() && w.now.Sub(w.orderedAt) < 39*time.Second {
-						w.addViolation("%s alone ends the order: %s, %s", lone.id, c.commit.Record.State, c.reason)
+						w.addViolation("%s alone ends the order: %s, %s", isolated.id, c.commit.Record.State, c.reason)
 					}
 					commit(c)
 				}
@@ -220,9 +220,9 @@
 // late as well, no request is without a target.
 func TestCompletionCommittedAfterMove(t *testing.T) {
 	cases := map[string]struct {
-		form  versionBehavior
-		stays bool
-		want  State
+		form      versionBehavior
+		staysLate bool
+		want      State
 	}{
 		"good":             {versionBehavior{}, false, Completed},
 		"good, stays so":   {versionBehavior{}, true, Completed},
@@ -240,7 +240,7 @@
 					if w.store.lostAnswers == "" && moving && !moved {
 						w.store.lostAnswers = "later"
 					}
-					if w.store.lostAnswers != "" && !moving && !c.stays {
+					if w.store.lostAnswers != "" && !moving && !c.staysLate {
 						w.store.lostAnswers, moved = "", true
 					}
 				}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -9,37 +9,39 @@
 )
 
 const (
-	// maxReportTallies bounds a report: two datagrams hold as many, and services have fewer
-	// routes times targets of one version, or those with news come first.
+	// maxReportTallies limits a report. Two datagrams hold this many. Services have fewer
+	// combinations of routes and targets of one version, or else those with the most new answers
+	// come first.
 	maxReportTallies = 64
-	// maxCanaryPart is how much of the share the canary may use at most: the rest, with
-	// the slack, pays for the move, in which the version gets everything.
+	// maxCanaryPart is the largest part of the share that the canary may use. The rest, with the
+	// slack, pays for the move, in which the version gets all requests.
 	maxCanaryPart = 0.8
-	// minCanaryPart is what it may use where the order's time is so short that the
-	// move needs most of the share: less would give the judge too few answers.
+	// minCanaryPart is the part it may use if the order's time is so short that the move needs
+	// most of the share. With less, the judge would get too few answers.
 	minCanaryPart = 0.4
-	// typicalMove is how long a move usually lasts: gateways hear of it with their next
+	// typicalMove is the typical duration of a move: gateways receive its grant with their next
 	// report, and the store answers.
 	typicalMove = 600 * time.Millisecond
-	// hurry is how many times more often gateways report from shortly before a move on,
-	// where the order's time is short: twice the messages, for a few seconds.
+	// shortOrderReportFactor is how many times more often gateways report from shortly before a
+	// move on, if the order's time is short. That doubles the messages for a few seconds.
 	shortOrderReportFactor = 2
-	// minHeadStartSlack is the least slack, in requests, with which gateways begin as if they
-	// had sent some requests before. Together they stay at the share on average, and
-	// above it by a handful at most (the root of a twelfth of their number, times three).
+	// minHeadStartSlack is the smallest slack, in requests, with which gateways start as if they
+	// had already sent some requests. Together they stay at the share on average, and exceed it
+	// by a handful at most (three times the root of a twelfth of their number).
 	minHeadStartSlack = 16
-	// reportRetryDelay is after what time a report is repeated whose answer is missing, up to
-	// maxReportRetries times: packets get lost, and a move is short. Answers take a round trip.
+	// reportRetryDelay is the time after which an unanswered report is repeated, up to
+	// maxReportRetries times, since packets get lost and a move is short. Answers take one round
+	// trip.
 	reportRetryDelay = 100 * time.Millisecond
 	maxReportRetries = 2
-	// recordLag is how long the record of a move may be on its way to gateways: the old
-	// targets stop as soon as the store has it.
+	// recordLag is how long the record of a move may take to reach the gateways. The old targets
+	// stop as soon as the store has it.
 	recordLag = 5 * time.Second
-	// changeLag is how long the store's changes may be on their way to a gateway.
+	// changeLag is how long a change in the store may take to reach a gateway.
 	changeLag = 300 * time.Millisecond
-	// servedWindow is how long after its last request a version that the first order
-	// doesn't name counts as serving: entries that lapsed are back by then, and versions
-	// that were replaced without an order are forgotten.
+	// servedWindow is how long after its last request a version that the first order doesn't name
+	// counts as serving. Expired entries are back by then, and versions that were replaced
+	// without an order are forgotten.
 	servedWindow = time.Minute
 )
 
@@ -47,34 +49,35 @@
 type service struct {
 	name    string
 	options Options
-	// random is in [0, 1).
+	// random returns a number in [0, 1).
 	random func() float64
 	// order is the one in the store, as far as is known; zero for none.
 	order Order
-	// lastOrder is the largest revision of an order that was seen.
+	// lastOrder is the largest order revision seen.
 	lastOrder int64
-	// withdrawn says that the store held an order, and holds none any more.
+	// withdrawn is set if the store held an order and no longer does.
 	withdrawn bool
 	// record is the one in the store, with its revision; zero for none.
 	record     Record
 	revision   int64
 	recordedAt time.Time
-	// overtaken are orders that ended here before a record of their end was seen.
+	// unrecordedEnds are orders that ended here before a record of their end was seen.
 	unrecordedEnds []Order
-	// trial is that of the running order; nil for none.
+	// trial is the trial of the running order; nil for none.
 	trial *trial
-	// base says which versions take what the version on trial doesn't.
+	// baseVersions selects the versions for the requests that the version on trial doesn't get.
 	baseVersions balance.Versions
-	// flight counts the requests under way by version, since the process began: an
-	// order may come while they are.
+	// inFlight counts the requests in flight by version since the process started, since an order
+	// may arrive while they are.
 	inFlight map[string]int
-	// chosen is when each version last got a request, before any order was known.
+	// lastUsed is when each version last got a request, before any order was known.
 	lastUsed map[string]time.Time
-	// served are the versions that served when the first order came, by chosen.
+	// initialVersions are the versions that served when the first order came, according to
+	// lastUsed.
 	initialVersions []string
 	pace            *Pace
-	// noTargetSince is when a request first found no target besides those of the version on trial;
-	// zero if the last one found some.
+	// noTargetSince is when a request first found no target besides those of the version on
+	// trial; zero if the last request found one.
 	noTargetSince time.Time
 }
 
@@ -85,7 +88,7 @@
 	}
 }
 
-// running says whether the order has not ended, by all that is known.
+// running reports whether the order has not ended, as far as is known.
 func (s *service) running() bool {
 	switch {
 	case s.order.Revision == 0 || s.order.Revision < s.record.Order.Revision:
@@ -96,7 +99,7 @@
 	return true
 }
 
-// settle brings trial and base in line with order and record.
+// reconcile brings trial and baseVersions in line with order and record.
 func (s *service) reconcile(now time.Time) {
 	before := s.trial
 	s.reconcileTrial(now)
@@ -123,7 +126,7 @@
 	}
 }
 
-// noteUse notes which versions serve, as long as nothing was ordered.
+// noteUse records which versions serve until the first order.
 func (s *service) noteUse(version string, now time.Time) {
 	if s.lastOrder > 0 || s.revision > 0 {
 		return
@@ -134,9 +137,9 @@
 	s.lastUsed[version] = now
 }
 
-// noteInitialVersions takes up the first order. Its version has served if no other has, and none
-// has targets: beside others it may be unproven, with targets that were started for the
-// order.
+// noteInitialVersions takes up the first order. The order's version counts as having served only
+// if no other one has served or has targets. Beside others it may be unproven, with targets that
+// were started for the order.
 func (s *service) noteInitialVersions(order Order, listed map[string]int, now time.Time) {
 	if s.lastOrder > 0 || s.revision > 0 {
 		return
@@ -151,7 +154,7 @@
 	clear(s.lastUsed)
 }
 
-// serving are the versions that have nothing to prove since they served before the first
+// provenVersions returns the versions that need no trial since they served before the first
 // order; none once a roll-out has completed.
 func (s *service) provenVersions() []string {
 	switch {
@@ -173,7 +176,7 @@
 	case t == nil || t.order.Version != s.order.Version:
 		s.trial = newTrial(s.order, s.options, s.random, now)
 	case s.record.isFinal() && s.record.Order.Revision >= t.firstRevision:
-		// The order before it ended after all: this one begins anew.
+		// The previous order has ended after all, so this one starts a new trial.
 		s.trial = newTrial(s.order, s.options, s.random, now)
 	case t.order.Revision != s.order.Revision:
 		t.extend(s.order, now)
@@ -181,13 +184,13 @@
 	s.trial.current = s.isCurrent()
 }
 
-// isCurrent says whether the running order is for a version that has nothing to prove: the
-// current one, or one that served before the first order.
+// isCurrent reports whether the running order is for a version that needs no trial: the current
+// one, or one that served before the first order.
 func (s *service) isCurrent() bool {
 	return s.order.Version == s.record.Current || slices.Contains(s.provenVersions(), s.order.Version)
 }
 
-// refused are the versions that get nothing, but for the one on trial.
+// refused returns the versions that get no requests, except for the one on trial.
 func (s *service) refused() []string {
 	all := slices.Clone(s.record.Refused)
 	if s.record.State == Running {
@@ -203,7 +206,7 @@
 	return sortedVersions(all, append([]string{s.record.Current, onTrial}, s.provenVersions()...)...)
 }
 
-// report is what there is to say about the trial.
+// report returns the report about the trial.
 func (s *service) report(now time.Time) Report {
 	t := s.trial
 	requests, exposed := t.totals()
@@ -225,22 +228,22 @@
 	}
 }
 
-// view is what a controller needs to know of a service.
+// view is the state of a service that a controller needs.
 type view struct {
 	service  string
 	record   Record
 	revision int64
 	// recordedAt is when the record was read.
 	recordedAt time.Time
-	// refused are the versions that get nothing, but for the one on trial.
+	// refused are the versions that get no requests, except for the one on trial.
 	refused []string
-	// served are the versions that served before the first order; none once a roll-out
+	// provenVersions are the versions that served before the first order; none once a roll-out
 	// has completed.
 	provenVersions []string
-	// running says that there is an order that has not ended; the next fields are its.
+	// running is set if there is an order that has not ended, which the next fields describe.
 	running bool
 	order   Order
-	// first is the revision of the first order of the trial.
+	// firstRevision is the revision of the first order of the trial.
 	firstRevision int64
 	knownSince    time.Time
 	// notBefore is the deadline of an earlier order for the same version; zero for none.
@@ -249,9 +252,9 @@
 	stage     Stage
 	requests  int
 	exposed   int
-	// left is an order that was withdrawn before its end was recorded; zero for none.
+	// withdrawnOrder is an order that was withdrawn before its end was recorded; zero for none.
 	withdrawnOrder Order
-	// withdrawalSeen says that the withdrawal itself was seen.
+	// withdrawalSeen is set if the withdrawal itself was seen.
 	withdrawalSeen bool
 }
 
@@ -281,7 +284,7 @@
 	return v
 }
 
-// proved says whether the order's version has nothing to prove.
+// isProven reports whether the order's version needs no trial.
 func (v view) isProven() bool {
 	return v.order.Version == v.record.Current || slices.Contains(v.provenVersions, v.order.Version)
 }
--- a/internal/rollout/share_test.go
+++ b/internal/rollout/share_test.go
@@ -43,9 +43,9 @@
 func TestShareOfRoutes(t *testing.T) {
 	const requests = 20_000
 	tests := map[string]struct {
-		ratio       float64
-		wanted      bool
-		least, most int
+		ratio     float64
+		wanted    bool
+		low, high int
 	}{
 		"a wanted route gets the whole share": {0.1, true, requests / 10, requests / 10},
 		"another gets a quarter of it":        {0.1, false, requests/40 - 70, requests/40 + 70},
@@ -64,14 +64,14 @@
 				share.Reserve(1, test.wanted)
 			}
 			_, exposed := share.Totals()
-			is.True(exposed >= test.least) // too little
-			is.True(exposed <= test.most)  // too much
+			is.True(exposed >= test.low)  // too little
+			is.True(exposed <= test.high) // too much
 		})
 	}
 }
 
 // What was given back may be taken again, and more can't be given back than was taken.
-func TestShareReturns(t *testing.T) {
+func TestShareRelease(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.5)
 	share.CountRequest()
@@ -87,7 +87,7 @@
 }
 
 // What a sending lacks by rounding is no sending.
-func TestShareIsExact(t *testing.T) {
+func TestShareRounding(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.1 - 1e-11)
 	for range 10 {
@@ -99,7 +99,7 @@
 }
 
 // What was not taken for long isn't all taken at once.
-func TestShareSavesLittle(t *testing.T) {
+func TestShareLimitsSavings(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.1)
 	for range 10_000 {
@@ -113,7 +113,7 @@
 }
 
 // Gateways take their trickle at different requests, though they have the same code.
-func TestShareTrickleDiffersBetweenGateways(t *testing.T) {
+func TestSampledRoutesDifferBetweenGateways(t *testing.T) {
 	is := is.New(t)
 	first := make(map[int]bool)
 	for seed := range uint64(20) {
--- a/internal/rollout/simulated_rollouts_test.go
+++ b/internal/rollout/simulated_rollouts_test.go
@@ -93,13 +93,13 @@
 	}
 	usualBase := steadyBase(0.004, 0.01)
 	none := addedEverywhere(0, 0, 0)
-	forms := map[string]struct {
+	profiles := map[string]struct {
 		answerProfile
 		// mostBad, leastBad, leastCompleted, mostCompleted are the bounds; mostAnswers is
 		// that of the bad answers in any one trial, base included.
-		mostBad, leastBad             int
-		leastCompleted, mostCompleted int
-		mostAnswers                   int
+		maxBad, minBad             int
+		minCompleted, maxCompleted int
+		maxBadAnswers              int
 	}{
 		"good":                            {answerProfile{usualBase, none}, 0, 0, 99, 100, 12},
 		"good, some fail everywhere":      {answerProfile{steadyBase(0.05, 0.05), none}, 3, 0, 93, 100, 55},
@@ -115,19 +115,19 @@
 		"30 in 100 slow on one route":     {answerProfile{usualBase, addedOnRoute("a", 0, 0.3)}, 100, 90, 0, 3, 65},
 		"50 in 100 fail after two thirds": {answerProfile{usualBase, addedEverywhere(0.5, 0, 8)}, 100, 80, 0, 3, 60},
 	}
-	for name, form := range forms {
+	for name, profile := range profiles {
 		for service, trial := range services {
 			t.Run(name+"/"+service, func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				sums := runSimulations(trial, form.answerProfile, count)
+				sums := runSimulations(trial, profile.answerProfile, count)
 				t.Logf("bad %d, good %d, completed %d of %d; bad answers %.1f, most %d",
 					sums.bad, sums.good, sums.completed, count, sums.meanBadAnswers, sums.maxBadAnswers)
-				is.True(100*sums.bad <= form.mostBad*count)
-				is.True(100*sums.bad >= form.leastBad*count)
-				is.True(100*sums.completed >= form.leastCompleted*count)
-				is.True(100*sums.completed <= form.mostCompleted*count)
-				is.True(sums.maxBadAnswers <= form.mostAnswers)
+				is.True(100*sums.bad <= profile.maxBad*count)
+				is.True(100*sums.bad >= profile.minBad*count)
+				is.True(100*sums.completed >= profile.minCompleted*count)
+				is.True(100*sums.completed <= profile.maxCompleted*count)
+				is.True(sums.maxBadAnswers <= profile.maxBadAnswers)
 				is.Equal(sums.overShare, 0)
 			})
 		}
@@ -142,7 +142,7 @@
 	lossy.reportLoss, lossy.maxTallies = 0.33, 6
 	tests := map[string]struct {
 		answerProfile
-		leastBad, leastCompleted int
+		minBad, minCompleted int
 	}{
 		"good":                        {answerProfile{usualBase, addedEverywhere(0, 0, 0)}, 0, 99},
 		"good, a spell of failures":   {answerProfile{burstBase(0.4, 0), addedEverywhere(0, 0, 0)}, 0, 93},
@@ -155,8 +155,8 @@
 			is := is.New(t)
 			sums := runSimulations(lossy, test.answerProfile, 100)
 			t.Logf("%+v", sums)
-			is.True(sums.bad >= test.leastBad)
-			is.True(sums.completed >= test.leastCompleted)
+			is.True(sums.bad >= test.minBad)
+			is.True(sums.completed >= test.minCompleted)
 			is.True(sums.maxBadAnswers <= 50)
 		})
 	}
@@ -179,7 +179,7 @@
 	}
 	tests := map[string]struct {
 		answerProfile
-		leastBad, leastCompleted int
+		minBad, minCompleted int
 	}{
 		"good":                        {answerProfile{spells, addedEverywhere(0, 0, 0)}, 0, 90},
 		"20 in 100 fail":              {answerProfile{steadyBase(0.004, 0.01), addedEverywhere(0.2, 0, 0)}, 98, 0},
@@ -192,8 +192,8 @@
 			is := is.New(t)
 			sums := runSimulations(long, test.answerProfile, 50)
 			t.Logf("%+v", sums)
-			is.True(2*sums.bad >= test.leastBad)
-			is.True(2*sums.completed >= test.leastCompleted)
+			is.True(2*sums.bad >= test.minBad)
+			is.True(2*sums.completed >= test.minCompleted)
 		})
 	}
 }
--- a/internal/rollout/sprt.go
+++ b/internal/rollout/sprt.go
@@ -2,64 +2,67 @@
 
 import "math"
 
-// The sequential probability ratio test (Wald, "Sequential Tests of Statistical
-// Hypotheses", Annals of Mathematical Statistics 16, 1945) adds up, answer by answer,
-// the logarithm of how many times likelier the answer is of a bad version than of a good
-// one. All weights here are such logarithms, natural ones.
+// The sequential probability ratio test (Wald, "Sequential Tests of Statistical Hypotheses",
+// Annals of Mathematical Statistics 16, 1945) adds up, answer by answer, the logarithm of how
+// many times likelier the answer is from a bad version than from a good one. All weights here are
+// such natural logarithms.
 const (
-	// falseBad is the chance that one test calls a good version bad: a service has some
-	// ten tests, so that one good roll-out in a hundred at most is lost to it.
+	// falseBad is the probability that one test calls a good version bad. A service has some ten
+	// tests, so at most one good roll-out in a hundred is lost to it.
 	falseBad = 0.001
-	// falseGood is the chance that one test passes a bad version by its first sample; with
-	// several targets, whose parts are cut, it is half as large again. The test goes on
-	// watching, so that few of them last until the end. A smaller chance takes a larger
-	// sample than a tenth of the requests of a short order holds.
+	// falseGood is the probability that one test passes a bad version by its first sample. With
+	// several targets, whose parts are capped, it is half as large again. The test keeps
+	// watching, so few of those versions last until the end. A smaller probability would take a
+	// larger sample than a tenth of the requests of a short order provides.
 	falseGood = 0.02
-	// badStep is what a bad version adds, at least, to the share of troubled answers:
-	// a fifth of its answers, less a little for luck.
+	// badStep is the least that a bad version adds to the share of troubled answers: a fifth of
+	// its answers, less a small allowance for chance.
 	badStep = 0.18
-	// watchWeight is where the weight is cut from below once a test has passed: what turns
-	// bad later needn't outweigh what was good. Nearer to zero, luck alone would come to
-	// badWeight in a long order.
+	// watchWeight is the lower limit of the weight once a test has passed, so that a version that
+	// turns bad later needn't outweigh its earlier good answers. Closer to zero, chance alone
+	// would reach badWeight in a long order.
 	watchWeight = -2.0
-	// suspectWeight is where a passed test is no longer so. One test of some ten weighs more
-	// than this against one good version in eight, and none says which it would be.
+	// suspectWeight is the weight at which a test has no longer passed. For one good version in
+	// eight, one of some ten tests exceeds it, and there is no telling which test it will be.
 	suspectWeight = 2.0
-	// maxBase is the largest share of troubled answers that a good version is thought
-	// to have: it leaves room for the step above it.
+	// maxBase is the largest share of troubled answers assumed of a good version. It leaves room
+	// for badStep above it.
 	maxBase = 0.75
 )
 
 const (
-	// minLoneAnswers is how many answers it takes while one target alone has answered: its
-	// neighbours' may only be late. A version with a single target has them soon.
+	// minLoneAnswers is the number of answers needed while only one target has answered, since
+	// those of the other targets may just be late. A version with a single target soon has this
+	// many.
 	minLoneAnswers = 10
-	// capFactor is what as many targets as are needed may weigh together, in parts of
-	// what makes a version bad: above one, so that they do, and so little above that one
-	// less of them doesn't even if a good neighbour fails once.
+	// capFactor is the weight that the needed number of targets may have together, as a multiple
+	// of badWeight. It is above one so that they suffice, but so little that one target fewer
+	// doesn't, even if a good target fails once as well.
 	capFactor = 1.2
-	// manyTargets is from how many targets on it takes manyNeeded instead of fewNeeded of
-	// them: a crash and a grey target at the same time happen, three seldom do.
+	// From manyTargets targets on, manyNeeded of them are needed instead of fewNeeded. A crashed
+	// and a degraded target at the same time do happen; three rarely do.
 	manyTargets = 4
 	manyNeeded  = 3
 	fewNeeded   = 2
-	// minTargetAnswers is how many answers make a target one of many: one that has
-	// had fewer can't bear its part of the evidence.
+	// minTargetAnswers is the number of answers that a target needs to count as one of many. With
+	// fewer it can't contribute its part of the evidence.
 	minTargetAnswers = 4
 )
 
 var (
-	// badWeight is where a version is bad, and goodWeight where a test is passed.
+	// badWeight is the weight at which a version is bad, and goodWeight the one at which a test
+	// has passed.
 	badWeight  = math.Log((1 - falseGood) / falseBad)
 	goodWeight = -math.Log((1 - falseBad) / falseGood)
 )
 
-// odds are the weights of single answers.
+// logOdds are the weights of single answers.
 type logOdds struct {
 	troubled, fine float64
 }
 
-// newLogOdds are the weights of answers where a share of a good version's are troubled.
+// newLogOdds returns the weights of answers, given the share of a good version's answers that are
+// troubled.
 func newLogOdds(base float64) logOdds {
 	base = min(base, maxBase)
 	bad := base + badStep
@@ -73,33 +76,33 @@
 	return o.troubled*float64(troubled) + o.fine*float64(answers-troubled)
 }
 
-// evidence is one test. Its weight is cut from below, as in the cumulative sum test (Page,
-// "Continuous Inspection Schemes", Biometrika 41, 1954): good answers don't pile up that
-// what turns bad later would have to outweigh. Each target's part is cut from above, so
-// that one target alone can't make a version bad.
+// sequentialTest is one test. Its weight is limited from below, as in the cumulative sum test
+// (Page, "Continuous Inspection Schemes", Biometrika 41, 1954): good answers don't accumulate to
+// a weight that a version turning bad later would have to outweigh. Each target's part is limited
+// from above, so that one target alone can't make a version bad.
 type sequentialTest struct {
 	targets []targetWeight
-	// at is where in targets each one is, by its name.
+	// index maps a target's name hash to its position in targets.
 	index map[uint32]int
-	// answers are those of all targets, and many is how many targets have minTargetAnswers
-	// of them.
+	// answers counts those of all targets, and qualified the targets with at least
+	// minTargetAnswers of them.
 	answers, qualified int
-	// weight is the sum over the targets, and sound the sum without those that are
-	// broken, if they are too few to make the version bad.
+	// weight is the sum over the targets, and soundWeight the sum without broken targets if they
+	// are too few to make the version bad.
 	weight, soundWeight float64
-	// passed is set at goodWeight, and unset as soon as the sound targets speak against
-	// the version.
+	// passed is set at goodWeight, and cleared as soon as the sound targets speak against the
+	// version.
 	passed bool
 }
 
 type targetWeight struct {
 	answers int
-	// weight is that of its answers alone; at badWeight, where it is cut, the target is
-	// broken whatever the version is.
+	// weight is that of the target's own answers. It is capped at badWeight, where the target is
+	// considered broken regardless of the version.
 	weight float64
 }
 
-// add takes answers of one target; settle must follow before the test is asked.
+// add takes in answers of one target; update must follow before the result is read.
 func (e *sequentialTest) add(target uint32, answers int, weight float64) {
 	at, ok := e.index[target]
 	if !ok {
@@ -120,7 +123,7 @@
 	}
 }
 
-// settle sums up and cuts.
+// update recomputes the weights and applies the limits.
 func (e *sequentialTest) update() {
 	e.sum()
 	if e.soundWeight <= goodWeight {
@@ -138,7 +141,7 @@
 	}
 }
 
-// sum cuts what single targets weigh, and sums up.
+// sum caps the weights of single targets and adds them up.
 func (e *sequentialTest) sum() {
 	limit, needed := e.targetLimit()
 	broken := 0
@@ -157,8 +160,8 @@
 	}
 }
 
-// raise takes what speaks in favour back, for all targets by the same part, until the
-// sound ones weigh so much together.
+// raiseTo scales down the evidence in favor, for all targets by the same factor, until the sound
+// targets together weigh floor.
 func (e *sequentialTest) raiseTo(floor float64) {
 	inFavour := 0.0
 	for _, target := range e.targets {
@@ -174,8 +177,8 @@
 	e.weight += excess
 }
 
-// targetLimit is how much a single target may weigh against the version, and how many
-// are needed to make it bad.
+// targetLimit returns the largest weight that a single target may have against the version, and
+// how many targets are needed to make it bad.
 func (e *sequentialTest) targetLimit() (most float64, needed int) {
 	switch {
 	case len(e.targets) == 1:
@@ -187,7 +190,7 @@
 	}
 }
 
-// bad says whether it is enough to call the version bad.
+// bad reports whether the evidence is enough to call the version bad.
 func (e *sequentialTest) bad() bool {
 	if len(e.targets) == 1 && e.answers < minLoneAnswers {
 		return false
--- a/internal/rollout/sprt_test.go
+++ b/internal/rollout/sprt_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOdds(t *testing.T) {
+func TestLogOdds(t *testing.T) {
 	tests := map[string]struct {
 		base           float64
 		troubled, fine float64
@@ -31,7 +31,7 @@
 
 // weighed plays answers with a share of trouble, one by one over some targets, until the
 // test says bad or, unless it is to go on watching, has passed.
-func weighed(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test sequentialTest, at int) {
+func runTest(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test sequentialTest, at int) {
 	weights := newLogOdds(base)
 	for at = 1; at <= answers; at++ {
 		troubled := 0
@@ -49,7 +49,7 @@
 
 // The chances of a false end of one test are no larger than its constants say, and the
 // sample that it takes is that of the design: what a tenth of a short order holds.
-func TestChancesOfAFalseEnd(t *testing.T) {
+func TestErrorProbabilities(t *testing.T) {
 	const trials = 20_000
 	tests := map[string]struct {
 		base    float64
@@ -69,12 +69,12 @@
 			random := rand.New(rand.NewPCG(17, 4))
 			falselyBad, falselyGood, sample := 0, 0, 0
 			for range trials {
-				good, at := weighed(random, test.base, test.base, test.targets, 1000, false)
+				good, at := runTest(random, test.base, test.base, test.targets, 1000, false)
 				sample += at
 				if good.bad() {
 					falselyBad++
 				}
-				bad, _ := weighed(random, test.base, test.base+badStep, test.targets, 1000, false)
+				bad, _ := runTest(random, test.base, test.base+badStep, test.targets, 1000, false)
 				if bad.passed {
 					falselyGood++
 				}
@@ -82,11 +82,11 @@
 			t.Logf("falsely bad %d, falsely good %d of %d, sample %.1f",
 				falselyBad, falselyGood, trials, float64(sample)/trials)
 			is.True(float64(falselyBad) <= falseBad*trials)
-			most := falseGood * trials
+			limit := falseGood * trials
 			if test.targets > 1 {
-				most *= 1.5
+				limit *= 1.5
 			}
-			is.True(float64(falselyGood) <= most)
+			is.True(float64(falselyGood) <= limit)
 			is.True(float64(sample)/trials <= test.sample)
 		})
 	}
@@ -94,13 +94,13 @@
 
 // What turns bad after the test has passed is found about as soon as at once: good answers
 // don't pile up. And watching long doesn't make a good version bad.
-func TestWatchesAfterPassing(t *testing.T) {
+func TestBadAfterPassing(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(18, 4))
 	const trials = 2000
 	answers, falselyBad := 0, 0
 	for range trials {
-		test, _ := weighed(random, 0.02, 0.02, 5, 500, true)
+		test, _ := runTest(random, 0.02, 0.02, 5, 500, true)
 		if test.bad() {
 			falselyBad++
 			continue
@@ -123,7 +123,7 @@
 
 // However badly fewer targets than are needed answer, they make no version bad, and they
 // don't keep it from passing by what the others show.
-func TestFewTargetsConvictNoVersion(t *testing.T) {
+func TestTooFewBadTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.IntRange(2, 16).Draw(t, "targets")
 		needed := fewNeeded
@@ -167,7 +167,7 @@
 }
 
 // As many as are needed do make it bad, and a version with a single target needs no other.
-func TestEnoughTargetsConvict(t *testing.T) {
+func TestEnoughBadTargets(t *testing.T) {
 	for targets, needed := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 16: 3} {
 		is := is.New(t)
 		weights := newLogOdds(minBaseFailures)
--- a/internal/rollout/stage.go
+++ b/internal/rollout/stage.go
@@ -7,15 +7,15 @@
 
 // The stages.
 const (
-	// Hold: nothing. It is what a gateway obeys that has no valid grant.
+	// Hold: no requests. It applies to a gateway without a valid grant.
 	Hold Stage = iota
 	// Canary: a share of the requests.
 	Canary
-	// Move: all new requests, and nothing to other versions.
+	// Move: all new requests, and none to other versions.
 	Move
 )
 
-// String names the stage for operators.
+// String returns the stage's name for operators.
 func (s Stage) String() string {
 	switch s {
 	case Canary:
@@ -27,38 +27,38 @@
 	}
 }
 
-// End is what has become of an order, ahead of its record.
+// End is how an order has ended, before its record is available.
 type End int
 
 // The ends.
 const (
-	// Open: nothing yet.
+	// Open: it has not ended.
 	Open End = iota
-	// Halted: the version gets nothing any more.
+	// Halted: the version gets no more requests.
 	Halted
 	// Done: the store has the completion.
 	Done
 )
 
-// Report is what a gateway tells the one that decides about a service. Its counts are
-// sums over the sender's life and over the order, so that a lost report costs nothing.
+// Report is what a gateway sends to the one that decides about a service. Its counts are totals
+// over the sender's incarnation and the order, so that a lost report does no harm.
 type Report struct {
-	// Life names one run of the sender: its sums begin anew with it.
+	// Incarnation identifies one run of the sender; its totals restart with each run.
 	Incarnation uint64
-	// Service is the upper half of the hash of its name.
+	// Service is the upper half of the hash of the service's name.
 	Service uint32
 	// Order is the order's revision.
 	Order int64
 	// Age is how long the sender has known the order.
 	Age time.Duration
-	// Stage is the one that the sender obeys.
+	// Stage is the one that the sender applies.
 	Stage Stage
-	// Others is how many of its requests are under way at other versions.
+	// Others is the number of its requests in flight at other versions.
 	Others int
-	// Requests and Exposed count its sendings to the service, and those of them to the
-	// order's version.
+	// Requests and Exposed count the sender's requests to the service, and those among them to
+	// the order's version.
 	Requests, Exposed int
-	// Tallies are bounded: the routes and targets with the most news come first.
+	// Tallies are limited in number: the routes and targets with the most new answers come first.
 	Tallies []Tally
 }
 
@@ -66,28 +66,27 @@
 type Tally struct {
 	// Route is the upper half of the hash of the route's name.
 	Route uint32
-	// Target is the upper half of the hash of the id of a target of the order's version;
-	// zero stands for all targets of other versions together.
+	// Target is the upper half of the hash of the ID of a target of the order's version. Zero
+	// stands for all targets of other versions together.
 	Target uint32
-	// Answers are those that say something of the version; Failed and Slow are among them.
+	// Answers counts those that are evidence about the version; Failed and Slow are included.
 	Answers, Failed, Slow int
 }
 
-// Grant is the answer to a report. It holds for a bounded time from the moment at which
-// the report was sent: a gateway that gets no answers stops by itself, whatever the
-// reason.
+// Grant is the answer to a report. It is valid for a limited time from the sending of the report:
+// a gateway that gets no answers stops by itself, whatever the cause.
 type Grant struct {
-	// Service is named as in Report.
+	// Service is the upper half of the hash of the service's name, as in Report.
 	Service uint32
 	Order   int64
 	Stage   Stage
-	// Age is how long the order has been known by the gateway that has known it longest.
+	// Age is how long the order has been known to the gateway that has known it longest.
 	Age time.Duration
-	// For is how long the grant holds from the sending of the report; zero for a notice
-	// that was not asked for, of which only End counts.
+	// For is how long the grant is valid from the sending of the report. It is zero for an
+	// unsolicited notice, of which only End counts.
 	For time.Duration
-	// End is what has become of the order.
+	// End is how the order has ended, if it has.
 	End End
-	// Wanted are the routes whose samples are too small yet, named as in Tally.
+	// Wanted are the routes whose samples are still too small, hashed as in Tally.
 	Wanted []uint32
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,7 +6,7 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// Status is how far a roll-out has come, for operators.
+// Status is the progress of a roll-out, for operators.
 type Status struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -14,16 +14,16 @@
 	Order int64  `json:"order"`
 	State State  `json:"state"`
 	Stage string `json:"stage"`
-	// Halted says that the version gets nothing any more, whatever the store has.
+	// Halted is set if the version gets no more requests, whatever the store has.
 	Halted bool `json:"halted"`
-	// Decides says whether this process is the one that decides.
+	// Decides reports whether this process is the one that decides.
 	Decides bool  `json:"decides"`
 	AgeMS   int64 `json:"age_ms"`
-	// LeftMS is the time to the deadline; below zero after it. Both are zero for an
+	// LeftMS is the time to the deadline, negative after it. AgeMS and LeftMS are zero for an
 	// order that has ended.
 	LeftMS int64 `json:"left_ms"`
-	// Requests and Exposed are those of all gateways where this process decides, and
-	// its own otherwise.
+	// Requests and Exposed are those of all gateways if this process decides, and its own
+	// otherwise.
 	Requests int        `json:"requests"`
 	Exposed  int        `json:"exposed"`
 	Refused  []string   `json:"refused"`
@@ -31,7 +31,7 @@
 	Routes   []RouteSum `json:"routes"`
 }
 
-// Rollouts are all that this process knows of, by service.
+// Rollouts returns all roll-outs that this process knows of, by service.
 func (c *Controller) Rollouts() []Status {
 	now := clock.Now()
 	views := c.gate.views(now)
--- a/internal/rollout/tallies.go
+++ b/internal/rollout/tallies.go
@@ -7,24 +7,25 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// maxTallyRoutes is how many routes of one order are counted by themselves; further ones are
-// counted together. It bounds the memory of small hosts; a service has a few dozen routes.
+// maxTallyRoutes is the number of routes of one order that are counted separately; further ones
+// are counted together. It limits memory on small hosts. A service has a few dozen routes.
 const maxTallyRoutes = 512
 
 // otherRoutes stands in tallies for all routes beyond maxTallyRoutes together.
 const otherRoutes uint32 = 0
 
-// NameHash is how tallies name routes and targets: the upper half of the name's hash.
+// NameHash returns the identifier of routes and targets in tallies: the upper half of the name's
+// hash.
 func NameHash(name string) uint32 {
 	return uint32(policy.HashName(name) >> 32)
 }
 
-// Tallies are a gateway's counts over one order. They are not safe for concurrent use.
+// Tallies holds a gateway's counts over one order. It is not safe for concurrent use.
 type Tallies struct {
 	counts map[tallyKey]*tallyCount
-	// own are the routes that are counted by themselves; at most maxTallyRoutes.
+	// knownRoutes are the routes that are counted separately, at most maxTallyRoutes.
 	knownRoutes map[uint32]bool
-	// lists is how many times List was called.
+	// listCalls counts the calls of List.
 	listCalls int
 }
 
@@ -35,18 +36,19 @@
 
 type tallyCount struct {
 	tally Tally
-	// told is tally.Answers when it was listed last, and listed the number of that list.
+	// listedAnswers is tally.Answers when it was last listed, and listCall the number of that
+	// call.
 	listedAnswers, listCall int
 }
 
-// NewTallies returns counts of nothing.
+// NewTallies returns empty tallies.
 func NewTallies() *Tallies {
 	return &Tallies{counts: make(map[tallyKey]*tallyCount), knownRoutes: make(map[uint32]bool)}
 }
 
-// Add counts an answer on a route, of a target of the version on trial or, with an empty
-// name, of another version. An answer that failed is not counted as slow too: how fast
-// something fails says nothing.
+// Add counts an answer on a route, of a target of the version on trial or, with an empty name, of
+// another version. An answer that failed is not also counted as slow, since the time of a failure
+// says nothing about the pace.
 func (t *Tallies) Add(route string, target string, failed, slow bool) {
 	key := tallyKey{route: t.routeOf(route)}
 	if target != "" {
@@ -78,9 +80,9 @@
 	return route
 }
 
-// List are sums over the tallies' life, at most so many. Those with the most news since
-// they were listed last come first, then those that were listed longest ago: a sum that
-// was lost on its way, or that another gateway needs now, comes again.
+// List returns at most limit totals. Those with the most new answers since they were last listed
+// come first, then those listed longest ago. So a total that was lost, or that another gateway
+// needs now, is sent again.
 func (t *Tallies) List(limit int) []Tally {
 	t.listCalls++
 	counts := make([]*tallyCount, 0, len(t.counts))
--- a/internal/rollout/tallies_test.go
+++ b/internal/rollout/tallies_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestTalliesList(t *testing.T) {
-	type added struct {
+	type answer struct {
 		route, target string
 		failed, slow  bool
 	}
@@ -17,56 +17,56 @@
 	one, two := NameHash("one"), NameHash("two")
 	tests := map[string]struct {
 		// told is what is listed before news is added.
-		told, news []added
-		most       int
-		want       []Tally
+		listed, added []answer
+		limit         int
+		want          []Tally
 	}{
-		"nothing": {most: 9, want: []Tally{}},
+		"nothing": {limit: 9, want: []Tally{}},
 		"other versions together": {
-			news: []added{{"chat", "", false, false}, {"chat", "", true, false}, {"chat", "", false, true}},
-			most: 9,
-			want: []Tally{{chat, 0, 3, 1, 1}},
+			added: []answer{{"chat", "", false, false}, {"chat", "", true, false}, {"chat", "", false, true}},
+			limit: 9,
+			want:  []Tally{{chat, 0, 3, 1, 1}},
 		},
 		"a failure isn't slow": {
-			news: []added{{"chat", "one", true, true}},
-			most: 9,
-			want: []Tally{{chat, one, 1, 1, 0}},
+			added: []answer{{"chat", "one", true, true}},
+			limit: 9,
+			want:  []Tally{{chat, one, 1, 1, 0}},
 		},
 		"the most news first, sums over the life": {
-			told: []added{{"chat", "one", false, false}, {"chat", "one", true, false}, {"order", "two", false, false}},
-			news: []added{{"order", "two", false, false}},
-			most: 9,
-			want: []Tally{{order, two, 2, 0, 0}, {chat, one, 2, 1, 0}},
+			listed: []answer{{"chat", "one", false, false}, {"chat", "one", true, false}, {"order", "two", false, false}},
+			added:  []answer{{"order", "two", false, false}},
+			limit:  9,
+			want:   []Tally{{order, two, 2, 0, 0}, {chat, one, 2, 1, 0}},
 		},
 		"bounded": {
-			news: []added{{"chat", "one", false, false}, {"order", "two", false, false}, {"order", "two", false, false}},
-			most: 1,
-			want: []Tally{{order, two, 2, 0, 0}},
+			added: []answer{{"chat", "one", false, false}, {"order", "two", false, false}, {"order", "two", false, false}},
+			limit: 1,
+			want:  []Tally{{order, two, 2, 0, 0}},
 		},
 		"a bound below zero is zero": {
-			news: []added{{"chat", "one", false, false}},
-			most: -1,
-			want: []Tally{},
+			added: []answer{{"chat", "one", false, false}},
+			limit: -1,
+			want:  []Tally{},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tallies := NewTallies()
-			for _, a := range test.told {
+			for _, a := range test.listed {
 				tallies.Add(a.route, a.target, a.failed, a.slow)
 			}
 			tallies.List(9)
-			for _, a := range test.news {
+			for _, a := range test.added {
 				tallies.Add(a.route, a.target, a.failed, a.slow)
 			}
-			is.Equal(tallies.List(test.most), test.want)
+			is.Equal(tallies.List(test.limit), test.want)
 		})
 	}
 }
 
 // Sums that have no news come in turn, as another gateway may need them.
-func TestTalliesComeInTurn(t *testing.T) {
+func TestTalliesRotate(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
 	for i := range 10 {
@@ -97,7 +97,7 @@
 }
 
 // The sums are those of a plain count, whatever was listed in between.
-func TestTalliesAreSums(t *testing.T) {
+func TestTalliesAreTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tallies := NewTallies()
 		want := make(map[tallyKey]Counts)
