--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -8,46 +8,47 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// probation is one gateway's part in a running order. Orders for the same version that
-// follow each other without an end between them are one trial.
+// trial is one gateway's part in a running order. Consecutive orders for the same version,
+// without an end between them, are one trial.
 type trial struct {
 	order   Order
 	options Options
-	// first is the revision of the first of its orders.
+	// firstRevision is the revision of the first of its orders.
 	firstRevision int64
-	// since is when the order became known to the first gateway, as far as is known.
+	// knownSince is when the order became known to the first gateway, as far as this gateway
+	// knows.
 	knownSince time.Time
-	// notBefore is the latest deadline of the orders before; zero for none.
+	// notBefore is the latest deadline of the previous orders; zero for none.
 	notBefore time.Time
-	// ratio of its requests is what a gateway sends to the version as a canary.
+	// ratio is the part of its requests that a gateway sends to the version as a canary.
 	ratio   float64
 	share   *Share
 	tallies *Tallies
-	// ahead are requests that were not sent, but that the share counts: a random number
-	// up to what one sending to the version takes. Where many gateways send few requests
-	// each, whole sendings of each would add up to nothing otherwise.
+	// headStart is a number of requests that were not sent, but are credited to the share. It is
+	// random, up to what one request to the version takes: where many gateways send few requests
+	// each, none would otherwise be entitled to a whole request.
 	headStart int
-	// moved counts the sendings to the version without a part of the share.
+	// moveSends counts the requests to the version that took nothing from the share.
 	moveSends int
-	// before are the sums at the last order, if it is not the first.
+	// requestsBefore and exposedBefore are the totals at the last order, if it is not the first.
 	requestsBefore, exposedBefore int
 	seed                          uint64
-	// stage is allowed before until.
+	// stage is allowed until the time until.
 	stage Stage
 	until time.Time
-	// moveUntil is the end of the last move that this gateway obeyed; zero for none.
+	// moveUntil is the end of the last move that this gateway followed; zero for none.
 	moveUntil time.Time
-	// done says that the store has the order's completion, as was told.
+	// completed is set when a notice says that the store has the order's completion.
 	completed bool
-	// halted says that the version gets nothing any more.
+	// halted is set if the version gets no more requests.
 	halted bool
-	// current says that the version has nothing to prove, and gets everything anyway.
+	// current is set if the version needs no trial, and gets all requests anyway.
 	current      bool
 	wantedRoutes []uint32
 	reportedAt   time.Time
 	// unanswered counts the reports since the last grant.
 	unanswered int
-	// urgent says that there is news for the gateway that decides.
+	// reportNow is set if the deciding gateway should get a report at once.
 	reportNow bool
 }
 
@@ -68,8 +69,8 @@
 	return t
 }
 
-// canaryPart is how much of the share the canary of an order may use: what the move
-// needs is a larger part of it the shorter the order's time is.
+// canaryPart returns the part of the share that the canary of an order may use. The shorter the
+// order's time, the larger the part that the move needs.
 func canaryPart(order Order, options Options) float64 {
 	allowed := options.Share * moveStart * order.Duration.Seconds()
 	if allowed <= 0 {
@@ -78,13 +79,13 @@
 	return min(max(1-typicalMove.Seconds()/allowed, minCanaryPart), maxCanaryPart)
 }
 
-// hurried says whether an order's time is so short that the time in which gateways hear
-// of the move is a large part of what the share covers.
+// isShortOrder reports whether an order's time is so short that the time until gateways receive
+// the grant of the move is a large part of what the share covers.
 func isShortOrder(order Order, options Options) bool {
 	return canaryPart(order, options) < maxCanaryPart
 }
 
-// extend takes a later order for the same version.
+// extend continues the trial with a later order for the same version.
 func (t *trial) extend(order Order, now time.Time) {
 	t.notBefore = t.deadline()
 	t.requestsBefore, t.exposedBefore = t.totals()
@@ -97,7 +98,7 @@
 	return deadlineOf(t.order, t.knownSince, t.notBefore)
 }
 
-// known notes how long the order has been known elsewhere.
+// noteAge takes in for how long the order has been known elsewhere.
 func (t *trial) noteAge(age time.Duration, now time.Time) {
 	if since := now.Add(-age); since.Before(t.knownSince) {
 		t.knownSince = since
@@ -111,7 +112,7 @@
 	return t.stage
 }
 
-// due says whether the next report is to be sent.
+// reportDue reports whether the next report is to be sent.
 func (t *trial) reportDue(now time.Time, interval time.Duration) bool {
 	if isShortOrder(t.order, t.options) && now.Sub(t.knownSince)+2*interval >= scale(t.order.Duration, moveStart) {
 		interval /= shortOrderReportFactor
@@ -121,8 +122,8 @@
 	return t.reportNow || since >= interval || retry && since >= reportRetryDelay
 }
 
-// reserve takes a part of the share for a request. Moves have cost something of it, and
-// what earlier orders have left is not for this one.
+// reserve takes a request to the version from the share. The cost of moves counts against it, and
+// what earlier orders left unused is not available to this one.
 func (t *trial) reserve(route uint32) bool {
 	requests, exposed := t.totals()
 	requests += t.headStart
@@ -135,14 +136,15 @@
 	return t.share.Reserve(route, slices.Contains(t.wantedRoutes, route))
 }
 
-// sent are the sendings to the service and to the version. Further attempts don't
-// count as requests to the service: the bound is on what callers ask.
+// totals returns the requests sent to the service and to the version. Retries don't count as
+// requests to the service: the bound is relative to what callers ask.
 func (t *trial) totals() (requests, exposed int) {
 	requests, exposed = t.share.Totals()
 	return requests - t.headStart, exposed + t.moveSends
 }
 
-// obey takes a grant for the trial's order, or a notice.
+// apply takes in a grant for the trial's order, or a notice. It reports whether that halted the
+// version.
 func (t *trial) apply(grant Grant, sentAt, now time.Time) bool {
 	t.noteAge(grant.Age, now)
 	if !sentAt.IsZero() {
@@ -162,13 +164,13 @@
 	}
 	until := sentAt.Add(grant.For)
 	if !now.Before(until) {
-		return false // too late, or a notice, which allows nothing
+		return false // the grant has expired, or it is a notice, which allows nothing
 	}
 	before := t.stageAt(now)
 	switch {
 	case before == Move && grant.Stage != Move:
-		// The completion may be under way: a gateway that has said that it obeys the
-		// move keeps to it.
+		// The completion may be in progress: a gateway that has confirmed that it follows the
+		// move must stay in it.
 		return false
 	case before == grant.Stage:
 		t.until = laterTime(t.until, until)
@@ -182,8 +184,8 @@
 	return false
 }
 
-// complete goes on as in the move until the record comes, for a bounded time from when
-// this was first heard.
+// complete continues as in the move until the record arrives, for a limited time from the first
+// notice of the completion.
 func (t *trial) complete(now time.Time) {
 	if t.completed {
 		return
@@ -192,15 +194,16 @@
 	t.stage, t.until, t.moveUntil = Move, now.Add(recordLag), now
 }
 
-// lately says whether the gateway was in a move a short while ago: if the others have no
-// targets any more, it was completed.
+// recentlyMoved reports whether the gateway was in a move a short while ago. If the other
+// versions have no targets any more, the move was completed.
 func (t *trial) recentlyMoved(now time.Time) bool {
 	return !t.halted && !t.current && now.Before(t.moveUntil.Add(recordLag))
 }
 
-// succeeds says whether the version takes the place of the others: all their targets have
-// left by plan, which operators have them do once the order is completed. The record of
-// that is on its way. Where the version was rolled back its own targets leave.
+// replacesOthers reports whether the version replaces the others because all their targets have
+// left as planned, which operators make them do once the order is completed. The record of the
+// completion is still in transit then. If the version is rolled back, its own targets leave
+// instead.
 func (t *trial) replacesOthers(ask AssignRequest, others balance.Versions) bool {
 	return !t.halted && !t.current && ask.HaveLeft != nil && ask.HaveLeft(others)
 }
