--- a/internal/rollout/baseline_test.go
+++ b/internal/rollout/baseline_test.go
@@ -22,13 +22,13 @@
 		"one in seven":                     {[]step{{400, 56}}, 0.14, 0.14, 0.16},
 		"trouble that has just begun":      {[]step{{4000, 0}, {30, 12}}, 0, 0.15, 0.4},
 		"much trouble that has just begun": {[]step{{400, 4}, {30, 20}}, 0, 0.33, 0.36},
-		"what may be luck":                 {[]step{{400, 0}, {30, 6}}, 0, 0.08, 0.1},
-		"a little trouble of few answers":  {[]step{{4000, 0}, {10, 1}}, 0, 0.02, 0.05},
+		"possibly chance":                  {[]step{{400, 0}, {30, 6}}, 0, 0.08, 0.1},
+		"a little trouble in few answers":  {[]step{{4000, 0}, {10, 1}}, 0, 0.02, 0.05},
 		"trouble that is over":             {[]step{{1000, 600}, {300, 0}}, 0, 0.02, 0.18},
 		"trouble that has just ended":      {[]step{{1000, 600}, {30, 0}}, 0.2, 0.3, 0.6},
-		"few answers lean to the mean":     {[]step{{2, 2}}, 0.01, 0.02, 0.35},
+		"few answers tend to the mean":     {[]step{{2, 2}}, 0.01, 0.02, 0.35},
 		"all answers troubled":             {[]step{{400, 400}}, 1, 1, 1},
-		"reports of no answers say little": {[]step{{0, 0}, {0, 0}}, 0, 0.02, 0.02},
+		"reports without answers":          {[]step{{0, 0}, {0, 0}}, 0, 0.02, 0.02},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			for _, step := range test.reports {
 				base.add(step.answers, step.troubled)
 			}
-			// The service has had the prior share for long.
+			// The service has had the prior share for a long time.
 			var service baseline
 			service.add(100_000, int(100_000*test.prior))
 			got := base.tolerated(&service, minBaseFailures)
@@ -48,16 +48,16 @@
 	}
 }
 
-// What rises on all routes together has risen on each of them, as far as is known; what
-// falls there hasn't fallen yet.
+// TestBaselineFollowsServiceRise checks that a rise over all routes together is assumed for each
+// route, and that a fall is not.
 func TestBaselineFollowsServiceRise(t *testing.T) {
 	tests := map[string]struct {
 		recentTroubled int
 		low, high      float64
 	}{
-		"as ever":  {0, minBaseFailures, minBaseFailures},
-		"a rise":   {12, 0.1, 0.2},
-		"all fail": {30, 0.25, 0.5},
+		"no change": {0, minBaseFailures, minBaseFailures},
+		"a rise":    {12, 0.1, 0.2},
+		"all fail":  {30, 0.25, 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -14,31 +14,31 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// The world that these tests play in: gateways with all their parts, a store, and a
-// network, in handed-in time.
+// The tests run a cluster of gateways with all their parts, a store, and a network, in simulated
+// time.
 const (
 	tick             = 10 * time.Millisecond
 	testService      = "s"
 	oldVersion       = "v1"
 	newVersion       = "v2"
 	heartbeatTimeout = 2 * time.Second
-	// registrationDelay is longer than a replica lags.
+	// registrationDelay is longer than the lag of a replica.
 	registrationDelay = 300 * time.Millisecond
 )
 
 var testOptions = Options{Share: 0.1, Slack: 50, Rollback: 5 * time.Second}
 
-// form is how the targets of the new version answer.
+// versionBehavior is how the targets of the new version answer.
 type versionBehavior struct {
-	// failures and slow are parts of the answers; minBaseFailures are those of all versions.
+	// failures and slow are fractions of the answers; baseFailures is that of all versions.
 	failures, slow, baseFailures float64
-	// route is the only one that is bad, if it isn't empty.
+	// route is the only bad one, if it isn't empty.
 	route string
-	// after is how long after the order it turns bad.
+	// badAfter is the time from the order until the version turns bad.
 	badAfter time.Duration
-	// loaded says that it is bad only while a good part of all requests goes to it.
+	// onlyUnderLoad is set if the version is bad only while it gets a good part of all requests.
 	onlyUnderLoad bool
-	// broken is how many of its targets fail always.
+	// brokenTargets is the number of its targets that always fail.
 	brokenTargets int
 }
 
@@ -56,7 +56,7 @@
 
 func (f versionBehavior) bad() bool { return f.failures > 0 || f.slow > 0 }
 
-// tester is a test, or a check of rapid.
+// testingT is implemented by *testing.T and *rapid.T.
 type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -79,30 +79,30 @@
 	store    memStore
 	behavior versionBehavior
 	rate     float64
-	// loss is the part of packets lost, and delay the most that one takes.
+	// loss is the fraction of packets lost, and delay the longest delay of a packet.
 	loss  float64
 	delay time.Duration
-	// targets are the versions' numbers of targets.
+	// targets is the number of targets per version.
 	targets map[string]int
-	// ordered is when the last order was given, and windows are all.
+	// orderedAt is when the last order was given; windows holds those of all orders.
 	orderedAt time.Time
 	windows   []*window
-	// badAnswers counts those of the new version; shown is when the 50th came.
+	// badAnswers counts those of the new version; badShownAt is when the 50th came.
 	badAnswers int
 	badShownAt time.Time
 	haltedAt   time.Time
-	// completed says that the new version has ever been.
+	// newCompleted is set if the new version has ever been completed.
 	newCompleted bool
-	// movedTo is the version of the last completion that had the others' targets stop.
+	// movedTo is the version of the last completion that stopped the targets of the others.
 	movedTo string
 	// stopped are the versions whose targets stopped at a completion.
 	stopped     []string
 	finalStates map[int64]State
 	violations  []string
-	// newVersionShare is the moving share of requests that go to the new version.
+	// newVersionShare is the moving average of the share of requests to the new version.
 	newVersionShare float64
 	log             []string
-	// strike is called with each step until it has been done.
+	// injectFault is called with each step until it returns true.
 	injectFault   func(n *node, step Step) bool
 	faultInjected bool
 }
@@ -127,12 +127,12 @@
 	requestsDue    float64
 	replicaAt      time.Time
 	pendingChanges []func(n *node) // of the replica
-	// record and order are those that its replica has.
+	// record and order are those in its replica.
 	record        Record
 	order         Order
 	queued        []func()
 	partition     int
-	alwaysDecides bool // on deciding
+	alwaysDecides bool // even if other gateways would decide
 }
 
 func newCluster(t testingT, gateways int, f versionBehavior, seed uint64) *cluster {
@@ -166,7 +166,7 @@
 	}
 }
 
-// thaw has a gateway go on, with all that has come meanwhile.
+// resume continues a frozen gateway, with all the messages that have arrived in the meantime.
 func (n *node) resume() {
 	n.frozen = false
 	thawed := n.queued
@@ -176,7 +176,7 @@
 	}
 }
 
-// Decides, LiveIDs: by the beats that were heard.
+// Decides goes by the heartbeats received, like LiveIDs.
 func (n *node) Decides(service string) bool {
 	return n.alwaysDecides || policy.First(service, append(n.LiveIDs(), n.id)) == n.id
 }
@@ -211,7 +211,7 @@
 		n.w.now.Sub(n.w.orderedAt).Seconds(), n.id, step.Kind, step.Version, step.Stage, step.State, step.Reason, step.Exposed, step.Requests, step.Err))
 }
 
-// after has something done later.
+// after schedules a function.
 func (w *cluster) after(d time.Duration, fn func()) {
 	at := w.now.Add(d)
 	w.seq++
@@ -219,7 +219,7 @@
 	w.events = slices.Insert(w.events, i, event{at, w.seq, fn})
 }
 
-// send carries a message between gateways.
+// send delivers a message between gateways.
 func (w *cluster) send(from, to *node, deliver func()) {
 	if w.random.Float64() < w.loss || !reaches(from, to) {
 		return
@@ -249,12 +249,12 @@
 	return nil
 }
 
-// decides is the gateway that decides.
+// decider returns the gateway that decides.
 func (w *cluster) decider() *node {
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.dead && n.Decides(testService) })]
 }
 
-// moves says whether the gateway decides that all requests go to the version.
+// inMove reports whether the gateway decides, and has begun a move.
 func (n *node) inMove() bool {
 	d := n.control.deciders[testService]
 	return d != nil && d.decider != nil && d.decider.stage == Move
@@ -295,7 +295,7 @@
 	}
 }
 
-// exchange sends what is due to the other gateways.
+// exchange sends the reports and notices that are due to the other gateways.
 func (n *node) exchange() {
 	w := n.w
 	decides := policy.First(testService, append(n.LiveIDs(), n.id))
@@ -318,7 +318,8 @@
 	}
 }
 
-// replicate brings what the store has, if there is a way.
+// replicate applies pending changes of the store if the gateway is connected to it, directly or
+// by others.
 func (n *node) replicate() {
 	if n.cutStore && n.cutOff || n.w.store.down && len(n.pendingChanges) > 0 && n.cutOff {
 		return
@@ -330,7 +331,7 @@
 	}
 }
 
-// traffic has requests sent.
+// traffic sends the requests that are due.
 func (n *node) traffic() {
 	for n.requestsDue += n.w.rate * tick.Seconds() / float64(len(n.w.nodes)); n.requestsDue >= 1; n.requestsDue-- {
 		n.request(string("abc"[n.w.random.IntN(3)]), false)
@@ -372,8 +373,8 @@
 	})
 }
 
-// left says whether all targets of some versions have stopped by plan, as those of the other
-// versions do after a completion.
+// haveLeft reports whether all targets of some versions have stopped as planned, as those of the
+// other versions do after a completion.
 func (w *cluster) haveLeft(v balance.Versions) bool {
 	for version, count := range w.targets {
 		if count > 0 && v.Admits(version) {
@@ -400,7 +401,7 @@
 	return open[w.random.IntN(len(open))]
 }
 
-// answer is how a target answers.
+// answer returns the outcome of a request at a target.
 func (w *cluster) answer(route, version string, target int) Outcome {
 	f := w.behavior
 	outcome := Outcome{
@@ -429,13 +430,13 @@
 	return outcome
 }
 
-// loaded says whether a good part of the last requests went to the new version: more than
-// its share, as in a move.
+// loaded reports whether a good part of the last requests went to the new version: more than its
+// share, as in a move.
 func (w *cluster) loaded() bool {
 	return w.newVersionShare > 0.3
 }
 
-// sent checks where a request went.
+// checkSend checks where a request was sent.
 func (w *cluster) checkSend(n *node, version string, retry bool) {
 	newVersionPart := 0.0
 	if version == newVersion {
@@ -462,7 +463,7 @@
 		w.addViolation("%s sends to %s after it knew of the completion", n.id, version)
 	}
 	if version != newVersion || w.newCompleted {
-		return // a completion is never taken back, whatever is withdrawn after it
+		return // a completion is final, even if its order is withdrawn later
 	}
 	if !w.badShownAt.IsZero() && w.behavior.bad() && w.now.Sub(w.badShownAt) > testOptions.Rollback {
 		w.addViolation("%s sends to the bad version %s after it was shown", n.id, w.now.Sub(w.badShownAt))
@@ -474,7 +475,7 @@
 
 func (w *cluster) check() {
 	if w.newCompleted {
-		return // whether it may be is for each test to say
+		return // each test checks for itself whether it may be completed
 	}
 	for _, win := range w.windows {
 		bound := testOptions.Share*float64(win.requests) + testOptions.Slack
@@ -490,7 +491,7 @@
 	}
 }
 
-// order has the operators order a version, whose targets come soon. They can't while
+// order gives an order for a version, whose targets register soon. Operators can't order while
 // the store is down.
 func (w *cluster) order(version string, duration time.Duration) {
 	if w.store.down {
@@ -498,7 +499,7 @@
 	}
 	w.orderedAt, w.badAnswers, w.badShownAt, w.haltedAt = w.now, 0, time.Time{}, time.Time{}
 	w.windows = append(w.windows, &window{version: version, until: w.now.Add(duration)})
-	// Its targets register after it, as the store's order has it.
+	// The targets register after the order, which is also their order in the store.
 	w.after(registrationDelay, func() {
 		if w.targets != nil {
 			w.targets[version] = max(w.targets[version], 10)
@@ -507,7 +508,7 @@
 	w.store.putOrder(Order{Service: testService, Version: version, Duration: duration})
 }
 
-// end fails the test for what was broken.
+// checkViolations fails the test if there are violations.
 func (w *cluster) checkViolations() {
 	w.t.Helper()
 	if len(w.violations) > 0 {
@@ -515,7 +516,7 @@
 	}
 }
 
-// want fails the test if the order's end is another one.
+// wantState fails the test if the order didn't end in the given state.
 func (w *cluster) wantState(state State) {
 	w.t.Helper()
 	w.checkViolations()
@@ -524,7 +525,7 @@
 	}
 }
 
-// memStore is the store: one order and one record.
+// memStore is an in-memory store of one order and one record.
 type memStore struct {
 	w              *cluster
 	revision       int64
@@ -533,7 +534,8 @@
 	recordRevision int64
 	down           bool
 	slow           time.Duration
-	// lose has answers lost: "done" after it was done, "not", or "later".
+	// lostAnswers makes the store lose answers: "done" after the commit, "not" without it, or
+	// "later" with the commit after a delay.
 	lostAnswers string
 	history     []func(n *node)
 }
@@ -544,12 +546,12 @@
 
 func (s nodeStore) Reachable() bool { return !s.n.w.store.down && !s.n.cutStore }
 
-// publish brings a change to all gateways.
+// publish delivers a change to all gateways.
 func (s *memStore) publish(apply func(n *node)) {
 	s.history = append(s.history, apply)
 	for _, n := range s.w.nodes {
 		incarnation := n.incarnation
-		// In the store's order.
+		// Changes arrive in the store's order.
 		n.replicaAt = laterTime(n.replicaAt, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
 		s.w.after(n.replicaAt.Sub(s.w.now), func() {
 			if n.incarnation == incarnation {
@@ -624,7 +626,7 @@
 	})
 }
 
-// apply writes a record on its condition.
+// apply writes a record if its conditions hold.
 func (s *memStore) apply(c Commit) (int64, error) {
 	order := c.Record.Order.Revision
 	if c.Withdrawn {
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// parts are all that a controller has around it.
+// fakeDeps implements the dependencies of a controller.
 type fakeDeps struct {
 	noopDeps
 	nodeStore
@@ -33,7 +33,8 @@
 	return Report{Service: NameHash(testService), Order: 1, Stage: stage}
 }
 
-// TestHaltNotices: to all, some times, each notice once.
+// TestHaltNotices checks that a halt is announced to all gateways, several times, and that each
+// notice is sent once.
 func TestHaltNotices(t *testing.T) {
 	is := is.New(t)
 	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
@@ -48,21 +49,22 @@
 	is.Equal(len(c.Notices(testTime.Add(time.Minute))), 0)
 	grant, ok := c.Report("b", testReport(Canary), testTime)
 	is.True(ok)
-	is.Equal(grant.For, time.Duration(0)) // and so says each answer
+	is.Equal(grant.For, time.Duration(0)) // each answer announces the halt, too
 }
 
-// TestCompletionNotices: to all, some times, once the store has it.
+// TestCompletionNotices checks that a completion is announced to all gateways, several times,
+// once the store has it.
 func TestCompletionNotices(t *testing.T) {
 	cases := map[string]struct {
 		state State
 		err   error
 		want  int
 	}{
-		"completed":             {Completed, nil, noticeRepeats},
-		"completed, no answer":  {Completed, errNoAnswer, 0},
-		"completed, outdated":   {Completed, ErrOutdated, 0},
-		"running":               {Running, nil, 0},
-		"rolled back, as halts": {RolledBack, nil, 0},
+		"completed":            {Completed, nil, noticeRepeats},
+		"completed, no answer": {Completed, errNoAnswer, 0},
+		"completed, outdated":  {Completed, ErrOutdated, 0},
+		"running":              {Running, nil, 0},
+		"rolled back":          {RolledBack, nil, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +84,8 @@
 	}
 }
 
-// TestReportsAnsweredByDecider: only a process that decides, and that has looked lately.
+// TestReportsAnsweredByDecider checks that only a process that decides, and that has made a step
+// recently, answers reports.
 func TestReportsAnsweredByDecider(t *testing.T) {
 	is := is.New(t)
 	p := &fakeDeps{decides: true, live: []string{"b"}}
@@ -92,16 +95,16 @@
 		return grant.Stage, ok
 	}
 	_, ok := answer(testTime)
-	is.True(!ok) // it hasn't looked yet
+	is.True(!ok) // no step was made yet
 	c.step(testTime)
 	answer(testTime)
 	c.step(testTime.Add(stepInterval))
 	stage, ok := answer(testTime.Add(stepInterval))
 	is.True(ok)
 	is.Equal(stage, Canary)
-	is.Equal(len(c.Reports(testTime.Add(stepInterval))), 0) // its own it takes itself
+	is.Equal(len(c.Reports(testTime.Add(stepInterval))), 0) // the decider doesn't send its own reports
 	_, ok = answer(testTime.Add(stepInterval + maxStepGap + 1))
-	is.True(!ok) // it was held up
+	is.True(!ok) // the process was stalled
 	p.decides = false
 	now := testTime.Add(time.Second)
 	c.step(now)
@@ -112,20 +115,20 @@
 	c.step(now)
 	stage, ok = answer(now)
 	is.True(ok)
-	is.Equal(stage, Hold) // until it has heard all again
+	is.Equal(stage, Hold) // until all gateways have reported again
 }
 
-// TestPartitionedGateway: a process that hears few of the gateways, and not the store, allows itself
-// nothing.
+// TestPartitionedGateway checks that a process in contact with a minority of the gateways, and
+// not with the store, grants nothing.
 func TestPartitionedGateway(t *testing.T) {
 	cases := map[string]struct {
 		live      []string
 		storeAway bool
 		want      bool
 	}{
-		"few are heard":     {nil, false, true},
-		"the store is away": {[]string{"b", "c"}, true, true},
-		"few are heard, and the store is unreachable": {nil, true, false},
+		"few peers":                        {nil, false, true},
+		"store unreachable":                {[]string{"b", "c"}, true, true},
+		"few peers, and store unreachable": {nil, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -141,8 +144,8 @@
 	}
 }
 
-// TestTotalsResetAfterEnd: sums of an order that has ended are not the next one's,
-// also if nobody looked in between.
+// TestTotalsResetAfterEnd checks that the totals of an order that has ended don't count for the
+// next one, even if no step was made in between.
 func TestTotalsResetAfterEnd(t *testing.T) {
 	is := is.New(t)
 	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -12,8 +12,8 @@
 	return newDecider(options, v, testTime)
 }
 
-// TestTotalsAcrossIncarnations: what a gateway had sent before it began anew still counts, and parts
-// of the share that are given back are no new beginning.
+// TestTotalsAcrossIncarnations checks that what a gateway had sent before it restarted still
+// counts, and that released reservations aren't taken for a restart.
 func TestTotalsAcrossIncarnations(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
@@ -31,8 +31,8 @@
 	is.Equal(requests, 105)
 }
 
-// TestOrderAgeOfEarliestGateway: the deadline is reckoned from the gateway that knew the order
-// first.
+// TestOrderAgeOfEarliestGateway checks that the deadline counts from the gateway that knew the
+// order first.
 func TestOrderAgeOfEarliestGateway(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
@@ -42,8 +42,8 @@
 	is.Equal(d.answerReport(1, testTime).Age, 20*time.Second)
 }
 
-// TestReportIntervals: among more gateways reports come less often, but never so late
-// that a grant's time were over before the bound for rolling back.
+// TestReportIntervals checks that reports become less frequent with more gateways, but that a
+// grant still expires before the rollback time.
 func TestReportIntervals(t *testing.T) {
 	cases := map[string]struct {
 		gateways        int
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestGrantsEndAtDeadline: no grant outlasts the order or its move.
+// TestGrantsEndAtDeadline checks that no grant outlasts the order or its move.
 func TestGrantsEndAtDeadline(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
@@ -76,7 +76,7 @@
 	is.Equal(d.answerReport(1, testTime).For, time.Second)
 	grant := d.answerReport(1, testTime.Add(time.Second))
 	is.Equal(grant.Stage, Hold)
-	is.True(grant.For > 0) // but no halt
+	is.True(grant.For > 0) // it is no halt
 	d.stage, d.moveUntil = Move, testTime.Add(300*time.Millisecond)
 	is.Equal(d.answerReport(1, testTime).For, 300*time.Millisecond)
 	d.haltReason = "bad"
@@ -86,7 +86,7 @@
 	is.Equal(grant.End, Halted)
 }
 
-// newStepInput is a decider's whole view of two gateways of ten requests in 250 ms each.
+// newStepInput returns the input of a step with two gateways of ten requests in 250 ms each.
 func newStepInput(d *decider, now time.Time) stepInput {
 	d.addReport("b", Report{Order: 1, Stage: d.stage, Requests: int(now.Sub(testTime) / (25 * time.Millisecond))}, now)
 	return stepInput{
@@ -99,7 +99,8 @@
 	}
 }
 
-// play steps a decider of a version that answers well until a part of its time is over.
+// runSteps makes the steps of a decider from one time to another, for a version that answers
+// well.
 func runSteps(d *decider, from, to time.Duration, change func(s *stepInput)) {
 	for at := from; at < to; at += baseReportInterval {
 		now := testTime.Add(at)
@@ -115,11 +116,10 @@
 	}
 }
 
-// TestMoveLeavesTimeForCommit: whenever the steps of the process that decides fall, the
-// completion of the shortest move has time for the store to answer. A commit that had less
-// was not made, the move was spent for nothing, and the share not enough for another before
-// the deadline: a good version was rolled back, in three of five runs after the gateway that
-// decided had begun anew.
+// TestMoveLeavesTimeForCommit checks that the completion of the shortest move leaves the store
+// time to answer, at whatever phase the decider's steps fall. A commit with less time was not
+// made, the move was wasted, and the share did not allow another one before the deadline: a good
+// version was rolled back in three of five runs after the deciding gateway had restarted.
 func TestMoveLeavesTimeForCommit(t *testing.T) {
 	const storeTakes = 100 * time.Millisecond
 	for phase := time.Duration(0); phase < stepInterval; phase += tick {
@@ -142,22 +142,22 @@
 	}
 }
 
-// TestMoveStart: in its time, and only if all gateways are heard, the store answers, no
-// record is under way, and the share is enough.
+// TestMoveStart checks that a move begins at its time, and only if all gateways report, the store
+// answers, no commit is in flight, and the share suffices.
 func TestMoveStart(t *testing.T) {
 	cases := map[string]struct {
 		change func(s *stepInput)
 		want   Stage
 	}{
-		"all is well":              {func(*stepInput) {}, Move},
-		"one is not heard":         {func(s *stepInput) { s.livePeers = append(s.livePeers, "d") }, Canary},
-		"the store is away":        {func(s *stepInput) { s.reachable = false }, Canary},
-		"few are heard":            {func(s *stepInput) { s.minority = true }, Canary},
-		"a completion is in doubt": {func(s *stepInput) { s.completionUnresolved = true }, Canary},
-		"a commit under way":       {func(s *stepInput) { s.committing = true }, Canary},
-		"no running record":        {func(s *stepInput) { s.view.record = Record{} }, Canary},
-		"no targets any more":      {func(s *stepInput) { s.versions = map[string]int{"v1": 1} }, Canary},
-		"the share is spent":       {func(s *stepInput) { s.report.Exposed = 1000 }, Canary},
+		"all conditions met":    {func(*stepInput) {}, Move},
+		"one gateway silent":    {func(s *stepInput) { s.livePeers = append(s.livePeers, "d") }, Canary},
+		"store unreachable":     {func(s *stepInput) { s.reachable = false }, Canary},
+		"few peers":             {func(s *stepInput) { s.minority = true }, Canary},
+		"unresolved completion": {func(s *stepInput) { s.completionUnresolved = true }, Canary},
+		"commit in flight":      {func(s *stepInput) { s.committing = true }, Canary},
+		"no running record":     {func(s *stepInput) { s.view.record = Record{} }, Canary},
+		"no targets left":       {func(s *stepInput) { s.versions = map[string]int{"v1": 1} }, Canary},
+		"share used up":         {func(s *stepInput) { s.report.Exposed = 1000 }, Canary},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -165,7 +165,7 @@
 			d := newTestDecider(testOptions)
 			start := scale(time.Minute-orderLag, moveStart)
 			runSteps(d, 0, start-baseReportInterval, func(*stepInput) {})
-			is.Equal(d.stage, Canary) // not before its time
+			is.Equal(d.stage, Canary) // not before its start
 			runSteps(d, start, start+time.Second, c.change)
 			is.Equal(d.stage, c.want)
 			is.Equal(d.moveBegan.IsZero(), c.want != Move)
@@ -174,8 +174,8 @@
 	}
 }
 
-// TestSoleVersion: a service counts as moved that has had targets of the version only for a
-// while, in which the store would have told of others.
+// TestSoleVersion checks that a service counts as moved once it has had targets of the version
+// only for a while, in which the store would have reported others.
 func TestSoleVersion(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
@@ -188,32 +188,33 @@
 	}
 	is.Equal(completionReason(0, true), "")
 	is.Equal(completionReason(soleVersionDelay-time.Millisecond, false), "")
-	is.Equal(completionReason(soleVersionDelay, true), "") // the store was away
+	is.Equal(completionReason(soleVersionDelay, true), "") // the store was unreachable
 	is.True(completionReason(2*soleVersionDelay, true) != "")
 	d.otherVersions["v1"] = true
-	is.Equal(completionReason(2*soleVersionDelay, true), "") // it has not proved good, and others were there
+	is.Equal(completionReason(2*soleVersionDelay, true), "") // the version has not proved good, and there were others
 }
 
-// TestDeadlineCheckWaitsForReports: what the clock says against a version waits until a new
-// decider has heard the others, but not for ever, and not after the deadline.
+// TestDeadlineCheckWaitsForReports checks that a new decider waits for the reports of the other
+// gateways before it halts a version for lack of time, but not forever, and not after the
+// deadline.
 func TestDeadlineCheckWaitsForReports(t *testing.T) {
 	late := scale(time.Minute-orderLag, verdictDeadline) + time.Second
 	waits := 2*baseReportInterval + reportGrace
 	cases := map[string]struct {
-		// live are heard at once as far as they have reported.
+		// livePeers are alive, and those in reported have reported.
 		live, reported []string
-		// after is how long after the decider began it looks.
+		// start is when the decider starts, and after the time from then to its step.
 		start, after time.Duration
 		want         bool
 	}{
-		"nobody has reported":                     {[]string{"b", "c"}, nil, late, 0, false},
-		"one has reported":                        {[]string{"b", "c"}, []string{"b"}, late, 0, false},
-		"all have reported":                       {[]string{"b", "c"}, []string{"b", "c"}, late, 0, true},
-		"one doesn't report":                      {[]string{"b", "c"}, []string{"b"}, late, waits, true},
-		"one doesn't report, a moment before":     {[]string{"b", "c"}, []string{"b"}, late, waits - 1, false},
-		"the others report to somebody else":      {[]string{"b", "c"}, nil, late, waits, false},
-		"the deadline has passed, nobody reports": {[]string{"b", "c"}, nil, time.Minute, 0, true},
-		"there is no time for a move any more":    {[]string{"b", "c"}, nil, time.Minute - orderLag - 1, 0, false},
+		"no reports":                           {[]string{"b", "c"}, nil, late, 0, false},
+		"one has reported":                     {[]string{"b", "c"}, []string{"b"}, late, 0, false},
+		"all have reported":                    {[]string{"b", "c"}, []string{"b", "c"}, late, 0, true},
+		"one doesn't report":                   {[]string{"b", "c"}, []string{"b"}, late, waits, true},
+		"one doesn't report, a moment before":  {[]string{"b", "c"}, []string{"b"}, late, waits - 1, false},
+		"the others report to another gateway": {[]string{"b", "c"}, nil, late, waits, false},
+		"deadline passed, no reports":          {[]string{"b", "c"}, nil, time.Minute, 0, true},
+		"no time left for a move":              {[]string{"b", "c"}, nil, time.Minute - orderLag - 1, 0, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -239,8 +240,8 @@
 	}
 }
 
-// TestSoleVersionAfterOthers: a new decider that sees no other version goes by what is known of
-// the service.
+// TestSoleVersionAfterOthers checks that a new decider that sees no other version relies on what
+// is known about the service.
 func TestSoleVersionAfterOthers(t *testing.T) {
 	cases := map[string]struct {
 		change func(s *stepInput)
@@ -249,7 +250,7 @@
 		"never another":       {func(*stepInput) {}, true},
 		"one was current":     {func(s *stepInput) { s.view.record.Current = "v1" }, false},
 		"one is refused":      {func(s *stepInput) { s.view.refused = []string{"v1"} }, false},
-		"few gateways heard":  {func(s *stepInput) { s.minority = true }, false},
+		"few peers":           {func(s *stepInput) { s.minority = true }, false},
 		"it was current once": {func(s *stepInput) { s.view.record.Current = "v2" }, true},
 	}
 	for name, c := range cases {
@@ -268,38 +269,39 @@
 	}
 }
 
-// TestCompletionWaitsForGateways: for each live gateway to say that it obeys the move.
+// TestCompletionWaitsForGateways checks that the completion waits until each live gateway has
+// confirmed the move.
 func TestCompletionWaitsForGateways(t *testing.T) {
 	cases := map[string]struct {
 		change func(d *decider, s *stepInput)
 		want   bool
 	}{
-		"all obey": {func(*decider, *stepInput) {}, true},
-		"one that was never heard": {
+		"all confirmed": {func(*decider, *stepInput) {}, true},
+		"one never reported": {
 			func(_ *decider, s *stepInput) { s.livePeers = append(s.livePeers, "d") }, false,
 		},
-		"one that has fallen back": {
+		"one fell back to the canary": {
 			func(d *decider, _ *stepInput) { d.gateways["b"].report.Stage = Canary }, false,
 		},
-		"one that obeys a move before": {
+		"one confirmed an earlier move": {
 			func(d *decider, _ *stepInput) { d.gateways["b"].at = d.moveBegan.Add(-1) }, false,
 		},
-		"one that obeys another order's": {
+		"one confirmed another order's move": {
 			func(d *decider, _ *stepInput) { d.gateways["b"].report.Order = 9 }, false,
 		},
-		"this one does not": {
+		"this gateway has not": {
 			func(_ *decider, s *stepInput) { s.report.Stage = Canary }, false,
 		},
-		"answers under way": {
+		"requests in flight": {
 			func(d *decider, _ *stepInput) { d.gateways["b"].report.Others = 1 }, false,
 		},
-		"answers under way, and no more time": {
+		"requests in flight, no time left": {
 			func(d *decider, _ *stepInput) {
 				d.gateways["b"].report.Others = 1
 				d.moveUntil = d.moveBegan.Add(minMoveReports*d.moveReportInterval() + commitReserve - 1)
 			}, true,
 		},
-		"all have obeyed for a moment only": {
+		"all confirmed just now": {
 			func(d *decider, _ *stepInput) { d.moveBegan = d.moveBegan.Add(d.moveReportInterval()) }, false,
 		},
 		"no time for the store's answer": {
@@ -307,8 +309,8 @@
 				d.moveUntil = d.moveBegan.Add(minMoveReports*d.moveReportInterval() + holdMargin)
 			}, false,
 		},
-		"the store is away": {func(_ *decider, s *stepInput) { s.reachable = false }, false},
-		"few are heard":     {func(_ *decider, s *stepInput) { s.minority = true }, false},
+		"store unreachable": {func(_ *decider, s *stepInput) { s.reachable = false }, false},
+		"few peers":         {func(_ *decider, s *stepInput) { s.minority = true }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -325,8 +327,8 @@
 	}
 }
 
-// TestAffordableMove: everything may go to the version for as long as the share and the slack
-// cover it, counted from the last order.
+// TestAffordableMove checks that a move may last as long as the share and the slack cover all
+// requests, counted from the last order.
 func TestAffordableMove(t *testing.T) {
 	const rate = 80 // requests a second of two gateways
 	bound := testOptions.Share*1000 + testOptions.Slack
@@ -334,12 +336,12 @@
 		change func(d *decider)
 		want   float64 // requests
 	}{
-		"nothing sent":     {func(*decider) {}, bound},
-		"some sent":        {func(d *decider) { d.gateways["b"].report.Exposed = 40 }, bound - 40},
-		"all sent":         {func(d *decider) { d.gateways["b"].report.Exposed = 200 }, 0},
-		"by a life before": {func(d *decider) { d.gateways["b"].exposed = 40 }, bound - 40},
-		"ordered again":    {func(d *decider) { d.requestsBefore = 600 }, bound - 60},
-		"one not heard any more": {
+		"nothing sent":                        {func(*decider) {}, bound},
+		"some sent":                           {func(d *decider) { d.gateways["b"].report.Exposed = 40 }, bound - 40},
+		"all sent":                            {func(d *decider) { d.gateways["b"].report.Exposed = 200 }, 0},
+		"some sent by an earlier incarnation": {func(d *decider) { d.gateways["b"].exposed = 40 }, bound - 40},
+		"ordered again":                       {func(d *decider) { d.requestsBefore = 600 }, bound - 60},
+		"one gateway silent": {
 			func(d *decider) { d.gateways["c"] = new(gatewayReports) }, bound - testOptions.Slack/3,
 		},
 	}
@@ -361,7 +363,8 @@
 	}
 }
 
-// TestUsableSlack: by the most gateways that there were.
+// TestUsableSlack checks that the slack is divided by the largest number of gateways that there
+// were.
 func TestUsableSlack(t *testing.T) {
 	cases := map[string]struct {
 		live     []string
@@ -369,7 +372,7 @@
 		want     float64
 	}{
 		"all":                     {[]string{"b"}, 1, testOptions.Slack},
-		"a fresh one":             {[]string{"b"}, 0, testOptions.Slack},
+		"a new peer":              {[]string{"b"}, 0, testOptions.Slack},
 		"one of two":              {nil, 1, testOptions.Slack / 2},
 		"two of ten":              {[]string{"b"}, 9, testOptions.Slack / 5},
 		"one of ten, others left": {nil, 9, testOptions.Slack / 10},
@@ -385,7 +388,7 @@
 	}
 }
 
-// TestMoveOfPreviousOrder: it can't be completed for the next order.
+// TestMoveOfPreviousOrder checks that a move can't be completed for the next order.
 func TestMoveOfPreviousOrder(t *testing.T) {
 	is := is.New(t)
 	d := newTestDecider(testOptions)
@@ -397,24 +400,24 @@
 	is.Equal(d.order.Revision, int64(2))
 }
 
-// TestUnresolvedCompletion: after a completion that the store has not answered, the running
-// record is written over the same one, and no move begins.
+// TestUnresolvedCompletion checks that after an unanswered completion the running record is
+// written in place of the same one, and that no move begins.
 func TestUnresolvedCompletion(t *testing.T) {
 	cases := map[string]struct {
 		unresolved bool
-		// left is what is left of a move; below zero after it.
+		// left is the time left of the move; negative after it.
 		left   time.Duration
 		reason string
 		want   State
 	}{
-		"no doubt":                         {false, -time.Second, "", ""},
-		"after the move":                   {true, -time.Second, "", Running},
-		"too late for another try":         {true, holdMargin, "", Running},
-		"time for another try":             {true, maxMove / 2, "", Completed},
-		"the version is halted":            {true, -time.Second, "bad", RolledBack},
-		"the version is halted in a move":  {true, maxMove / 2, "bad", RolledBack},
-		"the version is halted, no doubt":  {false, -time.Second, "bad", RolledBack},
-		"in a move that nobody has doubts": {false, maxMove / 2, "", Completed},
+		"resolved":                        {false, -time.Second, "", ""},
+		"after the move":                  {true, -time.Second, "", Running},
+		"too late for a retry":            {true, holdMargin, "", Running},
+		"time for a retry":                {true, maxMove / 2, "", Completed},
+		"the version is halted":           {true, -time.Second, "bad", RolledBack},
+		"the version is halted in a move": {true, maxMove / 2, "bad", RolledBack},
+		"the version is halted, resolved": {false, -time.Second, "bad", RolledBack},
+		"resolved, in a move":             {false, maxMove / 2, "", Completed},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -436,8 +439,8 @@
 	}
 }
 
-// TestCommitFailures: the first, and each other one. The pause grows, but in a move, and
-// ends when the store answers again.
+// TestCommitFailures checks that the first failure is reported, and each different one. The delay
+// grows except in a move, and ends when the store answers again.
 func TestCommitFailures(t *testing.T) {
 	is := is.New(t)
 	d := new(deciderState)
@@ -464,8 +467,8 @@
 	is.Equal(wait(), outdatedRetryDelay)
 }
 
-// TestCommitRetries: one at a time, after a while, or at once when what it was too late
-// for is known.
+// TestCommitRetries checks that commits are made one at a time, and retried after a delay, or at
+// once when the record that outdated them is known.
 func TestCommitRetries(t *testing.T) {
 	commit := decision{commit: &Commit{}, by: testTime.Add(time.Second)}
 	retryAt := testTime.Add(commitRetryDelay)
@@ -474,16 +477,16 @@
 		decision decision
 		want     bool
 	}{
-		"the first":                   {deciderState{}, commit, true},
-		"nothing to write":            {deciderState{}, decision{by: commit.by}, false},
-		"no time":                     {deciderState{}, decision{commit: commit.commit, by: testTime}, false},
-		"one under way":               {deciderState{commitInFlight: true}, commit, false},
-		"failed just now":             {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
-		"a completion just now":       {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: retryAt}, commit, true},
-		"failed after a completion":   {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
-		"failed a while ago":          {deciderState{lastErr: errNoAnswer, retryAt: testTime}, commit, true},
-		"outdated, nothing new":       {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: retryAt}, commit, false},
-		"outdated, and a record came": {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: retryAt}, commit, true},
+		"the first":                      {deciderState{}, commit, true},
+		"nothing to write":               {deciderState{}, decision{by: commit.by}, false},
+		"no time":                        {deciderState{}, decision{commit: commit.commit, by: testTime}, false},
+		"one in flight":                  {deciderState{commitInFlight: true}, commit, false},
+		"failed just now":                {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
+		"after an unresolved completion": {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: retryAt}, commit, true},
+		"after a failed completion":      {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
+		"failed a while ago":             {deciderState{lastErr: errNoAnswer, retryAt: testTime}, commit, true},
+		"outdated, no new record":        {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: retryAt}, commit, false},
+		"outdated, new record":           {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: retryAt}, commit, true},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -17,8 +17,8 @@
 	return Order{Service: testService, Version: version, Duration: time.Minute, Revision: revision}
 }
 
-// send sends requests where the gate says, and returns how many went to a version; the
-// targets of Otherwise and of versions that may go anywhere are those of other.
+// send sends requests to the versions that the gate selects, and returns how many went to a
+// version. Requests that may go to any version are sent to other.
 func send(g *Gate, count int, version, other string, now time.Time) int {
 	sent := 0
 	for range count {
@@ -48,7 +48,8 @@
 	return Grant{Service: NameHash(testService), Order: order, Stage: Move, End: Done}
 }
 
-// TestVersionsByOrderAndRecord: what requests may go to, by what the store has held.
+// TestVersionsByOrderAndRecord checks which versions requests may go to after changes in the
+// store.
 func TestVersionsByOrderAndRecord(t *testing.T) {
 	completed := Record{Order: newOrder("v2", 1), State: Completed, Current: "v2", Refused: []string{"v1"}}
 	rolledBack := Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}
@@ -90,7 +91,7 @@
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
-		"the first order is for a version that came in another's place": {
+		"the first order is for a version that replaced another one": {
 			func(g *Gate) {
 				send(g, 1, "v1", "v1", testTime.Add(-servedWindow))
 				send(g, 1, "v2", "v2", testTime)
@@ -98,7 +99,7 @@
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
-		"the first order is for a version that came in another's place long ago": {
+		"the first order is for a version that replaced another one long ago": {
 			func(g *Gate) {
 				send(g, 1, "v1", "v1", testTime.Add(-servedWindow-time.Second))
 				send(g, 1, "v2", "v2", testTime.Add(-servedWindow))
@@ -118,7 +119,7 @@
 			},
 			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
 		},
-		"the version that served is overtaken": {
+		"the version that served, then an order for another one": {
 			func(g *Gate) {
 				send(g, 1, "v1", "v1", testTime)
 				g.Ordered(newOrder("v2", 1), testTime)
@@ -127,14 +128,14 @@
 			},
 			balance.Versions{Not: []string{"v2", "v3"}},
 		},
-		"a record says what served": {
+		"a record with the versions that served": {
 			func(g *Gate) {
 				g.Recorded(Record{Order: newOrder("v2", 1), State: Running, Served: []string{"v1"}}, 2, testTime)
 				g.Ordered(newOrder("v1", 3), testTime)
 			},
 			balance.Versions{Not: []string{"v2"}, Rather: "v1"},
 		},
-		"a record has completed, and what served before is ordered": {
+		"an order after a completion for the version that served": {
 			func(g *Gate) {
 				send(g, 1, "v1", "v1", testTime)
 				g.Ordered(newOrder("v2", 1), testTime)
@@ -191,7 +192,7 @@
 			},
 			balance.Versions{Not: []string{"v1"}, Rather: "v2"},
 		},
-		"completed, as was told": {
+		"completed by a notice": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
 				g.obey(doneNotice(1), time.Time{}, testTime)
@@ -199,7 +200,7 @@
 			},
 			balance.Versions{Only: "v2"},
 		},
-		"completed, as was told again and again, and no record": {
+		"completed by repeated notices, no record": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime.Add(-recordLag))
 				g.obey(doneNotice(1), time.Time{}, testTime.Add(-recordLag))
@@ -207,7 +208,7 @@
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
-		"completed, as was told after a halt": {
+		"completed by a notice after a halt": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
 				g.obey(haltNotice(1), time.Time{}, testTime)
@@ -215,14 +216,14 @@
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
-		"another order completed, as was told": {
+		"another order completed by a notice": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
 				g.obey(doneNotice(9), time.Time{}, testTime)
 			},
 			balance.Versions{Not: []string{"v2"}},
 		},
-		"a hold for no time": {
+		"an expired hold": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
 				g.obey(newGrant(1, Hold, 0), testTime, testTime)
@@ -244,7 +245,7 @@
 			},
 			balance.Versions{Not: []string{"v1", "v3"}, Rather: "v2"},
 		},
-		"an order for the version that all have": {
+		"an order for the current version": {
 			func(g *Gate) {
 				g.Recorded(completed, 2, testTime)
 				g.Ordered(newOrder("v2", 3), testTime)
@@ -266,8 +267,8 @@
 	}
 }
 
-// TestGrantExpiry: a grant holds for its time from the sending of the report, and a halt
-// for as long as the order does.
+// TestGrantExpiry checks that a grant is valid for its time from the sending of the report, and a
+// halt for as long as the order.
 func TestGrantExpiry(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
@@ -278,9 +279,9 @@
 	g.obey(newGrant(1, Canary, time.Second), time.Time{}, testTime)
 	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // a notice allows nothing
 	g.obey(newGrant(1, Canary, time.Second), testTime.Add(-2*time.Second), testTime)
-	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // it came too late
+	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // it has expired
 	g.obey(newGrant(1, Canary, time.Second), testTime, testTime)
-	g.obey(newGrant(1, Move, time.Second), testTime.Add(-2*time.Second), testTime) // too late to end anything
+	g.obey(newGrant(1, Move, time.Second), testTime.Add(-2*time.Second), testTime) // it has expired, and doesn't end the canary
 	sent := send(g, 1000, "v2", "v1", testTime)
 	is.True(sent > 10 && sent <= 200)
 	is.Equal(send(g, 10, "v2", "v1", testTime.Add(time.Second)), 0)
@@ -289,22 +290,22 @@
 	is.Equal(send(g, 10, "v2", "v1", later), 10)
 	is.Equal(g.AdmittedVersions(testService, later).Only, "v2")
 	report, _ := g.report(testService, later)
-	is.Equal(report.Exposed, sent+10) // a move costs exposure, too
+	is.Equal(report.Exposed, sent+10) // requests of a move count as exposure, too
 	is.Equal(report.Stage, Move)
 	g.obey(newGrant(1, Canary, time.Minute), later, later)
 	g.obey(newGrant(1, Hold, time.Minute), later, later)
-	is.Equal(send(g, 10, "v2", "v1", later), 10) // who moves keeps to it
+	is.Equal(send(g, 10, "v2", "v1", later), 10) // a gateway stays in a move
 	_, halted := g.obey(haltNotice(1), time.Time{}, later)
 	is.True(halted)
 	is.Equal(send(g, 10, "v2", "v1", later), 0)
 	g.obey(newGrant(1, Move, time.Minute), later, later)
 	is.Equal(send(g, 1000, "v2", "v1", later), 0) // halted
 	_, halted = g.obey(haltNotice(1), time.Time{}, later)
-	is.True(!halted) // it was before
+	is.True(!halted) // it was halted before
 }
 
-// TestCanaryShare: the share holds at every moment, further attempts go elsewhere, and
-// what was not sent to the version is given back.
+// TestCanaryShare checks that the share is kept at every moment, that retries go to other
+// versions, and that unused reservations are released.
 func TestCanaryShare(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
@@ -342,8 +343,8 @@
 	is.True(exposed > 50)
 }
 
-// TestRequestsInFlightBeforeOrder: requests that began before an order are under way at
-// other versions, too.
+// TestRequestsInFlightBeforeOrder checks that requests sent before an order count as in flight at
+// other versions.
 func TestRequestsInFlightBeforeOrder(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
@@ -358,8 +359,8 @@
 	is.Equal(len(report.Tallies), 0)
 }
 
-// TestRepeatedOrder: the order goes on with its sums and the later deadline, but what
-// the one before has left of its share isn't the new one's.
+// TestRepeatedOrder checks that a repeated order continues with the totals and the later
+// deadline, but can't use what the previous one left of its share.
 func TestRepeatedOrder(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
@@ -377,12 +378,13 @@
 	is.Equal(send(g, 5, "v2", "v1", testTime.Add(time.Second)), 0)
 	g.Recorded(Record{Order: first, State: RolledBack, Refused: []string{"v2"}}, 3, testTime)
 	v = g.views(testTime)[0]
-	is.Equal(v.firstRevision, int64(2)) // the one before ended: this one begins anew
+	is.Equal(v.firstRevision, int64(2)) // the previous order ended, so this one starts a new trial
 	is.Equal(v.requests, 0)
 	is.True(!slices.Contains(v.refused, "v2"))
 }
 
-// TestReportsDue: one each interval, at once with news, and again if no answer comes.
+// TestReportsDue checks that reports are due once per interval, at once after a change of stage,
+// and again if no answer comes.
 func TestReportsDue(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(testOptions)
@@ -395,7 +397,7 @@
 	is.Equal(due(10*time.Millisecond), 0)
 	is.Equal(due(reportRetryDelay), 1)
 	is.Equal(due(2*reportRetryDelay), 1)
-	is.Equal(due(3*reportRetryDelay), 0) // no more than that
+	is.Equal(due(3*reportRetryDelay), 0) // no more retries
 	is.Equal(due(2*reportRetryDelay+time.Second), 1)
 	g.obey(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
 	is.Equal(due(2*time.Second), 1) // another stage
@@ -411,10 +413,10 @@
 	is.Equal(due(4500*time.Millisecond), 0)
 	is.Equal(due(6*time.Second), 1)
 	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(6*time.Second), testTime.Add(6*time.Second))
-	is.Equal(due(6500*time.Millisecond), 1) // the move comes near
+	is.Equal(due(6500*time.Millisecond), 1) // reports are more frequent shortly before the move
 }
 
-// TestHeadStart: gateways with few requests each still send their share together.
+// TestHeadStart checks that gateways with few requests each still send the share between them.
 func TestHeadStart(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -436,8 +438,8 @@
 	is.True(float64(exposed) < share+testOptions.Slack/2)
 }
 
-// BenchmarkRequest is what a request costs at the gate: without any order, and as a
-// canary.
+// BenchmarkRequest measures the gate's cost per request, without an order and in the canary
+// stage.
 func BenchmarkRequest(b *testing.B) {
 	for name, order := range map[string]bool{"no order": false, "canary": true} {
 		b.Run(name, func(b *testing.B) {
@@ -456,9 +458,9 @@
 	}
 }
 
-// TestFallbackAfterOthersLeft: before the record of a completion is known here, the version takes
-// the place of others whose targets have all left by plan; a halted or withdrawn one never, nor
-// one that is not on trial.
+// TestFallbackAfterOthersLeft checks that the version on trial is the fallback once all targets
+// of the others have left as planned, before the record of the completion is known. A halted
+// version, one whose order was withdrawn, and one that is not on trial never are.
 func TestFallbackAfterOthersLeft(t *testing.T) {
 	all := func(balance.Versions) bool { return true }
 	none := func(balance.Versions) bool { return false }
@@ -467,16 +469,16 @@
 		haveLeft func(versions balance.Versions) bool
 		fallback string
 	}{
-		"the others have left":        {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, all, "v2"},
-		"they are there, or lost":     {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, none, ""},
-		"whether is not known":        {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, nil, ""},
-		"no order":                    {func(*Gate) {}, all, ""},
-		"another order has its place": {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime); g.Ordered(newOrder("v3", 2), testTime) }, all, "v3"},
-		"it was halted": {func(g *Gate) {
+		"the others have left":         {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, all, "v2"},
+		"the others haven't left":      {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, none, ""},
+		"unknown whether they left":    {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime) }, nil, ""},
+		"no order":                     {func(*Gate) {}, all, ""},
+		"an order for another version": {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime); g.Ordered(newOrder("v3", 2), testTime) }, all, "v3"},
+		"halted": {func(g *Gate) {
 			g.Ordered(newOrder("v2", 1), testTime)
 			g.obey(haltNotice(1), time.Time{}, testTime)
 		}, all, ""},
-		"its order was withdrawn": {func(g *Gate) {
+		"order withdrawn": {func(g *Gate) {
 			g.Ordered(newOrder("v2", 1), testTime)
 			g.Withdrawn(testService, testTime)
 		}, all, ""},
--- a/internal/rollout/judge_test.go
+++ b/internal/rollout/judge_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// usual are sums of others that answer well on a route.
+// otherVersionsTally returns the tally of other versions whose answers on a route were all good.
 func otherVersionsTally(route uint32, answers int) Tally {
 	return Tally{Route: route, Answers: answers}
 }
 
-// addRounds lets a gateway report often enough that nothing waits any more.
+// addRounds adds a gateway's report often enough that nothing stays deferred.
 func addRounds(judge *Judge, tallies ...Tally) {
 	for range maxDeferRounds + 1 {
 		judge.AddReport("gateway", tallies)
@@ -82,7 +82,7 @@
 			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 20, 9, 0}},
 			verdict: Bad, reason: "9 of 20 answers failed at 1 targets",
 		},
-		"a rare route has the common sample of all rare ones": {
+		"rare routes share a combined sample": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 15, 0, 0}, Tally{rare + 1, 1, 15, 0, 0}),
 			verdict: Good, reason: "4 of 4 routes", clean: true,
 		},
@@ -90,19 +90,19 @@
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20)),
 			verdict: Undecided, reason: "2 of 4 routes", undersampled: []uint32{rare, rare + 1}, clean: true,
 		},
-		"bad on rare routes, by what they show together": {
+		"bad on rare routes together": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 4, 2, 0}, Tally{rare + 1, 2, 4, 2, 0}),
 			verdict: Bad, reason: "routes with few requests together: 4 of 8 answers failed",
 		},
-		"something speaks against it on one route": {
+		"suspect on one route": {
 			tallies: []Tally{otherVersionsTally(a, 400), otherVersionsTally(b, 400), {a, 1, 40, 0, 0}, {a, 2, 40, 0, 0}, {b, 1, 4, 1, 0}, {b, 2, 4, 1, 0}},
 			verdict: Undecided, reason: "1 of 2 routes", undersampled: []uint32{b},
 		},
-		"something speaks against it on rare routes together": {
+		"suspect on rare routes together": {
 			tallies: append(slices.Clone(good), otherVersionsTally(rare, 20), otherVersionsTally(rare+1, 20), Tally{rare, 1, 5, 1, 0}, Tally{rare + 1, 1, 5, 1, 0}),
 			verdict: Undecided, reason: "2 of 4 routes", undersampled: []uint32{rare, rare + 1},
 		},
-		"something speaks against it": {
+		"suspect on the only route": {
 			tallies: []Tally{otherVersionsTally(a, 400), {a, 1, 4, 1, 0}, {a, 2, 4, 1, 0}},
 			verdict: Undecided, reason: "0 of 1 routes", undersampled: []uint32{a},
 		},
@@ -123,7 +123,7 @@
 	}
 }
 
-// A version that was good and turns bad is found, and stays bad.
+// TestBadAfterGood checks that a good version that turns bad is found, and stays bad.
 func TestBadAfterGood(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -145,8 +145,8 @@
 	is.Equal(judge.UndersampledRoutes(), nil)
 }
 
-// A failure on each route is luck of one route, but not of all together: they need larger
-// samples again.
+// TestFailuresAcrossRoutes checks that one failure on each route, which may be chance for a
+// single route but not for all together, makes larger samples necessary again.
 func TestFailuresAcrossRoutes(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -163,8 +163,8 @@
 	is.Equal(verdict, Good)
 }
 
-// Among many gateways enough answers of the others show how it was before all of them
-// have reported.
+// TestDeferredUntilEnoughOtherAnswers checks that with many gateways the version's answers are
+// evaluated once the others have given enough answers, before all gateways have reported.
 func TestDeferredUntilEnoughOtherAnswers(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -181,17 +181,17 @@
 	is.Equal(verdict, Bad)
 }
 
-// The version's news waits until the others' answers show whether they have the same
-// trouble.
+// TestDeferredForOtherVersions checks that the version's answers are deferred until those of the
+// others show whether they have the same trouble.
 func TestDeferredForOtherVersions(t *testing.T) {
 	trouble := []Tally{{1, 1, 103, 3, 0}, {1, 2, 103, 3, 0}}
 	tests := map[string]struct {
 		others  []Tally
 		verdict Verdict
 	}{
-		"the others have the trouble too": {[]Tally{{1, 0, 440, 20, 0}}, Good},
-		"the others go on well":           {[]Tally{{1, 0, 440, 0, 0}}, Bad},
-		"the others answer no more":       {nil, Bad},
+		"the others have the same trouble": {[]Tally{{1, 0, 440, 20, 0}}, Good},
+		"the others answer well":           {[]Tally{{1, 0, 440, 0, 0}}, Bad},
+		"the others answer no more":        {nil, Bad},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 			addRounds(judge, otherVersionsTally(1, 400), Tally{1, 1, 100, 0, 0}, Tally{1, 2, 100, 0, 0})
 			judge.AddReport("gateway", trouble)
 			verdict, _ := judge.Verdict()
-			is.Equal(verdict, Good) // nothing is judged yet
+			is.Equal(verdict, Good) // the answers are still deferred
 			addRounds(judge, test.others...)
 			verdict, _ = judge.Verdict()
 			is.Equal(verdict, test.verdict)
@@ -208,7 +208,8 @@
 	}
 }
 
-// In the move the others get nothing, and the version's news waits for nobody.
+// TestNotDeferredDuringMove checks that the version's answers are evaluated at once in a move,
+// when the others get no requests.
 func TestNotDeferredDuringMove(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -218,8 +219,8 @@
 	is.Equal(verdict, Bad)
 }
 
-// Whatever reports are lost, come twice or in another order, each answer counts once, and
-// the end is the same.
+// TestLostAndReorderedReports checks that each answer counts once, and the result is the same,
+// whatever reports are lost, repeated or reordered.
 func TestLostAndReorderedReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type report struct {
@@ -275,7 +276,7 @@
 	})
 }
 
-// What was judged isn't kept.
+// TestEvaluatedTalliesAreDropped checks that tallies aren't kept after their evaluation.
 func TestEvaluatedTalliesAreDropped(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -291,14 +292,14 @@
 		ignored int
 		answers int
 	}{
-		"later":                 {Tally{1, 2, 12, 2, 1}, 0, 12},
-		"the same":              {Tally{1, 2, 10, 2, 1}, 0, 10},
-		"earlier":               {Tally{1, 2, 9, 2, 1}, 1, 10},
-		"fewer failures":        {Tally{1, 2, 12, 1, 1}, 1, 10},
-		"fewer slow ones":       {Tally{1, 2, 12, 2, 0}, 1, 10},
-		"below zero":            {Tally{1, 3, 0, -1, 0}, 1, 10},
-		"more failed than came": {Tally{1, 3, 2, 2, 1}, 1, 10},
-		"of another target":     {Tally{1, 3, 5, 0, 0}, 0, 15},
+		"later":                      {Tally{1, 2, 12, 2, 1}, 0, 12},
+		"the same":                   {Tally{1, 2, 10, 2, 1}, 0, 10},
+		"earlier":                    {Tally{1, 2, 9, 2, 1}, 1, 10},
+		"fewer failures":             {Tally{1, 2, 12, 1, 1}, 1, 10},
+		"fewer slow ones":            {Tally{1, 2, 12, 2, 0}, 1, 10},
+		"negative":                   {Tally{1, 3, 0, -1, 0}, 1, 10},
+		"more failures than answers": {Tally{1, 3, 2, 2, 1}, 1, 10},
+		"of another target":          {Tally{1, 3, 5, 0, 0}, 0, 15},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -313,7 +314,8 @@
 	}
 }
 
-// A gateway's next life counts from zero, under another name.
+// TestRestartedGateway checks that a gateway's next incarnation counts from zero, under another
+// name.
 func TestRestartedGateway(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
@@ -328,8 +330,8 @@
 	is.Equal(fmt.Sprint(Undecided, Good, Bad, Verdict(7)), "undecided good bad verdict 7")
 }
 
-// BenchmarkJudgeAddReport is one report of one of 30 gateways, with news on all of 30 routes
-// and at each of 16 targets.
+// BenchmarkJudgeAddReport measures one report of one of 30 gateways, with new answers on each of
+// 30 routes at each of 16 targets.
 func BenchmarkJudgeAddReport(b *testing.B) {
 	const gateways, routes, targets = 30, 30, 16
 	random := rand.New(rand.NewPCG(2, 2))
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -19,7 +19,8 @@
 	goleak.VerifyTestMain(m)
 }
 
-// TestOrders: what operators order while a roll-out runs, or has ended.
+// TestOrders checks the result of orders that are given while a roll-out runs, or after it has
+// ended.
 func TestOrders(t *testing.T) {
 	const duration = 20 * time.Second
 	cases := map[string]struct {
@@ -54,7 +55,7 @@
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"withdrawn while it runs and all gateways begin anew": {
+		"withdrawn while it runs and all gateways restart": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.run(5 * time.Second)
@@ -103,7 +104,7 @@
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
-		"the old version while it runs, and all gateways begin anew": {
+		"the old version while it runs, and all gateways restart": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.run(5 * time.Second)
@@ -125,7 +126,7 @@
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
-		"the old version while the store is away": {
+		"the old version while the store is down": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.run(5 * time.Second)
@@ -145,7 +146,7 @@
 			},
 			Record{State: RolledBack},
 		},
-		"the first order is for the version that all have": {
+		"the first order is for the only version": {
 			func(w *cluster) {
 				w.order(oldVersion, duration)
 				w.run(time.Second)
@@ -189,7 +190,7 @@
 			},
 			Record{State: Completed, Current: "v2"},
 		},
-		"entries lapse for a while": {
+		"entries expire for a while": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, duration)
@@ -200,7 +201,7 @@
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"entries lapse while the store is down": {
+		"entries expire while the store is down": {
 			func(w *cluster) {
 				w.behavior = versionBehaviors["fails at once"]
 				w.order(newVersion, duration)
@@ -224,7 +225,7 @@
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"the service is not known": {
+		"unknown service": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.targets = nil
@@ -232,7 +233,7 @@
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"its targets come late": {
+		"targets register late": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.run(registrationDelay)
@@ -254,7 +255,7 @@
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"all gateways begin anew": {
+		"all gateways restart": {
 			func(w *cluster) {
 				w.order(newVersion, duration)
 				w.run(5 * time.Second)
@@ -278,13 +279,13 @@
 	}
 }
 
-// TestRandomEvents: the bounds hold whatever happens when.
+// TestRandomEvents checks that the bounds hold for any sequence of events.
 func TestRandomEvents(t *testing.T) {
 	var names []string
 	for name := range faults {
 		names = append(names, name)
 	}
-	slices.Sort(names) // or the same draws were other faults in the next run
+	slices.Sort(names) // so that the same draws give the same faults in each run
 	rapid.Check(t, func(rt *rapid.T) {
 		f := versionBehaviors[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
 		duration := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
@@ -292,7 +293,7 @@
 		w.rate = float64(rapid.IntRange(20, 400).Draw(rt, "rate"))
 		w.order(newVersion, duration)
 		end := w.now.Add(duration)
-		w.run(300 * time.Millisecond) // an order that nobody has seen binds nobody
+		w.run(300 * time.Millisecond) // an order has no effect before a gateway has seen it
 		for range rapid.IntRange(1, 5).Draw(rt, "events") {
 			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond)
 			n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "gateway")]
@@ -316,17 +317,18 @@
 			}
 			end = laterTime(end, w.orderedAt.Add(duration))
 		}
-		w.run(8 * time.Second) // all is mended
+		w.run(8 * time.Second) // all faults have ended
 		if n := w.nodes[0]; n.dead {
 			n.start()
 		}
-		// If all have begun anew, the time that no record has kept is lost.
+		// If all gateways have restarted, the time that no record has kept is lost.
 		w.run(max(end.Sub(w.now), 0) + duration + 4*time.Second)
 		w.checkViolations()
 		if !w.store.record.isFinal() {
 			rt.Fatalf("no end: %v, order %d", w.store.record, w.store.order)
 		}
-		// Of fewer requests the share is too few answers to tell; the bound holds anyway.
+		// With fewer requests, the share gives too few answers for a verdict; the bound holds
+		// anyway.
 		enough := w.rate*duration.Seconds() >= 2000
 		if f.bad() && enough && w.newCompleted {
 			rt.Fatalf("a bad version has been completed: %v\n%v", w.store.record, w.log)
@@ -334,21 +336,19 @@
 	})
 }
 
-// TestGatewayLearnsOfCompletionLate finds targets of the version, or of the one before, at
-// every moment.
-//
-// Seen: a gateway refused requests for 10 to 90 ms, since the targets of the old version had
-// stopped and it took the roll-out to be running. How it came about: it held no grant of the
-// move, and learnt of the completion with the store's changes, which take a tenth of a second.
-// Either it had reported that it sends everything to the version, and begun anew since, or it had
-// been cut off from everything when the completion was written, and was connected a moment later.
+// TestGatewayLearnsOfCompletionLate checks that a gateway that learns late of a completion finds
+// targets of the new or the old version at every moment. It used to refuse requests for 10 to 90
+// ms, because the targets of the old version had stopped while it took the roll-out to be
+// running. It held no grant of the move, and learned of the completion with the store's changes,
+// which take a tenth of a second. Either it had confirmed the move and then restarted, or it had
+// been partitioned off when the completion was written, and was reconnected a moment later.
 func TestGatewayLearnsOfCompletionLate(t *testing.T) {
 	cases := map[string]struct {
 		duration time.Duration
 		rate     float64
 		steps    func(w *cluster, strike func(fault string, mends time.Duration))
 	}{
-		"it begins anew": {6 * time.Second, 158, func(w *cluster, inject func(string, time.Duration)) {
+		"restarted": {6 * time.Second, 158, func(w *cluster, inject func(string, time.Duration)) {
 			inject("half of them killed", 100*time.Millisecond)
 			w.order(newVersion, 6*time.Second)
 			w.order(newVersion, 6*time.Second)
@@ -356,7 +356,7 @@
 			w.run(91 * time.Millisecond)
 			inject("half of them killed", 4801*time.Millisecond)
 		}},
-		"it is connected again": {14 * time.Second, 20, func(w *cluster, inject func(string, time.Duration)) {
+		"reconnected": {14 * time.Second, 20, func(w *cluster, inject func(string, time.Duration)) {
 			w.run(271 * time.Millisecond)
 			inject("answers lost, done", 100*time.Millisecond)
 			w.run(6 * time.Second)
@@ -378,7 +378,7 @@
 	}
 }
 
-// blockingStore answers when the context ends.
+// blockingStore answers a commit when the context ends.
 type blockingStore struct{ began chan struct{} }
 
 func (s blockingStore) Commit(ctx context.Context, _ Commit) (int64, error) {
@@ -394,7 +394,7 @@
 func (noopDeps) RolloutStep(Step)               {}
 func (noopDeps) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
 
-// TestCloseWaitsForCommit: for the look at the roll-outs, and for a commit under way.
+// TestCloseWaitsForCommit checks that Close waits for a running step and for a commit in flight.
 func TestCloseWaitsForCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/rollout/pace_test.go
+++ b/internal/rollout/pace_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// stream is an answer of 41 events, one in 20 ms, after a head of 30 ms.
+// streamOutcome returns the outcome of a stream of 41 events, one every 20 ms, after a head of 30
+// ms.
 func streamOutcome() Outcome {
 	return Outcome{
 		Service: "models", Route: "chat", Ending: Answered,
@@ -18,19 +19,19 @@
 	}
 }
 
-// plain is an answer without events, after 20 ms.
+// plainOutcome returns the outcome of an answer without events, after 20 ms.
 func plainOutcome() Outcome {
 	return Outcome{Service: "desk", Route: "order", Ending: Answered, Head: 20 * time.Millisecond}
 }
 
-// with changes an outcome.
+// withChange returns a changed outcome.
 func withChange(outcome Outcome, change func(o *Outcome)) Outcome {
 	change(&outcome)
 	return outcome
 }
 
-// learned knows streams and plain requests, some of the streams with a prompt to be read
-// at 50 tokens a millisecond.
+// trainedPace returns a Pace that knows streams and plain requests. Some of the streams have a
+// prompt to process at 50 tokens per millisecond.
 func trainedPace() *Pace {
 	pace := NewPace()
 	for i := range 200 {
@@ -54,13 +55,13 @@
 		"gaps three times as long":       {withChange(streamOutcome(), func(o *Outcome) { o.Span *= 3 }), true, true},
 		"a head twice as late":           {withChange(streamOutcome(), func(o *Outcome) { o.Head *= 2 }), false, true},
 		"a head three times as late":     {withChange(streamOutcome(), func(o *Outcome) { o.Head *= 3 }), true, true},
-		"reading explains the head":      {withChange(streamOutcome(), func(o *Outcome) { o.Head, o.Unread = 130*time.Millisecond, 5000 }), false, true},
+		"a long uncached prompt":         {withChange(streamOutcome(), func(o *Outcome) { o.Head, o.Unread = 130*time.Millisecond, 5000 }), false, true},
 		"a plain one three times slower": {withChange(plainOutcome(), func(o *Outcome) { o.Head *= 3 }), true, true},
 		"a plain one twice as slow":      {withChange(plainOutcome(), func(o *Outcome) { o.Head *= 2 }), false, true},
 		"a cold target":                  {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Cold = o.Span*9, true }), false, false},
 		"a failure":                      {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Failed }), false, false},
-		"left by its caller, slow":       {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Neutral }), true, true},
-		"left before its head":           {Outcome{Service: "models", Route: "chat"}, false, false},
+		"abandoned by the caller, slow":  {withChange(streamOutcome(), func(o *Outcome) { o.Span, o.Ending = o.Span*9, Neutral }), true, true},
+		"abandoned before the head":      {Outcome{Service: "models", Route: "chat"}, false, false},
 		"few events, gaps unknown":       {withChange(streamOutcome(), func(o *Outcome) { o.Events, o.Span = 2, time.Second }), false, true},
 		"another route":                  {withChange(streamOutcome(), func(o *Outcome) { o.Route = "tag" }), false, false},
 		"another service":                {withChange(streamOutcome(), func(o *Outcome) { o.Service = "other" }), false, false},
@@ -75,7 +76,7 @@
 	}
 }
 
-// What says nothing of the usual isn't learned.
+// TestPaceLearnsOnlyUsualAnswers checks that answers that don't show the usual times are ignored.
 func TestPaceLearnsOnlyUsualAnswers(t *testing.T) {
 	tests := map[string]struct {
 		change func(o *Outcome)
@@ -83,8 +84,8 @@
 	}{
 		"answers":                    {func(*Outcome) {}, true},
 		"failures":                   {func(o *Outcome) { o.Ending = Failed }, false},
-		"answers left by callers":    {func(o *Outcome) { o.Ending = Neutral }, false},
-		"answers of a fresh target":  {func(o *Outcome) { o.Cold = true }, false},
+		"abandoned by callers":       {func(o *Outcome) { o.Ending = Neutral }, false},
+		"answers of a cold target":   {func(o *Outcome) { o.Cold = true }, false},
 		"answers without any timing": {func(o *Outcome) { o.Head, o.Events = 0, 0 }, false},
 	}
 	for name, test := range tests {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Before enough was learned nothing is slow, and what unread tokens cost is unknown until
-// some were read.
+// TestPaceNeedsEnoughAnswers checks that nothing is slow before enough answers were learned, and
+// that the cost of uncached tokens is unknown until some were processed.
 func TestPaceNeedsEnoughAnswers(t *testing.T) {
 	is := is.New(t)
 	pace := NewPace()
@@ -120,7 +121,7 @@
 	is.True(!known)
 }
 
-// The usual follows the load, and a stray answer doesn't move it.
+// TestPaceFollowsLoad checks that the usual time follows the load, and isn't moved by outliers.
 func TestPaceFollowsLoad(t *testing.T) {
 	is := is.New(t)
 	pace := trainedPace()
@@ -137,7 +138,8 @@
 	is.True(!slow)
 }
 
-// The parts of the head come apart though each answer has to read something.
+// TestHeadPartsSeparate checks that the two parts of the head are told apart even if each prompt
+// has uncached tokens.
 func TestHeadPartsSeparate(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(8, 8))
@@ -159,8 +161,8 @@
 	}
 }
 
-// Targets differ by 1.3, times are spread: few answers are slow by chance, and most of
-// those that take four times as long are found.
+// TestPaceAmongDifferentTargets checks that few answers are slow by chance, and most of those
+// that take four times as long are found, if targets differ by a factor of 1.3 and times vary.
 func TestPaceAmongDifferentTargets(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(9, 9))
@@ -189,7 +191,7 @@
 	is.True(found > answers*95/100)
 }
 
-// Thousands of routes don't fill the memory; the oldest go.
+// TestPaceIsBounded checks that the number of routes is limited, and that the oldest are evicted.
 func TestPaceIsBounded(t *testing.T) {
 	is := is.New(t)
 	pace := NewPace()
--- a/internal/rollout/record_test.go
+++ b/internal/rollout/record_test.go
@@ -39,7 +39,7 @@
 		"rolled back, not refused": func(r *Record) { r.State, r.Current = RolledBack, "" },
 		"current refused":          func(r *Record) { r.Refused = []string{"v1", "v2"} },
 		"out of order":             func(r *Record) { r.Refused = []string{"v1", "v0"} },
-		"twice":                    func(r *Record) { r.Refused = []string{"v1", "v1"} },
+		"duplicate":                func(r *Record) { r.Refused = []string{"v1", "v1"} },
 		"served and refused":       func(r *Record) { r.Served = []string{"v1"} },
 		"served, out of order":     func(r *Record) { r.Served = []string{"v5", "v4"} },
 		"served, not UTF-8":        func(r *Record) { r.Served = []string{"v\xff"} },
@@ -57,8 +57,8 @@
 	}
 }
 
-// FuzzDecode: whatever the store holds, a record that is taken is a sound one, and comes
-// back as it is.
+// FuzzDecode checks that each decoded record is valid, and doesn't change when it is encoded and
+// decoded again.
 func FuzzDecode(f *testing.F) {
 	data, err := Encode(validRecord())
 	if err != nil {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// orderTime leaves the judge enough answers where 14 in 100 fail anyway: of 24 plays of
-// 12 s at this rate it left one good version undecided, which is within its stated errors.
+// orderTime gives the judge enough answers if 14 in 100 fail in any version. With orders of 12 s
+// at this rate, one good version in 24 runs was left undecided, which is within the stated error
+// probabilities.
 const orderTime = 16 * time.Second
 
-// TestVersionBehaviors: good versions get all in time, bad ones are rolled back, and what
-// they get stays below the bound at every moment.
+// TestVersionBehaviors checks that good versions get all requests in time, that bad ones are
+// rolled back, and that what they get stays below the bound at every moment.
 func TestVersionBehaviors(t *testing.T) {
 	for name, f := range versionBehaviors {
 		for _, gateways := range []int{4, 28, 103} {
@@ -31,7 +32,7 @@
 	}
 }
 
-// moments of a roll-out at which something fails, by the step that begins them.
+// faultSteps are the steps of a roll-out at which a fault is injected.
 var faultSteps = map[string]func(step Step) bool{
 	"ordered": func(step Step) bool { return step.Kind == StepOrdered },
 	"canary":  func(step Step) bool { return step.Kind == StepStage && step.Stage == Canary },
@@ -41,7 +42,8 @@
 
 const faultDuration = 4 * time.Second
 
-// faults befall the gateway that decides, or the store; each says what ends it.
+// faults affect the gateway that decides, or the store. Each returns a function that ends the
+// fault.
 var faults = map[string]func(w *cluster, n *node) (mend func()){
 	"killed": func(_ *cluster, n *node) func() {
 		n.dead = true
@@ -130,13 +132,14 @@
 	}
 }
 
-// mayRunOutOfTime are faults that may leave a good version no time: it may be rolled back, too.
-// There the gateways that are killed in the move take with them what they had sent, and
-// with it half of the share, and one of them decides again when it is back.
+// mayRunOutOfTime are faults that may leave a good version too little time, so that it may be
+// rolled back as well. The gateways that are killed in the move take with them the record of what
+// they had sent, and with it half of the share, and one of them decides again when it is back.
 var mayRunOutOfTime = map[string]bool{"half of them killed, move": true}
 
-// TestFaultsDuringRollout: whatever fails at whatever step, the bounds hold, an order ends once, and
-// no bad version is completed. A good one is, but where the fault leaves it no time.
+// TestFaultsDuringRollout checks that the bounds hold, that an order ends once, and that no bad
+// version is completed, whatever fails at whatever step. A good version is completed unless the
+// fault leaves it too little time.
 func TestFaultsDuringRollout(t *testing.T) {
 	const gateways, duration = 9, 30 * time.Second
 	for faultName, fault := range faults {
@@ -169,8 +172,8 @@
 	}
 }
 
-// TestDeciderKilledWhileStoreIsDown: the one that decides is killed late, while the store is away. The
-// next one hears all before it judges.
+// TestDeciderKilledWhileStoreIsDown checks that the next decider waits for the reports of all
+// gateways before its verdict, if the previous one is killed late while the store is down.
 func TestDeciderKilledWhileStoreIsDown(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -189,8 +192,8 @@
 	}
 }
 
-// TestIsolatedGatewayWithStore: a gateway that hears no others but reaches the store neither
-// completes an order nor ends it before its deadline.
+// TestIsolatedGatewayWithStore checks that a gateway that is in contact with the store, but with
+// no other gateway, neither completes an order nor ends it before its deadline.
 func TestIsolatedGatewayWithStore(t *testing.T) {
 	for _, failures := range []float64{0, 0.06, 0.12} {
 		for seed := range uint64(4) {
@@ -215,18 +218,18 @@
 	}
 }
 
-// TestCompletionCommittedAfterMove: the store takes the completion of a move after it. It has
-// no effect then, as the gateways send to the others again; or, if all that follows is
-// late as well, no request is without a target.
+// TestCompletionCommittedAfterMove checks the case that the store applies the completion of a
+// move after its end. It has no effect then, as the gateways send to the other versions again;
+// or, if all later answers are late as well, no request is left without a target.
 func TestCompletionCommittedAfterMove(t *testing.T) {
 	cases := map[string]struct {
 		form      versionBehavior
 		staysLate bool
 		want      State
 	}{
-		"good":             {versionBehavior{}, false, Completed},
-		"good, stays so":   {versionBehavior{}, true, Completed},
-		"fails under load": {versionBehaviors["fails under load"], false, RolledBack},
+		"good":              {versionBehavior{}, false, Completed},
+		"good, always late": {versionBehavior{}, true, Completed},
+		"fails under load":  {versionBehaviors["fails under load"], false, RolledBack},
 	}
 	for name, c := range cases {
 		for seed := range uint64(5) {
--- a/internal/rollout/share_test.go
+++ b/internal/rollout/share_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever happens in whatever order, what was sent or reserved stays within the share.
+// TestShareIsNeverExceeded checks that requests and reservations stay within the share for any
+// sequence of calls.
 func TestShareIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ratio := rapid.Float64Range(-0.5, 1.5).Draw(t, "ratio")
@@ -47,12 +48,12 @@
 		wanted    bool
 		low, high int
 	}{
-		"a wanted route gets the whole share": {0.1, true, requests / 10, requests / 10},
-		"another gets a quarter of it":        {0.1, false, requests/40 - 70, requests/40 + 70},
-		"no share, nothing":                   {0, true, 0, 0},
-		"no share, no trickle":                {0, false, 0, 0},
-		"below zero is nothing":               {-1, true, 0, 0},
-		"above one is one":                    {7, true, requests, requests},
+		"an undersampled route gets the whole share": {0.1, true, requests / 10, requests / 10},
+		"a sampled route gets a quarter of it":       {0.1, false, requests/40 - 70, requests/40 + 70},
+		"no share":                                   {0, true, 0, 0},
+		"no share, sampled route":                    {0, false, 0, 0},
+		"a negative share is zero":                   {-1, true, 0, 0},
+		"a share above one is one":                   {7, true, requests, requests},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -70,14 +71,15 @@
 	}
 }
 
-// What was given back may be taken again, and more can't be given back than was taken.
+// TestShareRelease checks that a released reservation can be taken again, and that no more than
+// the reserved ones are released.
 func TestShareRelease(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.5)
 	share.CountRequest()
 	share.CountRequest()
 	is.True(share.Reserve(1, true))
-	is.True(!share.Reserve(1, true)) // one of two is the share
+	is.True(!share.Reserve(1, true)) // the share is one of two requests
 	share.Release()
 	is.True(share.Reserve(1, true))
 	share.Release()
@@ -86,7 +88,8 @@
 	is.Equal(exposed, 0)
 }
 
-// What a sending lacks by rounding is no sending.
+// TestShareRounding checks that only a rounding error is ignored, and no real deficit of a whole
+// request.
 func TestShareRounding(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.1 - 1e-11)
@@ -98,7 +101,8 @@
 	is.True(share.Reserve(1, true))
 }
 
-// What was not taken for long isn't all taken at once.
+// TestShareLimitsSavings checks that a share that was not used for long isn't all available at
+// once.
 func TestShareLimitsSavings(t *testing.T) {
 	is := is.New(t)
 	share := NewShare(0.1)
@@ -112,7 +116,8 @@
 	is.Equal(taken, int(maxSaved))
 }
 
-// Gateways take their trickle at different requests, though they have the same code.
+// TestSampledRoutesDifferBetweenGateways checks that gateways sample a sampled route at different
+// requests, although they run the same code.
 func TestSampledRoutesDifferBetweenGateways(t *testing.T) {
 	is := is.New(t)
 	first := make(map[int]bool)
--- a/internal/rollout/simulated_rollouts_test.go
+++ b/internal/rollout/simulated_rollouts_test.go
@@ -7,18 +7,18 @@
 	"github.com/matryer/is"
 )
 
-// answerProfile is how the answers of a version and of the others are in a trial.
+// answerProfile is how the versions answer in a simulation.
 type answerProfile struct {
 	base  func(at float64, route string) faultRates
 	added func(at float64, route string, target int, moving bool) faultRates
 }
 
-// steady is trouble that strikes both sides at all times.
+// steadyBase returns trouble that affects all versions at all times.
 func steadyBase(failed, slow float64) func(float64, string) faultRates {
 	return func(float64, string) faultRates { return faultRates{failed, slow} }
 }
 
-// spell is trouble that strikes both sides for two seconds.
+// burstBase returns trouble that affects all versions for two seconds.
 func burstBase(failed, slow float64) func(float64, string) faultRates {
 	return func(at float64, _ string) faultRates {
 		if at > 4 && at < 6 {
@@ -28,7 +28,7 @@
 	}
 }
 
-// always is what a version adds on all routes from a time on.
+// addedEverywhere returns what a version adds on all routes from a given time on.
 func addedEverywhere(failed, slow, from float64) func(float64, string, int, bool) faultRates {
 	return func(at float64, _ string, _ int, _ bool) faultRates {
 		if at < from {
@@ -38,7 +38,7 @@
 	}
 }
 
-// addedOnRoute is what a version adds on one route.
+// addedOnRoute returns what a version adds on one route.
 func addedOnRoute(name string, failed, slow float64) func(float64, string, int, bool) faultRates {
 	return func(_ float64, route string, _ int, _ bool) faultRates {
 		if route != name {
@@ -48,12 +48,12 @@
 	}
 }
 
-// simTotals are the ends of many trials.
+// simTotals summarizes the results of many simulations.
 type simTotals struct {
 	bad, good, completed int
 	maxBadAnswers        int
 	meanBadAnswers       float64
-	// overShare counts trials in which the canary took more than the share.
+	// overShare counts the simulations in which the canary took more than the share.
 	overShare int
 }
 
@@ -80,9 +80,10 @@
 	return sums
 }
 
-// Whole roll-outs of 12 s with a tenth of the requests, at the rates of four services: how
-// often a good version is lost, a bad one completed, and what a bad one costs. The bounds
-// are in hundredths of the trials, for the worst of the four, and leave room for luck.
+// TestSimulatedRollouts simulates whole roll-outs of 12 s with a tenth of the requests, at the
+// rates of four services. It checks how often a good version is lost, how often a bad one is
+// completed, and what a bad one costs. The bounds are in hundredths of the simulations, for the
+// worst of the four services, and leave room for chance.
 func TestSimulatedRollouts(t *testing.T) {
 	const count = 100
 	services := map[string]simulation{
@@ -95,8 +96,8 @@
 	none := addedEverywhere(0, 0, 0)
 	profiles := map[string]struct {
 		answerProfile
-		// mostBad, leastBad, leastCompleted, mostCompleted are the bounds; mostAnswers is
-		// that of the bad answers in any one trial, base included.
+		// maxBad, minBad, minCompleted and maxCompleted are the bounds. maxBadAnswers is that of
+		// the bad answers in any one simulation, including those of the base.
 		maxBad, minBad             int
 		minCompleted, maxCompleted int
 		maxBadAnswers              int
@@ -134,8 +135,8 @@
 	}
 }
 
-// Where a third of the reports is lost and each has a few tallies only, the ends are the
-// same, if later.
+// TestSimulatedRolloutsWithLostReports checks that the results are the same, if later, when a
+// third of the reports are lost and each has only a few tallies.
 func TestSimulatedRolloutsWithLostReports(t *testing.T) {
 	usualBase := steadyBase(0.004, 0.01)
 	lossy := shortOrder(largeModels(), 5)
@@ -162,8 +163,8 @@
 	}
 }
 
-// Half a minute with thirty routes, none of which has much traffic, also with a spell of
-// trouble on both sides every ten seconds.
+// TestSimulatedRolloutsWithManyRoutes simulates half a minute with thirty routes with little
+// traffic each, also with a burst of trouble in all versions every ten seconds.
 func TestSimulatedRolloutsWithManyRoutes(t *testing.T) {
 	var routes []simRoute
 	for i := range 30 {
@@ -198,7 +199,8 @@
 	}
 }
 
-// A broken target of several is no fault of the version.
+// TestSimulatedRolloutsWithBrokenTarget checks that a broken target among several isn't held
+// against the version.
 func TestSimulatedRolloutsWithBrokenTarget(t *testing.T) {
 	broken := answerProfile{
 		base: steadyBase(0.004, 0.01),
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -5,55 +5,57 @@
 	"math/rand/v2"
 )
 
-// simRoute is a kind of requests with its rate in requests a second, and how long after
-// its sending an answer that is whole, or one that failed, is over.
+// simRoute is a kind of requests with its rate in requests per second, and the times after which
+// a successful and a failed answer is complete, in seconds.
 type simRoute struct {
 	name                    string
 	rate                    float64
 	answerTime, failureTime float64
 }
 
-// trouble are the shares of answers that fail or are slow.
+// faultRates are the fractions of answers that fail or are slow.
 type faultRates struct {
 	failed, slow float64
 }
 
-// trial is one roll-out of a service, played in memory. Times are seconds since the order.
+// simulation is one roll-out of a service, simulated in memory. Times are in seconds since the
+// order.
 type simulation struct {
 	routes   []simRoute
 	gateways int
-	// targets are those of the version that take the share.
+	// targets is the number of targets of the version on trial.
 	targets int
 	share   float64
-	// moveAt is when all requests go to the version if it is good or clean, and until
-	// is when the order ends.
+	// moveAt is when all requests go to the version if it is good or clean, and until is when the
+	// order ends.
 	moveAt, until float64
-	// lost is the chance that a report is lost, and most how many tallies one has.
+	// reportLoss is the probability that a report is lost, and maxTallies the number of tallies
+	// in a report.
 	reportLoss float64
 	maxTallies int
-	// base is what strikes both sides, and added what the version adds to it.
+	// base returns the trouble of all versions, and added what the new version adds to it.
 	base  func(at float64, route string) faultRates
 	added func(at float64, route string, target int, moving bool) faultRates
 }
 
-// simResult is how a trial ended.
+// simResult is the result of a simulation.
 type simResult struct {
 	verdict Verdict
 	reason  string
 	// at is when the version was found bad; until if it wasn't.
 	at float64
-	// goodAt is when the version was good for the first time; zero for never.
+	// goodAt is when the version was first found good; zero for never.
 	goodAt float64
-	// moved says that the move began.
+	// moved is set if the move began.
 	moved bool
-	// badAnswers are the troubled answers of the version before the halt, of all forms;
-	// exposed are its requests and requests those of the service.
+	// badAnswers are all troubled answers of the version before the halt. exposed are the
+	// requests to the version, and requests those to the service.
 	badAnswers, exposed, requests int
 	judge                         *Judge
 }
 
 const (
-	// simTick is a step of the played time, and each gateway reports once in
+	// simTick is the step of simulated time in seconds. Each gateway reports once in
 	// ticksPerReport of them.
 	simTick        = 0.025
 	ticksPerReport = 10
@@ -67,17 +69,17 @@
 	failed, slow  bool
 }
 
-// simRun is a trial under way.
+// simRun is a running simulation.
 type simRun struct {
 	simulation
 	random  *rand.Rand
 	judge   *Judge
 	shares  []*Share
 	tallies []*Tallies
-	// names are those of the version's targets.
+	// targetNames are the names of the version's targets.
 	targetNames []string
-	// due are the answers by the tick at which they are over, and inFlight how many
-	// of the version's there are.
+	// due holds the answers by the tick at which they are complete, and inFlight counts those of
+	// the version.
 	due          [][]simAnswer
 	inFlight     int
 	undersampled map[uint32]bool
@@ -135,7 +137,7 @@
 	gateway := r.random.IntN(r.gateways)
 	share := r.shares[gateway]
 	name := NameHash(route.name)
-	// No wanted routes are known before the first grants.
+	// Before the first grants no undersampled routes are known.
 	onTrial := r.moving && !r.halted
 	if !onTrial && !r.halted {
 		onTrial = share.Reserve(name, r.undersampled[name] || now < ticksPerReport*simTick)
@@ -185,7 +187,7 @@
 	}
 }
 
-// report lets the gateways report in turn.
+// report makes the gateways report in turn.
 func (r *simRun) report(now float64, step int) {
 	for gateway := step % ticksPerReport; gateway < r.gateways; gateway += ticksPerReport {
 		tallies := r.tallies[gateway].List(r.maxTallies)
@@ -212,8 +214,8 @@
 	}
 }
 
-// The services of two sites whose rates the roll-outs were asked for; streams take a
-// while, requests to plain services don't.
+// The routes of services at two sites whose rates the requirements state. Streams take a while;
+// requests to plain services don't.
 func largeModels() []simRoute {
 	return []simRoute{{"a", 47.7, 0.9, 0.9}, {"b", 136, 0.7, 0.7}, {"c", 69.1, 0.1, 0.1}}
 }
@@ -230,7 +232,7 @@
 	return []simRoute{{"a", 55.4, 0.03, 0.03}, {"b", 22.2, 0.03, 0.03}}
 }
 
-// short is an order of 12 s, of which the last 0.7 s may be the move.
+// shortOrder returns an order of 12 s, whose last 0.7 s may be the move.
 func shortOrder(routes []simRoute, targets int) simulation {
 	return simulation{
 		routes: routes, gateways: 28, targets: targets, share: 0.1, moveAt: 11.3, until: 12, maxTallies: 64,
--- a/internal/rollout/sprt_test.go
+++ b/internal/rollout/sprt_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// weighed plays answers with a share of trouble, one by one over some targets, until the
-// test says bad or, unless it is to go on watching, has passed.
+// runTest adds answers with a share of troubled ones to a test, one by one over some targets,
+// until the version is bad or, unless watch is set, the test has passed.
 func runTest(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test sequentialTest, at int) {
 	weights := newLogOdds(base)
 	for at = 1; at <= answers; at++ {
@@ -47,20 +47,21 @@
 	return test, at
 }
 
-// The chances of a false end of one test are no larger than its constants say, and the
-// sample that it takes is that of the design: what a tenth of a short order holds.
+// TestErrorProbabilities checks that one test gives wrong results no more often than its
+// constants say, and needs no larger sample than designed for, which is what a tenth of the
+// requests of a short order provides.
 func TestErrorProbabilities(t *testing.T) {
 	const trials = 20_000
 	tests := map[string]struct {
 		base    float64
 		targets int
-		// sample is the most answers that a good version may take on average.
+		// sample is the largest mean number of answers that a good version may need.
 		sample float64
 	}{
-		"no failures to speak of, one target":   {0.02, 1, 28},
-		"no failures to speak of, many targets": {0.02, 5, 28},
-		"failures on both sides, one target":    {0.14, 1, 60},
-		"failures on both sides, many targets":  {0.14, 5, 60},
+		"hardly any failures, one target":      {0.02, 1, 28},
+		"hardly any failures, many targets":    {0.02, 5, 28},
+		"failures on both sides, one target":   {0.14, 1, 60},
+		"failures on both sides, many targets": {0.14, 5, 60},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -92,8 +93,9 @@
 	}
 }
 
-// What turns bad after the test has passed is found about as soon as at once: good answers
-// don't pile up. And watching long doesn't make a good version bad.
+// TestBadAfterPassing checks that a version that turns bad after the test has passed is found
+// about as soon as one that is bad from the start, since good answers don't accumulate. Watching
+// for long doesn't make a good version bad.
 func TestBadAfterPassing(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(18, 4))
@@ -121,8 +123,8 @@
 	is.True(answers <= 14*trials)
 }
 
-// However badly fewer targets than are needed answer, they make no version bad, and they
-// don't keep it from passing by what the others show.
+// TestTooFewBadTargets checks that fewer bad targets than needed, however bad, neither make a
+// version bad nor keep it from passing by the answers of the others.
 func TestTooFewBadTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.IntRange(2, 16).Draw(t, "targets")
@@ -132,7 +134,7 @@
 		}
 		weights := newLogOdds(minBaseFailures)
 		var test sequentialTest
-		// Each target has answered well before the first ones fail.
+		// Each target answers well before the first ones fail.
 		for target := range targets {
 			test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 		}
@@ -166,7 +168,8 @@
 	})
 }
 
-// As many as are needed do make it bad, and a version with a single target needs no other.
+// TestEnoughBadTargets checks that the needed number of bad targets makes a version bad, which is
+// one for a version with a single target.
 func TestEnoughBadTargets(t *testing.T) {
 	for targets, needed := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 16: 3} {
 		is := is.New(t)
@@ -181,7 +184,7 @@
 			test.add(uint32(target+1), 30, weights.weight(30, 30))
 			test.update()
 		}
-		// The good answers of the others weigh something too.
+		// The good answers of the other targets have some weight, too.
 		is.True(test.weight >= badWeight || targets > needed)
 		for target := range targets {
 			test.add(uint32(target+1), 5, weights.weight(5, 2))
@@ -191,7 +194,8 @@
 	}
 }
 
-// Two broken ones of four, and a neighbour that fails once, are luck.
+// TestBrokenTargetsAndAFailure checks that two broken targets of four, and one failure at a
+// third, are put down to chance.
 func TestBrokenTargetsAndAFailure(t *testing.T) {
 	is := is.New(t)
 	weights := newLogOdds(minBaseFailures)
@@ -206,7 +210,8 @@
 	is.True(!test.bad())
 }
 
-// One target that answers before its neighbours do isn't taken for the only one.
+// TestFirstAnswersOfOneTarget checks that a target that answers before the others do isn't taken
+// for the only one.
 func TestFirstAnswersOfOneTarget(t *testing.T) {
 	is := is.New(t)
 	weights := newLogOdds(minBaseFailures)
--- a/internal/rollout/tallies_test.go
+++ b/internal/rollout/tallies_test.go
@@ -16,7 +16,7 @@
 	chat, order := NameHash("chat"), NameHash("order")
 	one, two := NameHash("one"), NameHash("two")
 	tests := map[string]struct {
-		// told is what is listed before news is added.
+		// listed is added before the first list, and added after it.
 		listed, added []answer
 		limit         int
 		want          []Tally
@@ -32,18 +32,18 @@
 			limit: 9,
 			want:  []Tally{{chat, one, 1, 1, 0}},
 		},
-		"the most news first, sums over the life": {
+		"the most new answers first, as totals": {
 			listed: []answer{{"chat", "one", false, false}, {"chat", "one", true, false}, {"order", "two", false, false}},
 			added:  []answer{{"order", "two", false, false}},
 			limit:  9,
 			want:   []Tally{{order, two, 2, 0, 0}, {chat, one, 2, 1, 0}},
 		},
-		"bounded": {
+		"limited": {
 			added: []answer{{"chat", "one", false, false}, {"order", "two", false, false}, {"order", "two", false, false}},
 			limit: 1,
 			want:  []Tally{{order, two, 2, 0, 0}},
 		},
-		"a bound below zero is zero": {
+		"a negative limit is zero": {
 			added: []answer{{"chat", "one", false, false}},
 			limit: -1,
 			want:  []Tally{},
@@ -65,7 +65,8 @@
 	}
 }
 
-// Sums that have no news come in turn, as another gateway may need them.
+// TestTalliesRotate checks that totals without new answers are listed in turn, as another gateway
+// may need them.
 func TestTalliesRotate(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
@@ -82,7 +83,8 @@
 	is.Equal(len(seen), 10)
 }
 
-// Beyond a number of routes the others are counted together, and none is lost.
+// TestTalliesAreBounded checks that routes beyond the limit are counted together, and that no
+// answer is lost.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
@@ -96,7 +98,8 @@
 	is.Equal(listed[0], Tally{Route: otherRoutes, Answers: 100})
 }
 
-// The sums are those of a plain count, whatever was listed in between.
+// TestTalliesAreTotals checks that the totals match a plain count, whatever was listed in
+// between.
 func TestTalliesAreTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tallies := NewTallies()
