--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -123,7 +123,7 @@
 	dead, frozen   bool
 	cutOff         bool // from the other gateways
 	cutStore       bool
-	heard          map[string]time.Time
+	heartbeats     map[string]time.Time
 	requestsDue    float64
 	replicaAt      time.Time
 	pendingChanges []func(n *node) // of the replica
@@ -143,7 +143,7 @@
 	w.start = w.now
 	w.store.w = w
 	for i := range gateways {
-		n := &node{w: w, id: fmt.Sprintf("g%03d", i), heard: make(map[string]time.Time)}
+		n := &node{w: w, id: fmt.Sprintf("g%03d", i), heartbeats: make(map[string]time.Time)}
 		n.start()
 		w.nodes = append(w.nodes, n)
 	}
@@ -183,7 +183,7 @@
 
 func (n *node) LiveIDs() []string {
 	var live []string
-	for id, at := range n.heard {
+	for id, at := range n.heartbeats {
 		if n.w.now.Sub(at) < heartbeatTimeout {
 			live = append(live, id)
 		}
@@ -290,7 +290,7 @@
 func (n *node) sendHeartbeats() {
 	for _, other := range n.w.nodes {
 		if other != n && !other.dead && !other.frozen && reaches(n, other) {
-			other.heard[n.id] = n.w.now
+			other.heartbeats[n.id] = n.w.now
 		}
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -295,7 +295,7 @@
 
 // inMinority reports whether this process is in contact with less than half of the gateways that
 // there were. It is probably the one that is partitioned off then, so it begins no move,
-// completes nothing, and passes no verdict for lack of evidence. If it can't reach the store
+// completes nothing, and halts no version for lack of evidence. If it can't reach the store
 // either, no other gateway could tell it of a halt, so it grants itself nothing. c.mu is held.
 func (c *Controller) inMinority(livePeers int, now time.Time) bool {
 	if livePeers >= c.maxPeers || now.Sub(c.maxPeersAt) > maxPeersTTL {
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -86,12 +86,12 @@
 		d.failures = 0
 		d.retryAt, d.moveRetryAt = now.Add(outdatedRetryDelay), now.Add(outdatedRetryDelay)
 	} else {
-		pause := commitRetryDelay
+		delay := commitRetryDelay
 		for range d.failures {
-			pause = min(2*pause, maxCommitRetryDelay)
+			delay = min(2*delay, maxCommitRetryDelay)
 		}
 		d.failures = min(d.failures+1, maxCountedFailures)
-		d.retryAt, d.moveRetryAt = now.Add(pause), now.Add(commitRetryDelay)
+		d.retryAt, d.moveRetryAt = now.Add(delay), now.Add(commitRetryDelay)
 	}
 	message := string(state) + " " + err.Error()
 	changed := message != d.lastReported
@@ -107,11 +107,11 @@
 	}
 	recordChanged := errors.Is(d.lastErr, ErrOutdated) && d.lastOver != revision
 	supersedes := d.lastCompleted && d.unresolved != nil && decision.commit.Record.State != Completed
-	again := d.retryAt
+	retryAt := d.retryAt
 	if d.decider != nil && d.decider.stage == Move {
-		again = d.moveRetryAt
+		retryAt = d.moveRetryAt
 	}
-	if now.Before(again) && !recordChanged && !supersedes {
+	if now.Before(retryAt) && !recordChanged && !supersedes {
 		return pendingCommit{}, false
 	}
 	d.commitInFlight = true
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -273,8 +273,8 @@
 func (d *decider) advance(s stepInput, now time.Time) string {
 	switch d.stage {
 	case Hold:
-		heardAll := d.allReported(s, now) || d.waitedForReports(now)
-		if s.versions[d.order.Version] == 0 || !heardAll {
+		reported := d.allReported(s, now) || d.waitedForReports(now)
+		if s.versions[d.order.Version] == 0 || !reported {
 			return ""
 		}
 		d.stage = Canary
@@ -345,14 +345,14 @@
 		return false
 	}
 	others := 0
-	for id, h := range d.gateways {
+	for id, g := range d.gateways {
 		if id == selfID || slices.Contains(s.livePeers, id) {
-			others += h.report.Others
+			others += g.report.Others
 		}
 	}
 	for _, id := range append([]string{selfID}, s.livePeers...) {
-		h := d.gateways[id]
-		if h == nil || !h.obeysMove(d.order.Revision) || h.at.Before(d.moveBegan) || d.isLate(h, now) {
+		g := d.gateways[id]
+		if g == nil || !g.obeysMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
 			return false
 		}
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -92,11 +92,11 @@
 
 // Assign returns the versions that a request may go to. Each call is followed by one call of
 // RecordSend, or of Release if no target was found.
-func (g *Gate) Assign(ask AssignRequest, now time.Time) Assignment {
+func (g *Gate) Assign(request AssignRequest, now time.Time) Assignment {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	assignment := Assignment{service: ask.Service, isRetry: ask.Retry}
-	s := g.services[ask.Service]
+	assignment := Assignment{service: request.Service, isRetry: request.Retry}
+	s := g.services[request.Service]
 	if s == nil {
 		return assignment
 	}
@@ -104,7 +104,7 @@
 	if s.trial == nil {
 		return assignment
 	}
-	if s.trial.recentlyMoved(now) || s.trial.replacesOthers(ask, s.baseVersions) {
+	if s.trial.recentlyMoved(now) || s.trial.replacesOthers(request, s.baseVersions) {
 		assignment.Fallback = &balance.Versions{Only: s.trial.order.Version}
 	}
 	switch s.trial.stageAt(now) {
@@ -112,7 +112,7 @@
 		assignment.Fallback = nil
 		assignment.Versions = balance.Versions{Only: s.trial.order.Version}
 	case Canary:
-		if ask.Retry || !s.trial.reserve(NameHash(ask.Route)) {
+		if request.Retry || !s.trial.reserve(NameHash(request.Route)) {
 			break
 		}
 		base := s.baseVersions
--- a/internal/rollout/gateway_reports.go
+++ b/internal/rollout/gateway_reports.go
@@ -23,8 +23,8 @@
 
 // obeysMove reports whether the gateway's last report says that it sends all requests to the
 // order's version.
-func (h *gatewayReports) obeysMove(order int64) bool {
-	return h.report.Order == order && h.report.Stage == Move
+func (g *gatewayReports) obeysMove(order int64) bool {
+	return g.report.Order == order && g.report.Stage == Move
 }
 
 type rateSample struct {
@@ -38,55 +38,55 @@
 	if report.Order != d.order.Revision {
 		return
 	}
-	h := d.gateways[from]
-	if h == nil {
-		h = new(gatewayReports)
-		d.gateways[from] = h
+	g := d.gateways[from]
+	if g == nil {
+		g = new(gatewayReports)
+		d.gateways[from] = g
 	}
-	if h.restarted(report) {
-		h.incarnations++
-		h.requests += h.report.Requests
-		h.exposed += h.report.Exposed
-		h.samples = nil
+	if g.restarted(report) {
+		g.incarnations++
+		g.requests += g.report.Requests
+		g.exposed += g.report.Exposed
+		g.samples = nil
 	}
-	h.report, h.at = report, now
-	h.addSample(rateSample{at: now, requests: report.Requests})
+	g.report, g.at = report, now
+	g.addSample(rateSample{at: now, requests: report.Requests})
 	if since := now.Add(-report.Age); since.Before(d.knownSince) {
 		d.knownSince = since
 	}
-	d.judge.AddReport(from+"#"+strconv.Itoa(h.incarnations), report.Tallies)
+	d.judge.AddReport(from+"#"+strconv.Itoa(g.incarnations), report.Tallies)
 }
 
 // restarted reports whether a report's totals come from another incarnation of the gateway.
-func (h *gatewayReports) restarted(report Report) bool {
-	return report.Incarnation != h.report.Incarnation || report.Requests < h.report.Requests
+func (g *gatewayReports) restarted(report Report) bool {
+	return report.Incarnation != g.report.Incarnation || report.Requests < g.report.Requests
 }
 
 // addSample keeps a sample for measuring the rate.
-func (h *gatewayReports) addSample(sample rateSample) {
-	if last := len(h.samples) - 1; last >= 0 && sample.at.Sub(h.samples[last].at) < minSampleInterval {
+func (g *gatewayReports) addSample(sample rateSample) {
+	if last := len(g.samples) - 1; last >= 0 && sample.at.Sub(g.samples[last].at) < minSampleInterval {
 		return
 	}
-	h.samples = append(h.samples, sample)
-	for len(h.samples) > 2 && sample.at.Sub(h.samples[1].at) >= rateWindow {
-		h.samples = h.samples[1:]
+	g.samples = append(g.samples, sample)
+	for len(g.samples) > 2 && sample.at.Sub(g.samples[1].at) >= rateWindow {
+		g.samples = g.samples[1:]
 	}
 }
 
 // rate returns the gateway's requests per second; false if that is not known yet.
-func (h *gatewayReports) rate() (float64, bool) {
-	if len(h.samples) < 2 {
+func (g *gatewayReports) rate() (float64, bool) {
+	if len(g.samples) < 2 {
 		return 0, false
 	}
-	first, last := h.samples[0], h.samples[len(h.samples)-1]
+	first, last := g.samples[0], g.samples[len(g.samples)-1]
 	return float64(last.requests-first.requests) / last.at.Sub(first.at).Seconds(), true
 }
 
 // totals returns the requests of all gateways since the order.
 func (d *decider) totals() (requests, exposed int) {
-	for _, h := range d.gateways {
-		requests += h.requests + h.report.Requests
-		exposed += h.exposed + h.report.Exposed
+	for _, g := range d.gateways {
+		requests += g.requests + g.report.Requests
+		exposed += g.exposed + g.report.Exposed
 	}
 	return requests, exposed
 }
@@ -103,7 +103,7 @@
 	}
 	reported := 1
 	for _, id := range s.livePeers {
-		if h := d.gateways[id]; h != nil && !d.isLate(h, now) {
+		if g := d.gateways[id]; g != nil && !d.isLate(g, now) {
 			reported++
 		}
 	}
@@ -118,8 +118,8 @@
 // allReported reports whether each live gateway has reported recently.
 func (d *decider) allReported(s stepInput, now time.Time) bool {
 	for _, id := range s.livePeers {
-		h := d.gateways[id]
-		if h == nil || d.isLate(h, now) {
+		g := d.gateways[id]
+		if g == nil || d.isLate(g, now) {
 			return false
 		}
 	}
@@ -158,9 +158,9 @@
 // is when its next report is due.
 func (d *decider) meanEntryDelay(now time.Time) time.Duration {
 	total := time.Duration(0)
-	for id, h := range d.gateways {
-		if id != selfID && !d.isLate(h, now) {
-			total += min(max(h.at.Add(d.moveReportInterval()).Sub(now), 0), d.moveReportInterval())
+	for id, g := range d.gateways {
+		if id != selfID && !d.isLate(g, now) {
+			total += min(max(g.at.Add(d.moveReportInterval()).Sub(now), 0), d.moveReportInterval())
 		}
 	}
 	return total / time.Duration(max(len(d.gateways), 1))
@@ -182,11 +182,11 @@
 // rate returns the service's requests per second; false if that is not known yet.
 func (d *decider) rate(now time.Time) (float64, bool) {
 	total := 0.0
-	for _, h := range d.gateways {
-		if d.isLate(h, now) {
+	for _, g := range d.gateways {
+		if d.isLate(g, now) {
 			continue
 		}
-		rate, known := h.rate()
+		rate, known := g.rate()
 		if !known {
 			return 0, false
 		}
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -21,7 +21,7 @@
 	// maxDeferExcess is by how many answers the deferred ones may exceed those of the others
 	// since. The excess is only larger during the move, when the others get no requests.
 	maxDeferExcess = 6
-	// cleanWeight is the least weight in favor of a version that the tests of all routes together
+	// cleanWeight is the least weight in favour of a version that the tests of all routes together
 	// must reach to call it clean, which is that of some three good answers. Without any answers
 	// nothing is known.
 	cleanWeight = -1.0
@@ -229,21 +229,21 @@
 
 // ready reports whether the oldest deferred tally can be evaluated: the others have answered
 // since, all gateways have had time to report that, or the others answer no more.
-func (r *judgedRoute) ready(oldestRound int) bool {
+func (r *judgedRoute) ready(dueReport int) bool {
 	if r.head == len(r.deferred) {
 		return false
 	}
 	oldest := r.deferred[r.head]
 	others := r.others.Answers - oldest.othersAnswers
-	return others >= maxDeferOthers || oldestRound >= oldest.report || r.deferredAnswers > others+maxDeferExcess
+	return others >= maxDeferOthers || dueReport >= oldest.report || r.deferredAnswers > others+maxDeferExcess
 }
 
 // pop removes the oldest deferred tally; compact must follow.
 func (r *judgedRoute) pop() Tally {
-	news := r.deferred[r.head].tally
-	r.deferredAnswers -= news.Answers
+	tally := r.deferred[r.head].tally
+	r.deferredAnswers -= tally.Answers
 	r.head++
-	return news
+	return tally
 }
 
 func (r *judgedRoute) compact() {
@@ -253,14 +253,14 @@
 
 // evaluate weighs the deferred answers of a route that are ready; false if none are.
 func (j *Judge) evaluate(route *judgedRoute) bool {
-	oldestRound := j.reports - maxDeferRounds*len(j.known)
-	if !route.ready(oldestRound) {
+	dueReport := j.reports - maxDeferRounds*len(j.known)
+	if !route.ready(dueReport) {
 		return false
 	}
 	failureOdds := newLogOdds(route.failureBaseline.tolerated(&j.failureBaseline, minBaseFailures))
 	slowOdds := newLogOdds(route.slowBaseline.tolerated(&j.slowBaseline, minBaseSlow))
 	rare := j.isRare(route)
-	for route.ready(oldestRound) {
+	for route.ready(dueReport) {
 		tally := route.pop()
 		counts := Counts{tally.Answers, tally.Failed, tally.Slow}
 		route.add(tally.Target, counts, failureOdds, slowOdds)
@@ -330,7 +330,7 @@
 	return wanted
 }
 
-// Clean reports whether nothing speaks against the version so far, and something in favor of it,
+// Clean reports whether nothing speaks against the version so far, and something in favour of it,
 // even if the samples are small. It is the criterion when time is running out.
 func (j *Judge) Clean() bool {
 	if j.bad != "" || j.rareRoutes.suspect() {
--- a/internal/rollout/sprt.go
+++ b/internal/rollout/sprt.go
@@ -103,87 +103,87 @@
 }
 
 // add takes in answers of one target; update must follow before the result is read.
-func (e *sequentialTest) add(target uint32, answers int, weight float64) {
-	at, ok := e.index[target]
+func (t *sequentialTest) add(target uint32, answers int, weight float64) {
+	at, ok := t.index[target]
 	if !ok {
-		if e.index == nil {
-			e.index = make(map[uint32]int)
+		if t.index == nil {
+			t.index = make(map[uint32]int)
 		}
-		at = len(e.targets)
-		e.index[target] = at
-		e.targets = append(e.targets, targetWeight{})
+		at = len(t.targets)
+		t.index[target] = at
+		t.targets = append(t.targets, targetWeight{})
 	}
-	known := &e.targets[at]
-	e.answers += answers
+	known := &t.targets[at]
+	t.answers += answers
 	previous := known.answers
 	known.answers += answers
 	known.weight += weight
 	if previous < minTargetAnswers && known.answers >= minTargetAnswers {
-		e.qualified++
+		t.qualified++
 	}
 }
 
 // update recomputes the weights and applies the limits.
-func (e *sequentialTest) update() {
-	e.sum()
-	if e.soundWeight <= goodWeight {
-		e.passed = true
+func (t *sequentialTest) update() {
+	t.sum()
+	if t.soundWeight <= goodWeight {
+		t.passed = true
 	}
-	if e.soundWeight > suspectWeight {
-		e.passed = false
+	if t.soundWeight > suspectWeight {
+		t.passed = false
 	}
-	least := goodWeight
-	if e.passed {
-		least = watchWeight
+	floor := goodWeight
+	if t.passed {
+		floor = watchWeight
 	}
-	if e.soundWeight < least {
-		e.raiseTo(least)
+	if t.soundWeight < floor {
+		t.raiseTo(floor)
 	}
 }
 
 // sum caps the weights of single targets and adds them up.
-func (e *sequentialTest) sum() {
-	limit, needed := e.targetLimit()
+func (t *sequentialTest) sum() {
+	limit, needed := t.targetLimit()
 	broken := 0
-	e.weight = 0
-	for i := range e.targets {
-		target := &e.targets[i]
+	t.weight = 0
+	for i := range t.targets {
+		target := &t.targets[i]
 		if target.weight >= badWeight {
 			target.weight = badWeight
 			broken++
 		}
-		e.weight += min(target.weight, limit)
+		t.weight += min(target.weight, limit)
 	}
-	e.soundWeight = e.weight
+	t.soundWeight = t.weight
 	if broken < needed {
-		e.soundWeight -= float64(broken) * limit
+		t.soundWeight -= float64(broken) * limit
 	}
 }
 
-// raiseTo scales down the evidence in favor, for all targets by the same factor, until the sound
+// raiseTo scales down the evidence in favour, for all targets by the same factor, until the sound
 // targets together weigh floor.
-func (e *sequentialTest) raiseTo(floor float64) {
+func (t *sequentialTest) raiseTo(floor float64) {
 	inFavour := 0.0
-	for _, target := range e.targets {
+	for _, target := range t.targets {
 		inFavour += min(target.weight, 0)
 	}
-	excess := floor - e.soundWeight
-	for i := range e.targets {
-		if e.targets[i].weight < 0 {
-			e.targets[i].weight *= 1 + excess/inFavour
+	excess := floor - t.soundWeight
+	for i := range t.targets {
+		if t.targets[i].weight < 0 {
+			t.targets[i].weight *= 1 + excess/inFavour
 		}
 	}
-	e.soundWeight += excess
-	e.weight += excess
+	t.soundWeight += excess
+	t.weight += excess
 }
 
 // targetLimit returns the largest weight that a single target may have against the version, and
 // how many targets are needed to make it bad.
-func (e *sequentialTest) targetLimit() (most float64, needed int) {
+func (t *sequentialTest) targetLimit() (limit float64, needed int) {
 	switch {
-	case len(e.targets) == 1:
+	case len(t.targets) == 1:
 		return badWeight, 1
-	case e.qualified >= manyTargets:
+	case t.qualified >= manyTargets:
 		return capFactor * badWeight / manyNeeded, manyNeeded
 	default:
 		return capFactor * badWeight / fewNeeded, fewNeeded
@@ -191,9 +191,9 @@
 }
 
 // bad reports whether the evidence is enough to call the version bad.
-func (e *sequentialTest) bad() bool {
-	if len(e.targets) == 1 && e.answers < minLoneAnswers {
+func (t *sequentialTest) bad() bool {
+	if len(t.targets) == 1 && t.answers < minLoneAnswers {
 		return false
 	}
-	return e.weight >= badWeight
+	return t.weight >= badWeight
 }
--- a/internal/rollout/trial.go
+++ b/internal/rollout/trial.go
@@ -204,8 +204,8 @@
 // left as planned, which operators make them do once the order is completed. The record of the
 // completion is still in transit then. If the version is rolled back, its own targets leave
 // instead.
-func (t *trial) replacesOthers(ask AssignRequest, others balance.Versions) bool {
-	return !t.halted && !t.current && ask.HaveLeft != nil && ask.HaveLeft(others)
+func (t *trial) replacesOthers(request AssignRequest, others balance.Versions) bool {
+	return !t.halted && !t.current && request.HaveLeft != nil && request.HaveLeft(others)
 }
 
 func laterTime(a, b time.Time) time.Time {
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,66 +1,65 @@
-// Package routing holds one version of the gateway's configuration and
-// answers, without I/O: which route a request takes, which workspace a key
-// belongs to, and how urgent the two make the request.
+// Package routing holds one version of the gateway's configuration. Without I/O, it determines
+// which route a request takes, which workspace a key belongs to, and how urgent the request is.
 package routing
 
 import "time"
 
-// Kind says how often a route's requests may run.
+// Kind determines how often a request of a route may be executed.
 type Kind string
 
-// The kinds of route.
+// The kinds of routes.
 const (
-	// Idempotent requests may run more than once.
+	// Idempotent requests may be executed more than once.
 	Idempotent Kind = "idempotent"
-	// Once requests run at most once an attempt of the caller.
+	// Once requests are executed at most once per attempt of the caller.
 	Once Kind = "once"
-	// Stream answers with events; it runs at most once unless it is resumable.
+	// Stream requests are answered with events. They are executed at most once unless they are
+	// resumable.
 	Stream Kind = "stream"
 )
 
-// Route maps requests of a host and path to a service.
+// Route maps requests for a host and path to a service.
 type Route struct {
 	Name string
-	// Host is compared without case and without a port.
+	// Host is compared without regard to case and port.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another target after an event.
+	// Resumable streams may continue at another target after an event.
 	Resumable bool
 	// Public routes need no key.
 	Public bool
-	// Timeout is the longest that a request may be held; zero for none.
+	// Timeout is the longest time that a request may be held; zero for no limit.
 	Timeout time.Duration
-	// TargetLatency is the time to an answer, or to a stream's first event,
-	// that callers want.
+	// TargetLatency is the desired time to an answer, or to the first event of a stream.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between events that callers want.
+	// TargetGap is the longest desired pause between events.
 	TargetGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many targets one request may be sent to; at least 1.
+	// MaxAttempts is the number of targets that a request may be sent to; at least 1.
 	MaxAttempts int
-	// Split shares the route's requests among services; never empty.
+	// Split divides the route's requests among services; never empty.
 	Split []Share
 }
 
-// Share is one service's part of a route.
+// Share is a service's part of a route.
 type Share struct {
 	Service string
-	// Weight is relative to the other shares' weights; not negative.
+	// Weight is relative to the weights of the other shares; not negative.
 	Weight int
 }
 
-// Repeatable says whether a request of the route may run at a second target
-// before any of its answer was passed on.
+// Repeatable reports whether a request of the route may be sent to a second target, as long as no
+// part of its answer was passed on.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// ServiceAt picks a service of the split for a point that is spread evenly
-// over all numbers: the same point gives the same service.
-func (r *Route) ServiceAt(point uint64) string {
+// ServiceAt returns the service of the split for a hash that is uniformly distributed over all
+// numbers. The same hash always gives the same service.
+func (r *Route) ServiceAt(hash uint64) string {
 	total := 0
 	for _, share := range r.Split {
 		total += share.Weight
@@ -68,10 +67,10 @@
 	if total <= 0 {
 		return r.Split[0].Service
 	}
-	at := int(point % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, share := range r.Split {
-		at -= share.Weight
-		if at < 0 {
+		offset -= share.Weight
+		if offset < 0 {
 			return share.Service
 		}
 	}
@@ -81,14 +80,14 @@
 // Service describes a service's targets.
 type Service struct {
 	Name string
-	// ConnectionLimit is how many connections one target takes from all
-	// callers; zero is unknown.
+	// ConnectionLimit is the number of connections that a target accepts from all callers; zero
+	// if unknown.
 	ConnectionLimit int
-	// ColdRate is how many requests a second a target bears while it is cold from
-	// its start; zero is no bound. ColdStart is how long that is.
+	// ColdRate is the number of requests per second that a target can handle while it is cold
+	// after its start; zero for no limit. ColdStart is the duration of that phase.
 	ColdRate  float64
 	ColdStart time.Duration
-	// Engine says that the targets are model engines with a prefix cache.
+	// Engine is set if the targets are model engines with a prefix cache.
 	Engine bool
 }
 
@@ -100,17 +99,17 @@
 	IdleTimeout   time.Duration
 }
 
-// Workspace is a customer with keys of its own.
+// Workspace is a customer with its own keys.
 type Workspace struct {
 	Name string
-	// Priority ranks workspaces before routes do; 0 is the most urgent.
+	// Priority ranks workspaces, ahead of the priority of routes; 0 is the most urgent.
 	Priority int
 	Keys     []string
 }
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version only rises.
+	// Version increases with each change.
 	Version    int64
 	Routes     []Route
 	Services   []Service
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-func table(routes []routing.Route, workspaces ...routing.Workspace) *routing.Table {
+func newTable(routes []routing.Route, workspaces ...routing.Workspace) *routing.Table {
 	return routing.NewTable(&routing.Config{Version: 1, Routes: routes, Workspaces: workspaces})
 }
 
@@ -34,7 +34,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			route, ok := table(routes).Match(tc.host, tc.path)
+			route, ok := newTable(routes).Match(tc.host, tc.path)
 			is.Equal(ok, tc.want != "")
 			if ok {
 				is.Equal(route.Name, tc.want)
@@ -43,24 +43,24 @@
 	}
 }
 
-func TestRankPutsTheWorkspaceBeforeTheRoute(t *testing.T) {
+func TestRankOrder(t *testing.T) {
 	is := is.New(t)
 	routes := []routing.Route{{Name: "first", Priority: 0}, {Name: "second", Priority: 2}}
 	urgent := routing.Workspace{Name: "urgent", Priority: 0}
 	patient := routing.Workspace{Name: "patient", Priority: 3}
-	made := table(routes, urgent, patient)
+	table := newTable(routes, urgent, patient)
 	order := []int{
-		made.Rank(&urgent, &routes[0]),
-		made.Rank(&urgent, &routes[1]),
-		made.Rank(&patient, &routes[0]),
-		made.Rank(&patient, &routes[1]),
+		table.Rank(&urgent, &routes[0]),
+		table.Rank(&urgent, &routes[1]),
+		table.Rank(&patient, &routes[0]),
+		table.Rank(&patient, &routes[1]),
 	}
 	for i := 1; i < len(order); i++ {
-		is.True(order[i] > order[i-1]) // each is less urgent than the one before
+		is.True(order[i] > order[i-1]) // each is less urgent than the previous one
 	}
 }
 
-func TestRankStaysInItsRange(t *testing.T) {
+func TestRankRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var routes []routing.Route
 		for _, priority := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 30).Draw(t, "routes") {
@@ -70,10 +70,10 @@
 		for _, priority := range rapid.SliceOfN(rapid.IntRange(0, 20), 1, 30).Draw(t, "workspaces") {
 			workspaces = append(workspaces, routing.Workspace{Priority: priority})
 		}
-		made := table(routes, workspaces...)
+		table := newTable(routes, workspaces...)
 		for i := range workspaces {
 			for j := range routes {
-				rank := made.Rank(&workspaces[i], &routes[j])
+				rank := table.Rank(&workspaces[i], &routes[j])
 				if rank < 0 || rank > 9 {
 					t.Fatalf("rank %d of %d and %d", rank, workspaces[i].Priority, routes[j].Priority)
 				}
@@ -82,12 +82,12 @@
 	})
 }
 
-func TestServiceAtSharesByWeight(t *testing.T) {
+func TestServiceAtWeights(t *testing.T) {
 	is := is.New(t)
 	route := routing.Route{Split: []routing.Share{{Service: "a", Weight: 9000}, {Service: "b", Weight: 1000}, {Service: "c"}}}
 	counts := make(map[string]int)
-	for point := range uint64(20000) {
-		counts[route.ServiceAt(point)]++
+	for hash := range uint64(20000) {
+		counts[route.ServiceAt(hash)]++
 	}
 	is.Equal(counts, map[string]int{"a": 18000, "b": 2000})
 	none := routing.Route{Split: []routing.Share{{Service: "a"}}}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -6,26 +6,26 @@
 	"strings"
 )
 
-// mostUrgent to leastUrgent is the range of a request's rank.
+// Ranks of requests are between minRank, the most urgent, and maxRank.
 const (
-	mostUrgent  = 0
-	leastUrgent = 9
+	minRank = 0
+	maxRank = 9
 )
 
-// urgency orders requests: the workspace's priority goes before the route's.
-type urgency struct {
-	workspace int
-	route     int
+// rankKey orders requests by the workspace's priority, then by the route's.
+type rankKey struct {
+	workspacePriority int
+	routePriority     int
 }
 
-// Table answers questions about one Config. It does not change.
+// Table answers queries about one Config. It is immutable.
 type Table struct {
 	config   *Config
 	byHost   map[string][]*Route
 	byKey    map[string]*Workspace
 	services map[string]*Service
-	// ranks are the urgencies in use, the most urgent first.
-	ranks []urgency
+	// ranks are the keys in use, the most urgent first.
+	ranks []rankKey
 }
 
 // NewTable indexes a configuration, which must not change afterwards.
@@ -55,41 +55,42 @@
 	for i := range config.Services {
 		table.services[config.Services[i].Name] = &config.Services[i]
 	}
-	table.ranks = rank(config)
+	table.ranks = rankKeys(config)
 	return table
 }
 
-// rank lists the urgencies that the configuration can bring about.
-func rank(config *Config) []urgency {
+// rankKeys returns the sorted keys of all combinations of workspaces and routes in the
+// configuration.
+func rankKeys(config *Config) []rankKey {
 	workspaces := []int{0}
 	for _, workspace := range config.Workspaces {
 		workspaces = append(workspaces, workspace.Priority)
 	}
-	var ranks []urgency
-	for _, priority := range distinct(workspaces) {
+	var ranks []rankKey
+	for _, priority := range sortedUnique(workspaces) {
 		for _, route := range config.Routes {
-			ranks = append(ranks, urgency{priority, route.Priority})
+			ranks = append(ranks, rankKey{priority, route.Priority})
 		}
 	}
-	slices.SortFunc(ranks, compareUrgency)
+	slices.SortFunc(ranks, compareRankKeys)
 	return slices.Compact(ranks)
 }
 
-func distinct(numbers []int) []int {
+func sortedUnique(numbers []int) []int {
 	slices.Sort(numbers)
 	return slices.Compact(numbers)
 }
 
-func compareUrgency(a, b urgency) int {
-	return cmp.Or(cmp.Compare(a.workspace, b.workspace), cmp.Compare(a.route, b.route))
+func compareRankKeys(a, b rankKey) int {
+	return cmp.Or(cmp.Compare(a.workspacePriority, b.workspacePriority), cmp.Compare(a.routePriority, b.routePriority))
 }
 
-// Version is the configuration's version.
+// Version returns the configuration's version.
 func (t *Table) Version() int64 {
 	return t.config.Version
 }
 
-// Limits are the bounds on what callers may send.
+// Limits returns the bounds on what callers may send.
 func (t *Table) Limits() Limits {
 	return t.config.Limits
 }
@@ -100,11 +101,11 @@
 	return service, ok
 }
 
-// Match finds the route of a host, with or without a port, and a path: the
-// longest prefix that begins the path.
+// Match finds the route of a host, with or without a port, and a path, by the longest matching
+// prefix.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
+		host = host[:colon]
 	}
 	for _, route := range t.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -120,16 +121,16 @@
 	return workspace, ok
 }
 
-// Rank is how urgent a request is, 0 first and at most 9: the workspace's
-// priority goes before the route's. The workspace is nil on public routes.
+// Rank returns the urgency of a request, from 0, the most urgent, to 9. The workspace's priority
+// comes before the route's. The workspace is nil on public routes.
 func (t *Table) Rank(workspace *Workspace, route *Route) int {
-	want := urgency{route: route.Priority}
+	key := rankKey{routePriority: route.Priority}
 	if workspace != nil {
-		want.workspace = workspace.Priority
+		key.workspacePriority = workspace.Priority
 	}
-	at, _ := slices.BinarySearchFunc(t.ranks, want, compareUrgency)
-	if len(t.ranks) <= leastUrgent+1 {
-		return min(mostUrgent+at, leastUrgent)
+	index, _ := slices.BinarySearchFunc(t.ranks, key, compareRankKeys)
+	if len(t.ranks) <= maxRank+1 {
+		return min(minRank+index, maxRank)
 	}
-	return at * leastUrgent / (len(t.ranks) - 1)
+	return index * maxRank / (len(t.ranks) - 1)
 }
