--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -54,7 +54,7 @@
 	"fails, and others do too": {failures: 0.5, baseFailures: 0.14},
 }
 
-func (f versionBehavior) bad() bool { return f.failures > 0 || f.slow > 0 }
+func (behavior versionBehavior) bad() bool { return behavior.failures > 0 || behavior.slow > 0 }
 
 // testingT is implemented by *testing.T and *rapid.T.
 type testingT interface {
@@ -116,7 +116,7 @@
 
 // node is a gateway and its part of the network.
 type node struct {
-	w              *cluster
+	cluster        *cluster
 	id             string
 	incarnation    int
 	control        *Controller
@@ -135,20 +135,20 @@
 	alwaysDecides bool // even if other gateways would decide
 }
 
-func newCluster(t testingT, gateways int, f versionBehavior, seed uint64) *cluster {
-	w := &cluster{
-		t: t, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), behavior: f, rate: 250,
+func newCluster(t testingT, gateways int, behavior versionBehavior, seed uint64) *cluster {
+	cl := &cluster{
+		t: t, random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0), behavior: behavior, rate: 250,
 		loss: 0.01, delay: 4 * time.Millisecond, targets: map[string]int{oldVersion: 10}, finalStates: make(map[int64]State),
 	}
-	w.start = w.now
-	w.store.w = w
+	cl.start = cl.now
+	cl.store.cluster = cl
 	for i := range gateways {
-		n := &node{w: w, id: fmt.Sprintf("g%03d", i), heartbeats: make(map[string]time.Time)}
+		n := &node{cluster: cl, id: fmt.Sprintf("g%03d", i), heartbeats: make(map[string]time.Time)}
 		n.start()
-		w.nodes = append(w.nodes, n)
+		cl.nodes = append(cl.nodes, n)
 	}
-	w.run(heartbeatTimeout)
-	return w
+	cl.run(heartbeatTimeout)
+	return cl
 }
 
 func (n *node) start() {
@@ -158,10 +158,10 @@
 	control := NewController(ControllerOptions{
 		Options: testOptions, Store: nodeStore{n}, Peers: n, Registry: n, Watcher: n,
 	})
-	control.startCommit = func(w pendingCommit) { n.w.store.commit(n, control, w) }
-	control.gate.random = n.w.random.Float64
+	control.startCommit = func(pending pendingCommit) { n.cluster.store.commit(n, control, pending) }
+	control.gate.random = n.cluster.random.Float64
 	n.control = control
-	for _, apply := range n.w.store.history {
+	for _, apply := range n.cluster.store.history {
 		apply(n)
 	}
 }
@@ -184,7 +184,7 @@
 func (n *node) LiveIDs() []string {
 	var live []string
 	for id, at := range n.heartbeats {
-		if n.w.now.Sub(at) < heartbeatTimeout {
+		if n.cluster.now.Sub(at) < heartbeatTimeout {
 			live = append(live, id)
 		}
 	}
@@ -192,40 +192,40 @@
 	return live
 }
 
-func (n *node) Versions(string) map[string]int { return n.w.targets }
+func (n *node) Versions(string) map[string]int { return n.cluster.targets }
 
 func (n *node) RolloutStep(step Step) {
-	if n.w.injectFault != nil && !n.w.faultInjected {
-		n.w.faultInjected = n.w.injectFault(n, step)
+	if n.cluster.injectFault != nil && !n.cluster.faultInjected {
+		n.cluster.faultInjected = n.cluster.injectFault(n, step)
 	}
 	if step.Requests > 0 || step.Kind == StepHalted {
-		n.w.logStep(n, step)
+		n.cluster.logStep(n, step)
 	}
-	if step.Kind == StepHalted && n.w.haltedAt.IsZero() && step.Order == n.w.store.order {
-		n.w.haltedAt = n.w.now
+	if step.Kind == StepHalted && n.cluster.haltedAt.IsZero() && step.Order == n.cluster.store.order {
+		n.cluster.haltedAt = n.cluster.now
 	}
 }
 
-func (w *cluster) logStep(n *node, step Step) {
-	n.w.log = append(n.w.log, fmt.Sprintf("%6.2fs %s %s %s stage=%s state=%s %s sent %d of %d %v",
-		n.w.now.Sub(n.w.orderedAt).Seconds(), n.id, step.Kind, step.Version, step.Stage, step.State, step.Reason, step.Exposed, step.Requests, step.Err))
+func (cl *cluster) logStep(n *node, step Step) {
+	n.cluster.log = append(n.cluster.log, fmt.Sprintf("%6.2fs %s %s %s stage=%s state=%s %s sent %d of %d %v",
+		n.cluster.now.Sub(n.cluster.orderedAt).Seconds(), n.id, step.Kind, step.Version, step.Stage, step.State, step.Reason, step.Exposed, step.Requests, step.Err))
 }
 
 // after schedules a function.
-func (w *cluster) after(d time.Duration, fn func()) {
-	at := w.now.Add(d)
-	w.seq++
-	i := sort.Search(len(w.events), func(i int) bool { return w.events[i].at.After(at) })
-	w.events = slices.Insert(w.events, i, event{at, w.seq, fn})
+func (cl *cluster) after(d time.Duration, fn func()) {
+	at := cl.now.Add(d)
+	cl.seq++
+	i := sort.Search(len(cl.events), func(i int) bool { return cl.events[i].at.After(at) })
+	cl.events = slices.Insert(cl.events, i, event{at, cl.seq, fn})
 }
 
 // send delivers a message between gateways.
-func (w *cluster) send(from, to *node, deliver func()) {
-	if w.random.Float64() < w.loss || !reaches(from, to) {
+func (cl *cluster) send(from, to *node, deliver func()) {
+	if cl.random.Float64() < cl.loss || !reaches(from, to) {
 		return
 	}
 	incarnation := to.incarnation
-	w.after(time.Duration(w.random.Int64N(int64(w.delay))), func() {
+	cl.after(time.Duration(cl.random.Int64N(int64(cl.delay))), func() {
 		switch {
 		case to.dead || to.incarnation != incarnation || !reaches(from, to):
 		case to.frozen:
@@ -240,8 +240,8 @@
 	return !a.cutOff && !b.cutOff && a.partition == b.partition
 }
 
-func (w *cluster) node(id string) *node {
-	for _, n := range w.nodes {
+func (cl *cluster) node(id string) *node {
+	for _, n := range cl.nodes {
 		if n.id == id {
 			return n
 		}
@@ -250,8 +250,8 @@
 }
 
 // decider returns the gateway that decides.
-func (w *cluster) decider() *node {
-	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.dead && n.Decides(testService) })]
+func (cl *cluster) decider() *node {
+	return cl.nodes[slices.IndexFunc(cl.nodes, func(n *node) bool { return !n.dead && n.Decides(testService) })]
 }
 
 // inMove reports whether the gateway decides, and has begun a move.
@@ -260,59 +260,59 @@
 	return d != nil && d.decider != nil && d.decider.stage == Move
 }
 
-func (w *cluster) run(d time.Duration) {
-	for end := w.now.Add(d); w.now.Before(end); {
-		w.now = w.now.Add(tick)
-		for len(w.events) > 0 && !w.events[0].at.After(w.now) {
-			next := w.events[0]
-			w.events = w.events[1:]
+func (cl *cluster) run(d time.Duration) {
+	for end := cl.now.Add(d); cl.now.Before(end); {
+		cl.now = cl.now.Add(tick)
+		for len(cl.events) > 0 && !cl.events[0].at.After(cl.now) {
+			next := cl.events[0]
+			cl.events = cl.events[1:]
 			next.do()
 		}
-		count := int(w.now.Sub(w.start) / tick)
-		for i, n := range w.nodes {
+		count := int(cl.now.Sub(cl.start) / tick)
+		for i, n := range cl.nodes {
 			if n.dead || n.frozen {
 				continue
 			}
 			n.replicate()
 			n.traffic()
 			if (count+i)%10 == 0 {
-				n.control.step(w.now)
+				n.control.step(cl.now)
 				n.sendHeartbeats()
 			}
 			if (count+i)%5 == 0 {
 				n.exchange()
 			}
 		}
-		w.check()
+		cl.check()
 	}
 }
 
 func (n *node) sendHeartbeats() {
-	for _, other := range n.w.nodes {
+	for _, other := range n.cluster.nodes {
 		if other != n && !other.dead && !other.frozen && reaches(n, other) {
-			other.heartbeats[n.id] = n.w.now
+			other.heartbeats[n.id] = n.cluster.now
 		}
 	}
 }
 
 // exchange sends the reports and notices that are due to the other gateways.
 func (n *node) exchange() {
-	w := n.w
+	cl := n.cluster
 	decides := policy.First(testService, append(n.LiveIDs(), n.id))
-	to := w.node(decides)
-	for _, report := range n.control.Reports(w.now) {
-		sent := w.now
-		w.send(n, to, func() {
-			grant, ok := to.control.Report(n.id, report, w.now)
+	to := cl.node(decides)
+	for _, report := range n.control.Reports(cl.now) {
+		sent := cl.now
+		cl.send(n, to, func() {
+			grant, ok := to.control.Report(n.id, report, cl.now)
 			if ok {
-				w.send(to, n, func() { n.control.Grant(to.id, grant, sent, w.now) })
+				cl.send(to, n, func() { n.control.Grant(to.id, grant, sent, cl.now) })
 			}
 		})
 	}
-	for _, notice := range n.control.Notices(w.now) {
-		for _, other := range w.nodes {
+	for _, notice := range n.control.Notices(cl.now) {
+		for _, other := range cl.nodes {
 			if other != n {
-				w.send(n, other, func() { other.control.Grant(n.id, notice, time.Time{}, w.now) })
+				cl.send(n, other, func() { other.control.Grant(n.id, notice, time.Time{}, cl.now) })
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 // replicate applies pending changes of the store if the gateway is connected to it, directly or
 // by others.
 func (n *node) replicate() {
-	if n.cutStore && n.cutOff || n.w.store.down && len(n.pendingChanges) > 0 && n.cutOff {
+	if n.cutStore && n.cutOff || n.cluster.store.down && len(n.pendingChanges) > 0 && n.cutOff {
 		return
 	}
 	missed := n.pendingChanges
@@ -333,40 +333,40 @@
 
 // traffic sends the requests that are due.
 func (n *node) traffic() {
-	for n.requestsDue += n.w.rate * tick.Seconds() / float64(len(n.w.nodes)); n.requestsDue >= 1; n.requestsDue-- {
-		n.request(string("abc"[n.w.random.IntN(3)]), false)
+	for n.requestsDue += n.cluster.rate * tick.Seconds() / float64(len(n.cluster.nodes)); n.requestsDue >= 1; n.requestsDue-- {
+		n.request(string("abc"[n.cluster.random.IntN(3)]), false)
 	}
 }
 
 func (n *node) request(route string, retry bool) {
-	w := n.w
+	cl := n.cluster
 	gate := n.control.Gate()
-	assignment := gate.Assign(AssignRequest{Service: testService, Route: route, Retry: retry, HaveLeft: w.haveLeft}, w.now)
-	version := w.pick(assignment.Versions)
+	assignment := gate.Assign(AssignRequest{Service: testService, Route: route, Retry: retry, HaveLeft: cl.haveLeft}, cl.now)
+	version := cl.pick(assignment.Versions)
 	if version == "" && assignment.Fallback != nil {
-		version = w.pick(*assignment.Fallback)
+		version = cl.pick(*assignment.Fallback)
 	}
 	if version == "" {
-		if w.targets[oldVersion] > 0 || w.targets[w.movedTo] > 0 && !n.cutOff {
-			w.addViolation("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
+		if cl.targets[oldVersion] > 0 || cl.targets[cl.movedTo] > 0 && !n.cutOff {
+			cl.addViolation("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
 		}
 		gate.Release(assignment)
 		return
 	}
-	gate.RecordSend(assignment, version, w.now)
-	w.checkSend(n, version, retry)
-	target := w.random.IntN(max(w.targets[version], 1))
+	gate.RecordSend(assignment, version, cl.now)
+	cl.checkSend(n, version, retry)
+	target := cl.random.IntN(max(cl.targets[version], 1))
 	duration := 50 * time.Millisecond
-	if w.random.IntN(10) == 0 {
+	if cl.random.IntN(10) == 0 {
 		duration = 1500 * time.Millisecond
 	}
 	incarnation := n.incarnation
-	w.after(duration, func() {
+	cl.after(duration, func() {
 		if n.dead || n.incarnation != incarnation {
 			return
 		}
-		outcome := w.answer(route, version, target)
-		gate.Observe(outcome, w.now)
+		outcome := cl.answer(route, version, target)
+		gate.Observe(outcome, cl.now)
 		if outcome.Ending == Failed && !retry {
 			n.request(route, true)
 		}
@@ -375,21 +375,21 @@
 
 // haveLeft reports whether all targets of some versions have stopped as planned, as those of the
 // other versions do after a completion.
-func (w *cluster) haveLeft(v balance.Versions) bool {
-	for version, count := range w.targets {
+func (cl *cluster) haveLeft(v balance.Versions) bool {
+	for version, count := range cl.targets {
 		if count > 0 && v.Admits(version) {
 			return false
 		}
 	}
-	return slices.ContainsFunc(w.stopped, v.Admits)
+	return slices.ContainsFunc(cl.stopped, v.Admits)
 }
 
-func (w *cluster) pick(v balance.Versions) string {
-	if v.Rather != "" && w.targets[v.Rather] > 0 {
+func (cl *cluster) pick(v balance.Versions) string {
+	if v.Rather != "" && cl.targets[v.Rather] > 0 {
 		return v.Rather
 	}
 	var open []string
-	for version, count := range w.targets {
+	for version, count := range cl.targets {
 		if count > 0 && v.Admits(version) {
 			open = append(open, version)
 		}
@@ -398,33 +398,33 @@
 		return ""
 	}
 	sort.Strings(open)
-	return open[w.random.IntN(len(open))]
+	return open[cl.random.IntN(len(open))]
 }
 
 // answer returns the outcome of a request at a target.
-func (w *cluster) answer(route, version string, target int) Outcome {
-	f := w.behavior
+func (cl *cluster) answer(route, version string, target int) Outcome {
+	behavior := cl.behavior
 	outcome := Outcome{
 		Service: testService, Route: route, Version: version, Target: fmt.Sprint(version, "-", target),
 		Ending: Answered, Head: 50 * time.Millisecond,
 	}
-	failures := f.baseFailures
-	if version == newVersion && (f.route == "" || f.route == route) && w.now.Sub(w.orderedAt) >= f.badAfter && (!f.onlyUnderLoad || w.loaded()) {
-		failures = max(failures, f.failures)
-		if w.random.Float64() < f.slow {
+	failures := behavior.baseFailures
+	if version == newVersion && (behavior.route == "" || behavior.route == route) && cl.now.Sub(cl.orderedAt) >= behavior.badAfter && (!behavior.onlyUnderLoad || cl.loaded()) {
+		failures = max(failures, behavior.failures)
+		if cl.random.Float64() < behavior.slow {
 			outcome.Head *= 8
 		}
 	}
-	if version == newVersion && target < f.brokenTargets {
+	if version == newVersion && target < behavior.brokenTargets {
 		failures = 1
 	}
-	if w.random.Float64() < failures {
+	if cl.random.Float64() < failures {
 		outcome.Ending = Failed
 	}
-	if version == newVersion && f.bad() && (outcome.Ending == Failed || outcome.Head > 100*time.Millisecond) {
-		w.badAnswers++
-		if w.badAnswers == 50 {
-			w.badShownAt = w.now
+	if version == newVersion && behavior.bad() && (outcome.Ending == Failed || outcome.Head > 100*time.Millisecond) {
+		cl.badAnswers++
+		if cl.badAnswers == 50 {
+			cl.badShownAt = cl.now
 		}
 	}
 	return outcome
@@ -432,19 +432,19 @@
 
 // loaded reports whether a good part of the last requests went to the new version: more than its
 // share, as in a move.
-func (w *cluster) loaded() bool {
-	return w.newVersionShare > 0.3
+func (cl *cluster) loaded() bool {
+	return cl.newVersionShare > 0.3
 }
 
 // checkSend checks where a request was sent.
-func (w *cluster) checkSend(n *node, version string, retry bool) {
+func (cl *cluster) checkSend(n *node, version string, retry bool) {
 	newVersionPart := 0.0
 	if version == newVersion {
 		newVersionPart = 1
 	}
-	w.newVersionShare += 0.1 * (newVersionPart - w.newVersionShare)
-	for _, win := range w.windows {
-		if w.now.After(win.until) {
+	cl.newVersionShare += 0.1 * (newVersionPart - cl.newVersionShare)
+	for _, win := range cl.windows {
+		if cl.now.After(win.until) {
 			continue
 		}
 		if !retry {
@@ -457,77 +457,77 @@
 	later := n.order.Revision > n.record.Order.Revision
 	named := later && n.order.Version == version
 	if slices.Contains(n.record.Refused, version) && !named {
-		w.addViolation("%s sends to %s, which is refused by %v", n.id, version, n.record)
+		cl.addViolation("%s sends to %s, which is refused by %v", n.id, version, n.record)
 	}
-	if n.record.State == Completed && !later && version != n.record.Current && w.targets[n.record.Current] > 0 {
-		w.addViolation("%s sends to %s after it knew of the completion", n.id, version)
+	if n.record.State == Completed && !later && version != n.record.Current && cl.targets[n.record.Current] > 0 {
+		cl.addViolation("%s sends to %s after it knew of the completion", n.id, version)
 	}
-	if version != newVersion || w.newCompleted {
+	if version != newVersion || cl.newCompleted {
 		return // a completion is final, even if its order is withdrawn later
 	}
-	if !w.badShownAt.IsZero() && w.behavior.bad() && w.now.Sub(w.badShownAt) > testOptions.Rollback {
-		w.addViolation("%s sends to the bad version %s after it was shown", n.id, w.now.Sub(w.badShownAt))
+	if !cl.badShownAt.IsZero() && cl.behavior.bad() && cl.now.Sub(cl.badShownAt) > testOptions.Rollback {
+		cl.addViolation("%s sends to the bad version %s after it was shown", n.id, cl.now.Sub(cl.badShownAt))
 	}
-	if !w.haltedAt.IsZero() && w.now.Sub(w.haltedAt) > testOptions.Rollback {
-		w.addViolation("%s sends to the version %s after the halt", n.id, w.now.Sub(w.haltedAt))
+	if !cl.haltedAt.IsZero() && cl.now.Sub(cl.haltedAt) > testOptions.Rollback {
+		cl.addViolation("%s sends to the version %s after the halt", n.id, cl.now.Sub(cl.haltedAt))
 	}
 }
 
-func (w *cluster) check() {
-	if w.newCompleted {
+func (cl *cluster) check() {
+	if cl.newCompleted {
 		return // each test checks for itself whether it may be completed
 	}
-	for _, win := range w.windows {
+	for _, win := range cl.windows {
 		bound := testOptions.Share*float64(win.requests) + testOptions.Slack
-		if w.behavior.bad() && win.version == newVersion && float64(win.exposed) > bound {
-			w.addViolation("%d of %d requests to the version", win.exposed, win.requests)
+		if cl.behavior.bad() && win.version == newVersion && float64(win.exposed) > bound {
+			cl.addViolation("%d of %d requests to the version", win.exposed, win.requests)
 		}
 	}
 }
 
-func (w *cluster) addViolation(format string, args ...any) {
-	if len(w.violations) < 3 {
-		w.violations = append(w.violations, fmt.Sprintf("%6.2fs ", w.now.Sub(w.orderedAt).Seconds())+fmt.Sprintf(format, args...))
+func (cl *cluster) addViolation(format string, args ...any) {
+	if len(cl.violations) < 3 {
+		cl.violations = append(cl.violations, fmt.Sprintf("%6.2fs ", cl.now.Sub(cl.orderedAt).Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // order gives an order for a version, whose targets register soon. Operators can't order while
 // the store is down.
-func (w *cluster) order(version string, duration time.Duration) {
-	if w.store.down {
+func (cl *cluster) order(version string, duration time.Duration) {
+	if cl.store.down {
 		return
 	}
-	w.orderedAt, w.badAnswers, w.badShownAt, w.haltedAt = w.now, 0, time.Time{}, time.Time{}
-	w.windows = append(w.windows, &window{version: version, until: w.now.Add(duration)})
+	cl.orderedAt, cl.badAnswers, cl.badShownAt, cl.haltedAt = cl.now, 0, time.Time{}, time.Time{}
+	cl.windows = append(cl.windows, &window{version: version, until: cl.now.Add(duration)})
 	// The targets register after the order, which is also their order in the store.
-	w.after(registrationDelay, func() {
-		if w.targets != nil {
-			w.targets[version] = max(w.targets[version], 10)
+	cl.after(registrationDelay, func() {
+		if cl.targets != nil {
+			cl.targets[version] = max(cl.targets[version], 10)
 		}
 	})
-	w.store.putOrder(Order{Service: testService, Version: version, Duration: duration})
+	cl.store.putOrder(Order{Service: testService, Version: version, Duration: duration})
 }
 
 // checkViolations fails the test if there are violations.
-func (w *cluster) checkViolations() {
-	w.t.Helper()
-	if len(w.violations) > 0 {
-		w.t.Fatalf("broken:\n%s\nsteps:\n%s", strings.Join(w.violations, "\n"), strings.Join(w.log, "\n"))
+func (cl *cluster) checkViolations() {
+	cl.t.Helper()
+	if len(cl.violations) > 0 {
+		cl.t.Fatalf("broken:\n%s\nsteps:\n%s", strings.Join(cl.violations, "\n"), strings.Join(cl.log, "\n"))
 	}
 }
 
 // wantState fails the test if the order didn't end in the given state.
-func (w *cluster) wantState(state State) {
-	w.t.Helper()
-	w.checkViolations()
-	if got := w.store.record.State; got != state {
-		w.t.Fatalf("%q in place of %q\nsteps:\n%s", got, state, strings.Join(w.log, "\n"))
+func (cl *cluster) wantState(state State) {
+	cl.t.Helper()
+	cl.checkViolations()
+	if got := cl.store.record.State; got != state {
+		cl.t.Fatalf("%q in place of %q\nsteps:\n%s", got, state, strings.Join(cl.log, "\n"))
 	}
 }
 
 // memStore is an in-memory store of one order and one record.
 type memStore struct {
-	w              *cluster
+	cluster        *cluster
 	revision       int64
 	order          int64
 	record         Record
@@ -544,16 +544,16 @@
 
 type nodeStore struct{ n *node }
 
-func (s nodeStore) Reachable() bool { return !s.n.w.store.down && !s.n.cutStore }
+func (s nodeStore) Reachable() bool { return !s.n.cluster.store.down && !s.n.cutStore }
 
 // publish delivers a change to all gateways.
 func (s *memStore) publish(apply func(n *node)) {
 	s.history = append(s.history, apply)
-	for _, n := range s.w.nodes {
+	for _, n := range s.cluster.nodes {
 		incarnation := n.incarnation
 		// Changes arrive in the store's order.
-		n.replicaAt = laterTime(n.replicaAt, s.w.now.Add(time.Duration(20+s.w.random.IntN(150))*time.Millisecond))
-		s.w.after(n.replicaAt.Sub(s.w.now), func() {
+		n.replicaAt = laterTime(n.replicaAt, s.cluster.now.Add(time.Duration(20+s.cluster.random.IntN(150))*time.Millisecond))
+		s.cluster.after(n.replicaAt.Sub(s.cluster.now), func() {
 			if n.incarnation == incarnation {
 				n.pendingChanges = append(n.pendingChanges, apply)
 			}
@@ -566,7 +566,7 @@
 	order.Revision, s.order = s.revision, s.revision
 	s.publish(func(n *node) {
 		n.order = order
-		n.control.ordered(order, s.w.now)
+		n.control.ordered(order, s.cluster.now)
 	})
 }
 
@@ -576,25 +576,25 @@
 	}
 	s.revision++
 	s.order = 0
-	s.publish(func(n *node) { n.control.withdrawn(testService, s.w.now) })
+	s.publish(func(n *node) { n.control.withdrawn(testService, s.cluster.now) })
 }
 
-func (s *memStore) commit(n *node, control *Controller, w pendingCommit) {
-	if s.w.random.IntN(2) == 0 {
-		data, err := Encode(w.commit.Record)
+func (s *memStore) commit(n *node, control *Controller, pending pendingCommit) {
+	if s.cluster.random.IntN(2) == 0 {
+		data, err := Encode(pending.commit.Record)
 		if err == nil {
 			_, err = Decode(data)
 		}
 		if err != nil {
-			s.w.addViolation("a record that can't be kept: %v", err)
+			s.cluster.addViolation("a record that can't be kept: %v", err)
 		}
 	}
 	answer := func(d time.Duration, revision int64, err error) {
-		s.w.after(d, func() {
+		s.cluster.after(d, func() {
 			if n.control != control || n.dead {
 				return
 			}
-			do := func() { control.commitDone(w, revision, err, s.w.now) }
+			do := func() { control.commitDone(pending, revision, err, s.cluster.now) }
 			if n.frozen {
 				n.queued = append(n.queued, do)
 				return
@@ -603,22 +603,22 @@
 		})
 	}
 	if s.down || n.cutStore {
-		answer(w.timeout, 0, errNoAnswer)
+		answer(pending.timeout, 0, errNoAnswer)
 		return
 	}
 	latency := 4*time.Millisecond + s.slow
 	lostAnswers := s.lostAnswers
-	s.w.after(latency/2, func() {
+	s.cluster.after(latency/2, func() {
 		switch lostAnswers {
 		case "not":
-			answer(w.timeout, 0, errNoAnswer)
+			answer(pending.timeout, 0, errNoAnswer)
 		case "later":
-			s.w.after(2*time.Second, func() { _, _ = s.apply(w.commit) })
-			answer(w.timeout, 0, errNoAnswer)
+			s.cluster.after(2*time.Second, func() { _, _ = s.apply(pending.commit) })
+			answer(pending.timeout, 0, errNoAnswer)
 		default:
-			revision, err := s.apply(w.commit)
-			if lostAnswers == "done" || latency > w.timeout {
-				answer(w.timeout, 0, errNoAnswer)
+			revision, err := s.apply(pending.commit)
+			if lostAnswers == "done" || latency > pending.timeout {
+				answer(pending.timeout, 0, errNoAnswer)
 				return
 			}
 			answer(latency/2, revision, err)
@@ -636,31 +636,31 @@
 		return 0, ErrOutdated
 	}
 	revision := c.Record.Order.Revision
-	if state, over := s.w.finalStates[revision]; over {
-		s.w.addViolation("order %d ended as %s is recorded as %s", revision, state, c.Record.State)
+	if state, over := s.cluster.finalStates[revision]; over {
+		s.cluster.addViolation("order %d ended as %s is recorded as %s", revision, state, c.Record.State)
 	}
 	if revision < s.record.Order.Revision {
-		s.w.addViolation("the record goes back from order %d to %d", s.record.Order.Revision, revision)
+		s.cluster.addViolation("the record goes back from order %d to %d", s.record.Order.Revision, revision)
 	}
 	s.revision++
 	s.record, s.recordRevision = c.Record, s.revision
 	record, at := c.Record, s.revision
 	if record.isFinal() {
-		s.w.finalStates[revision] = record.State
-		s.w.log = append(s.w.log, fmt.Sprintf("%6.2fs store has %s", s.w.now.Sub(s.w.orderedAt).Seconds(), record.State))
+		s.cluster.finalStates[revision] = record.State
+		s.cluster.log = append(s.cluster.log, fmt.Sprintf("%6.2fs store has %s", s.cluster.now.Sub(s.cluster.orderedAt).Seconds(), record.State))
 	}
 	if record.State == Completed {
-		s.w.newCompleted = s.w.newCompleted || record.Current == newVersion
-		for version := range s.w.targets {
+		s.cluster.newCompleted = s.cluster.newCompleted || record.Current == newVersion
+		for version := range s.cluster.targets {
 			if version != record.Current {
-				s.w.movedTo = record.Current
-				s.w.stopped = append(s.w.stopped, version)
-				delete(s.w.targets, version)
+				s.cluster.movedTo = record.Current
+				s.cluster.stopped = append(s.cluster.stopped, version)
+				delete(s.cluster.targets, version)
 			}
 		}
 	}
 	s.publish(func(n *node) {
-		n.control.recorded(record, at, "", s.w.now)
+		n.control.recorded(record, at, "", s.cluster.now)
 		n.record = record
 	})
 	return s.revision, nil
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -57,7 +57,7 @@
 	options ControllerOptions
 	gate    *Gate
 	// startCommit begins a write, and arranges for commitDone to be called with the result.
-	startCommit func(w pendingCommit)
+	startCommit func(pending pendingCommit)
 	wake        chan struct{}
 	cancel      context.CancelFunc
 	ctx         context.Context
@@ -240,8 +240,8 @@
 	for _, step := range steps {
 		c.options.Watcher.RolloutStep(step)
 	}
-	for _, w := range commits {
-		c.startCommit(w)
+	for _, pending := range commits {
+		c.startCommit(pending)
 	}
 }
 
@@ -274,8 +274,8 @@
 			view: input.view, reportInterval: c.reportInterval, livePeers: livePeers, minority: minority, maxPeers: c.maxPeers, reachable: reachable,
 			versions: input.versions, committing: d.commitInFlight, completionUnresolved: d.hasUnresolved(input.view),
 		}, now)
-		if w, ok := d.nextCommit(decision, input.view.revision, now); ok {
-			commits = append(commits, w)
+		if pending, ok := d.nextCommit(decision, input.view.revision, now); ok {
+			commits = append(commits, pending)
 		}
 	}
 	steps := c.steps
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -119,25 +119,25 @@
 }
 
 // commitAsync makes the commit in its own goroutine.
-func (c *Controller) commitAsync(w pendingCommit) {
+func (c *Controller) commitAsync(pending pendingCommit) {
 	c.wait.Go(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, w.timeout)
+		ctx, cancel := context.WithTimeout(c.ctx, pending.timeout)
 		defer cancel()
-		revision, err := c.options.Store.Commit(ctx, w.commit)
-		c.commitDone(w, revision, err, clock.Now())
+		revision, err := c.options.Store.Commit(ctx, pending.commit)
+		c.commitDone(pending, revision, err, clock.Now())
 	})
 }
 
 // commitDone handles the store's answer to a commit.
-func (c *Controller) commitDone(w pendingCommit, revision int64, err error, now time.Time) {
-	record := w.commit.Record
+func (c *Controller) commitDone(pending pendingCommit, revision int64, err error, now time.Time) {
+	record := pending.commit.Record
 	c.mu.Lock()
 	d := c.deciderFor(record.Order.Service)
-	d.commitInFlight, d.lastErr, d.lastOver = false, err, w.commit.Over
+	d.commitInFlight, d.lastErr, d.lastOver = false, err, pending.commit.Over
 	d.retryAt, d.moveRetryAt = time.Time{}, time.Time{}
 	d.lastCompleted = record.State == Completed
 	if err != nil && d.lastCompleted && !errors.Is(err, ErrOutdated) {
-		d.unresolved = &w.commit
+		d.unresolved = &pending.commit
 	}
 	if err == nil && d.lastCompleted {
 		// The old targets stop now, and the record takes a while to reach the other gateways.
@@ -152,12 +152,12 @@
 	if err != nil && d.noteFailure(record.State, err, now) {
 		c.addStepLocked(Step{
 			Kind: StepCommitFailed, Service: record.Order.Service, Version: record.Order.Version,
-			Order: record.Order.Revision, State: record.State, Reason: w.reason, Age: record.Elapsed, Err: err,
+			Order: record.Order.Revision, State: record.State, Reason: pending.reason, Age: record.Elapsed, Err: err,
 		})
 	}
 	c.mu.Unlock()
 	if err == nil {
-		c.recorded(record, revision, w.reason, now)
+		c.recorded(record, revision, pending.reason, now)
 	}
 	c.requestStep()
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,18 +15,18 @@
 // TestVersionBehaviors checks that good versions get all requests in time, that bad ones are
 // rolled back, and that what they get stays below the bound at every moment.
 func TestVersionBehaviors(t *testing.T) {
-	for name, f := range versionBehaviors {
+	for name, behavior := range versionBehaviors {
 		for _, gateways := range []int{4, 28, 103} {
 			t.Run(fmt.Sprintf("%s, %d gateways", name, gateways), func(t *testing.T) {
-				w := newCluster(t, gateways, f, uint64(gateways))
-				w.order(newVersion, orderTime)
-				w.run(orderTime)
-				t.Logf("%d of %d", w.windows[0].exposed, w.windows[0].requests)
-				if f.bad() {
-					w.wantState(RolledBack)
+				cl := newCluster(t, gateways, behavior, uint64(gateways))
+				cl.order(newVersion, orderTime)
+				cl.run(orderTime)
+				t.Logf("%d of %d", cl.windows[0].exposed, cl.windows[0].requests)
+				if behavior.bad() {
+					cl.wantState(RolledBack)
 					return
 				}
-				w.wantState(Completed)
+				cl.wantState(Completed)
 			})
 		}
 	}
@@ -44,7 +44,7 @@
 
 // faults affect the gateway that decides, or the store. Each returns a function that ends the
 // fault.
-var faults = map[string]func(w *cluster, n *node) (mend func()){
+var faults = map[string]func(cl *cluster, n *node) (mend func()){
 	"killed": func(_ *cluster, n *node) func() {
 		n.dead = true
 		return n.start
@@ -69,27 +69,27 @@
 		n.cutStore = true
 		return func() { n.cutStore = false }
 	},
-	"another one cut off": func(w *cluster, n *node) func() {
-		other := w.nodes[0]
+	"another one cut off": func(cl *cluster, n *node) func() {
+		other := cl.nodes[0]
 		if other == n {
-			other = w.nodes[1]
+			other = cl.nodes[1]
 		}
 		other.cutOff, other.cutStore = true, true
 		return func() { other.cutOff, other.cutStore = false, false }
 	},
-	"gateways in two parts": func(w *cluster, _ *node) func() {
-		for i, n := range w.nodes {
+	"gateways in two parts": func(cl *cluster, _ *node) func() {
+		for i, n := range cl.nodes {
 			n.partition = i % 2
 		}
 		return func() {
-			for _, n := range w.nodes {
+			for _, n := range cl.nodes {
 				n.partition = 0
 			}
 		}
 	},
-	"half of them killed": func(w *cluster, n *node) func() {
+	"half of them killed": func(cl *cluster, n *node) func() {
 		var killed []*node
-		for i, other := range w.nodes {
+		for i, other := range cl.nodes {
 			if other == n || i%2 == 0 {
 				other.dead = true
 				killed = append(killed, other)
@@ -101,34 +101,34 @@
 			}
 		}
 	},
-	"store down": func(w *cluster, _ *node) func() {
-		w.store.down = true
-		return func() { w.store.down = false }
+	"store down": func(cl *cluster, _ *node) func() {
+		cl.store.down = true
+		return func() { cl.store.down = false }
 	},
-	"store slow": func(w *cluster, _ *node) func() {
-		w.store.slow = 400 * time.Millisecond
-		return func() { w.store.slow = 0 }
+	"store slow": func(cl *cluster, _ *node) func() {
+		cl.store.slow = 400 * time.Millisecond
+		return func() { cl.store.slow = 0 }
 	},
-	"store down, decider killed": func(w *cluster, n *node) func() {
-		w.store.down, n.dead = true, true
+	"store down, decider killed": func(cl *cluster, n *node) func() {
+		cl.store.down, n.dead = true, true
 		return func() {
-			w.store.down = false
+			cl.store.down = false
 			n.start()
 		}
 	},
 	"answers lost, done":     losesAnswers("done"),
 	"answers lost, not done": losesAnswers("not"),
 	"answers lost, later":    losesAnswers("later"),
-	"packets lost": func(w *cluster, _ *node) func() {
-		w.loss = 0.2
-		return func() { w.loss = 0.01 }
+	"packets lost": func(cl *cluster, _ *node) func() {
+		cl.loss = 0.2
+		return func() { cl.loss = 0.01 }
 	},
 }
 
-func losesAnswers(how string) func(w *cluster, n *node) func() {
-	return func(w *cluster, _ *node) func() {
-		w.store.lostAnswers = how
-		return func() { w.store.lostAnswers = "" }
+func losesAnswers(how string) func(cl *cluster, n *node) func() {
+	return func(cl *cluster, _ *node) func() {
+		cl.store.lostAnswers = how
+		return func() { cl.store.lostAnswers = "" }
 	}
 }
 
@@ -145,27 +145,27 @@
 	for faultName, fault := range faults {
 		for momentName, moment := range faultSteps {
 			for _, formName := range []string{"good", "fails at once", "turns bad", "slow"} {
-				f := versionBehaviors[formName]
+				behavior := versionBehaviors[formName]
 				t.Run(fmt.Sprintf("%s, %s, %s", faultName, momentName, formName), func(t *testing.T) {
-					w := newCluster(t, gateways, f, 6)
-					w.injectFault = func(n *node, step Step) bool {
+					cl := newCluster(t, gateways, behavior, 6)
+					cl.injectFault = func(n *node, step Step) bool {
 						if !moment(step) {
 							return false
 						}
-						w.after(0, func() { w.after(faultDuration, fault(w, n)) })
+						cl.after(0, func() { cl.after(faultDuration, fault(cl, n)) })
 						return true
 					}
-					w.order(newVersion, duration)
-					w.run(duration + faultDuration + 3*time.Second)
+					cl.order(newVersion, duration)
+					cl.run(duration + faultDuration + 3*time.Second)
 					want := Completed
-					if f.bad() {
+					if behavior.bad() {
 						want = RolledBack
 					}
-					if mayRunOutOfTime[faultName+", "+momentName] && !f.bad() && w.store.record.isFinal() {
-						w.checkViolations()
+					if mayRunOutOfTime[faultName+", "+momentName] && !behavior.bad() && cl.store.record.isFinal() {
+						cl.checkViolations()
 						return
 					}
-					w.wantState(want)
+					cl.wantState(want)
 				})
 			}
 		}
@@ -177,17 +177,17 @@
 func TestDeciderKilledWhileStoreIsDown(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newCluster(t, 28, versionBehavior{}, seed)
-			w.rate = 40
-			w.order(newVersion, time.Minute)
-			w.run(36 * time.Second)
-			w.store.down = true
-			w.run(16 * time.Second)
-			w.decider().dead = true
-			w.run(2 * time.Second)
-			w.store.down = false
-			w.run(15 * time.Second)
-			w.wantState(Completed)
+			cl := newCluster(t, 28, versionBehavior{}, seed)
+			cl.rate = 40
+			cl.order(newVersion, time.Minute)
+			cl.run(36 * time.Second)
+			cl.store.down = true
+			cl.run(16 * time.Second)
+			cl.decider().dead = true
+			cl.run(2 * time.Second)
+			cl.store.down = false
+			cl.run(15 * time.Second)
+			cl.wantState(Completed)
 		})
 	}
 }
@@ -198,21 +198,21 @@
 	for _, failures := range []float64{0, 0.06, 0.12} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("failures %.2f, seed %d", failures, seed), func(t *testing.T) {
-				w := newCluster(t, 28, versionBehavior{failures: failures}, seed)
-				w.rate = 150
-				w.order(newVersion, 40*time.Second)
-				w.run(5 * time.Second)
-				isolated := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.Decides(testService) })]
+				cl := newCluster(t, 28, versionBehavior{failures: failures}, seed)
+				cl.rate = 150
+				cl.order(newVersion, 40*time.Second)
+				cl.run(5 * time.Second)
+				isolated := cl.nodes[slices.IndexFunc(cl.nodes, func(n *node) bool { return !n.Decides(testService) })]
 				isolated.cutOff = true
 				commit := isolated.control.startCommit
 				isolated.control.startCommit = func(c pendingCommit) {
-					if c.commit.Record.isFinal() && w.now.Sub(w.orderedAt) < 39*time.Second {
-						w.addViolation("%s alone ends the order: %s, %s", isolated.id, c.commit.Record.State, c.reason)
+					if c.commit.Record.isFinal() && cl.now.Sub(cl.orderedAt) < 39*time.Second {
+						cl.addViolation("%s alone ends the order: %s, %s", isolated.id, c.commit.Record.State, c.reason)
 					}
 					commit(c)
 				}
-				w.run(40 * time.Second)
-				w.checkViolations()
+				cl.run(40 * time.Second)
+				cl.checkViolations()
 			})
 		}
 	}
@@ -234,20 +234,20 @@
 	for name, c := range cases {
 		for seed := range uint64(5) {
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
-				w := newCluster(t, 28, c.form, seed)
-				w.order(newVersion, 30*time.Second)
+				cl := newCluster(t, 28, c.form, seed)
+				cl.order(newVersion, 30*time.Second)
 				moved := false
-				for w.now.Sub(w.orderedAt) < 32*time.Second {
-					w.run(tick)
-					moving := w.decider().inMove()
-					if w.store.lostAnswers == "" && moving && !moved {
-						w.store.lostAnswers = "later"
+				for cl.now.Sub(cl.orderedAt) < 32*time.Second {
+					cl.run(tick)
+					moving := cl.decider().inMove()
+					if cl.store.lostAnswers == "" && moving && !moved {
+						cl.store.lostAnswers = "later"
 					}
-					if w.store.lostAnswers != "" && !moving && !c.staysLate {
-						w.store.lostAnswers, moved = "", true
+					if cl.store.lostAnswers != "" && !moving && !c.staysLate {
+						cl.store.lostAnswers, moved = "", true
 					}
 				}
-				w.wantState(c.want)
+				cl.wantState(c.want)
 			})
 		}
 	}
