--- a/internal/rollout/simulated_rollouts_test.go
+++ b/internal/rollout/simulated_rollouts_test.go
@@ -57,11 +57,11 @@
 	overShare int
 }
 
-func runSimulations(t simulation, form answerProfile, count int) simTotals {
-	t.base, t.added = form.base, form.added
+func runSimulations(s simulation, form answerProfile, count int) simTotals {
+	s.base, s.added = form.base, form.added
 	var sums simTotals
 	for seed := range count {
-		end := t.run(uint64(seed))
+		end := s.run(uint64(seed))
 		if end.verdict == Bad {
 			sums.bad++
 		}
@@ -71,7 +71,7 @@
 		if end.moved && end.verdict != Bad {
 			sums.completed++
 		}
-		if !end.moved && float64(end.exposed) > t.share*float64(end.requests) {
+		if !end.moved && float64(end.exposed) > s.share*float64(end.requests) {
 			sums.overShare++
 		}
 		sums.maxBadAnswers = max(sums.maxBadAnswers, end.badAnswers)
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -89,19 +89,19 @@
 	haltAt       float64
 }
 
-func (t simulation) run(seed uint64) simResult {
-	r := &simRun{simulation: t, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
-	for range t.gateways {
-		share := NewShare(t.share)
+func (s simulation) run(seed uint64) simResult {
+	r := &simRun{simulation: s, random: rand.New(rand.NewPCG(seed, 11)), judge: NewJudge()}
+	for range s.gateways {
+		share := NewShare(s.share)
 		share.random = r.random.Float64
 		r.shares = append(r.shares, share)
 		r.tallies = append(r.tallies, NewTallies())
 	}
-	for target := range t.targets {
+	for target := range s.targets {
 		r.targetNames = append(r.targetNames, fmt.Sprint("new-", target))
 	}
-	r.result.at = t.until
-	for step := 0; float64(step)*simTick < t.until; step++ {
+	r.result.at = s.until
+	for step := 0; float64(step)*simTick < s.until; step++ {
 		now := float64(step) * simTick
 		r.arrive(now, step)
 		r.answer(step)
