--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -483,7 +483,7 @@
 		"one in flight":                  {deciderState{commitInFlight: true}, commit, false},
 		"failed just now":                {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
 		"after an unresolved completion": {deciderState{lastErr: errNoAnswer, unresolved: &Commit{}, lastCompleted: true, retryAt: retryAt}, commit, true},
-		"after a failed completion":      {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
+		"failed commit after another":    {deciderState{lastErr: errNoAnswer, retryAt: retryAt}, commit, false},
 		"failed a while ago":             {deciderState{lastErr: errNoAnswer, retryAt: testTime}, commit, true},
 		"outdated, no new record":        {deciderState{lastErr: ErrOutdated, lastOver: 7, retryAt: retryAt}, commit, false},
 		"outdated, new record":           {deciderState{lastErr: ErrOutdated, lastOver: 6, retryAt: retryAt}, commit, true},
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -13,7 +13,7 @@
 	// the requests of a short order doesn't contain a sample of its own for it.
 	rareRoutePart = 0.05
 	// maxDeferOthers and maxDeferRounds limit how long the version's answers are deferred in
-	// favor of the others': until the others have given this many answers on the route, or all
+	// favour of the others': until the others have given this many answers on the route, or all
 	// gateways have had time for this many reports. Trouble that starts on both sides only shows
 	// in the others' shares by then.
 	maxDeferOthers = 30
