--- a/internal/rollout/cluster_test.go
+++ b/internal/rollout/cluster_test.go
@@ -169,9 +169,9 @@
 // resume continues a frozen gateway, with all the messages that have arrived in the meantime.
 func (n *node) resume() {
 	n.frozen = false
-	thawed := n.queued
+	messages := n.queued
 	n.queued = nil
-	for _, do := range thawed {
+	for _, do := range messages {
 		do()
 	}
 }
@@ -348,7 +348,7 @@
 	}
 	if version == "" {
 		if cl.targets[oldVersion] > 0 || cl.targets[cl.movedTo] > 0 && !n.cutOff {
-			cl.addViolation("%s finds no target, but those that served are there; it knows of %v and %v", n.id, n.order, n.record)
+			cl.addViolation("%s finds no target although there are some; its order is %v, its record %v", n.id, n.order, n.record)
 		}
 		gate.Release(assignment)
 		return
@@ -457,16 +457,16 @@
 	later := n.order.Revision > n.record.Order.Revision
 	named := later && n.order.Version == version
 	if slices.Contains(n.record.Refused, version) && !named {
-		cl.addViolation("%s sends to %s, which is refused by %v", n.id, version, n.record)
+		cl.addViolation("%s sends to %s, which is refused by the record %v", n.id, version, n.record)
 	}
 	if n.record.State == Completed && !later && version != n.record.Current && cl.targets[n.record.Current] > 0 {
-		cl.addViolation("%s sends to %s after it knew of the completion", n.id, version)
+		cl.addViolation("%s sends to %s after the record of the completion", n.id, version)
 	}
 	if version != newVersion || cl.newCompleted {
 		return // a completion is final, even if its order is withdrawn later
 	}
 	if !cl.badShownAt.IsZero() && cl.behavior.bad() && cl.now.Sub(cl.badShownAt) > testOptions.Rollback {
-		cl.addViolation("%s sends to the bad version %s after it was shown", n.id, cl.now.Sub(cl.badShownAt))
+		cl.addViolation("%s sends to the bad version %s after its failures have shown", n.id, cl.now.Sub(cl.badShownAt))
 	}
 	if !cl.haltedAt.IsZero() && cl.now.Sub(cl.haltedAt) > testOptions.Rollback {
 		cl.addViolation("%s sends to the version %s after the halt", n.id, cl.now.Sub(cl.haltedAt))
@@ -480,7 +480,7 @@
 	for _, win := range cl.windows {
 		bound := testOptions.Share*float64(win.requests) + testOptions.Slack
 		if cl.behavior.bad() && win.version == newVersion && float64(win.exposed) > bound {
-			cl.addViolation("%d of %d requests to the version", win.exposed, win.requests)
+			cl.addViolation("%d of %d requests sent to the version exceed the bound", win.exposed, win.requests)
 		}
 	}
 }
@@ -512,7 +512,7 @@
 func (cl *cluster) checkViolations() {
 	cl.t.Helper()
 	if len(cl.violations) > 0 {
-		cl.t.Fatalf("broken:\n%s\nsteps:\n%s", strings.Join(cl.violations, "\n"), strings.Join(cl.log, "\n"))
+		cl.t.Fatalf("violations:\n%s\nsteps:\n%s", strings.Join(cl.violations, "\n"), strings.Join(cl.log, "\n"))
 	}
 }
 
@@ -521,7 +521,7 @@
 	cl.t.Helper()
 	cl.checkViolations()
 	if got := cl.store.record.State; got != state {
-		cl.t.Fatalf("%q in place of %q\nsteps:\n%s", got, state, strings.Join(cl.log, "\n"))
+		cl.t.Fatalf("got state %q, want %q\nsteps:\n%s", got, state, strings.Join(cl.log, "\n"))
 	}
 }
 
@@ -586,7 +586,7 @@
 			_, err = Decode(data)
 		}
 		if err != nil {
-			s.cluster.addViolation("a record that can't be kept: %v", err)
+			s.cluster.addViolation("record does not encode and decode: %v", err)
 		}
 	}
 	answer := func(d time.Duration, revision int64, err error) {
@@ -637,7 +637,7 @@
 	}
 	revision := c.Record.Order.Revision
 	if state, over := s.cluster.finalStates[revision]; over {
-		s.cluster.addViolation("order %d ended as %s is recorded as %s", revision, state, c.Record.State)
+		s.cluster.addViolation("order %d that ended as %s is recorded as %s", revision, state, c.Record.State)
 	}
 	if revision < s.record.Order.Revision {
 		s.cluster.addViolation("the record goes back from order %d to %d", s.record.Order.Revision, revision)
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -325,13 +325,13 @@
 		cl.run(max(end.Sub(cl.now), 0) + duration + 4*time.Second)
 		cl.checkViolations()
 		if !cl.store.record.isFinal() {
-			rt.Fatalf("no end: %v, order %d", cl.store.record, cl.store.order)
+			rt.Fatalf("the record is not final: %v, order %d", cl.store.record, cl.store.order)
 		}
 		// With fewer requests, the share gives too few answers for a verdict; the bound holds
 		// anyway.
 		enough := cl.rate*duration.Seconds() >= 2000
 		if behavior.bad() && enough && cl.newCompleted {
-			rt.Fatalf("a bad version has been completed: %v\n%v", cl.store.record, cl.log)
+			rt.Fatalf("a bad version was completed: %v\n%v", cl.store.record, cl.log)
 		}
 	})
 }
@@ -346,7 +346,7 @@
 	cases := map[string]struct {
 		duration time.Duration
 		rate     float64
-		steps    func(cl *cluster, strike func(fault string, mends time.Duration))
+		steps    func(cl *cluster, inject func(fault string, repairAfter time.Duration))
 	}{
 		"restarted": {6 * time.Second, 158, func(cl *cluster, inject func(string, time.Duration)) {
 			inject("half of them killed", 100*time.Millisecond)
@@ -379,10 +379,10 @@
 }
 
 // blockingStore answers a commit when the context ends.
-type blockingStore struct{ began chan struct{} }
+type blockingStore struct{ started chan struct{} }
 
 func (s blockingStore) Commit(ctx context.Context, _ Commit) (int64, error) {
-	close(s.began)
+	close(s.started)
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
@@ -398,13 +398,13 @@
 func TestCloseWaitsForCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := blockingStore{began: make(chan struct{})}
+		store := blockingStore{started: make(chan struct{})}
 		c := NewController(ControllerOptions{
 			Options: testOptions, Store: store, Registry: noopDeps{}, Watcher: noopDeps{},
 		})
 		is.NoErr(c.Start(t.Context()))
 		c.Ordered(Order{Service: testService, Version: "v2", Duration: time.Minute, Revision: 1})
-		<-store.began
+		<-store.started
 		is.Equal(c.Services(), []string{testService})
 		name, ok := c.ServiceOf(NameHash(testService))
 		is.True(ok)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -44,7 +44,7 @@
 
 // faults affect the gateway that decides, or the store. Each returns a function that ends the
 // fault.
-var faults = map[string]func(cl *cluster, n *node) (mend func()){
+var faults = map[string]func(cl *cluster, n *node) (repair func()){
 	"killed": func(_ *cluster, n *node) func() {
 		n.dead = true
 		return n.start
@@ -207,7 +207,7 @@
 				commit := isolated.control.startCommit
 				isolated.control.startCommit = func(c pendingCommit) {
 					if c.commit.Record.isFinal() && cl.now.Sub(cl.orderedAt) < 39*time.Second {
-						cl.addViolation("%s alone ends the order: %s, %s", isolated.id, c.commit.Record.State, c.reason)
+						cl.addViolation("%s ends the order while isolated: %s, %s", isolated.id, c.commit.Record.State, c.reason)
 					}
 					commit(c)
 				}
--- a/internal/rollout/share_test.go
+++ b/internal/rollout/share_test.go
@@ -32,10 +32,10 @@
 			}
 			gotRequests, gotExposed := share.Totals()
 			if gotRequests != requests || gotExposed != exposed {
-				t.Fatalf("%d of %d, not %d of %d", gotExposed, gotRequests, exposed, requests)
+				t.Fatalf("got %d of %d, want %d of %d", gotExposed, gotRequests, exposed, requests)
 			}
 			if step == 2 && float64(exposed) > max(ratio, 0)*float64(requests) {
-				t.Fatalf("%d of %d requests are more than %g", exposed, requests, ratio)
+				t.Fatalf("%d of %d requests exceed the ratio %g", exposed, requests, ratio)
 			}
 		}
 	})
--- a/internal/rollout/sprt_test.go
+++ b/internal/rollout/sprt_test.go
@@ -150,7 +150,7 @@
 			}
 			test.update()
 			if test.bad() {
-				t.Fatalf("bad by %d of %d targets", needed-1, targets)
+				t.Fatalf("called bad for %d of %d targets", needed-1, targets)
 			}
 		}
 		for target := range targets {
@@ -163,7 +163,7 @@
 		}
 		test.update()
 		if !test.passed {
-			t.Fatalf("not passed by %d sound targets, weight %g", targets-needed+1, test.soundWeight)
+			t.Fatalf("not passed with %d sound targets, weight %g", targets-needed+1, test.soundWeight)
 		}
 	})
 }
