--- a/internal/gateway/versions.go
+++ b/internal/gateway/versions.go
@@ -18,11 +18,11 @@
 	}
 	c.returnAssignment()
 	haveLeft := func(versions balance.Versions) bool { return c.gateway.Balancer.LeftAsPlanned(c.service, versions) }
-	ask := rollout.Ask{Service: c.service, Route: c.route.Name, Again: len(c.triedIncarnations) > 0, Left: haveLeft}
+	ask := rollout.AssignRequest{Service: c.service, Route: c.route.Name, Retry: len(c.triedIncarnations) > 0, HaveLeft: haveLeft}
 	c.assignment, c.assignmentUnused, c.assignedAt = gate.Assign(ask, now), true, now
 	c.versions = c.assignment.Versions
-	if c.assignment.Otherwise != nil && !c.gateway.Balancer.Has(c.attemptQuery(), now) {
-		c.versions = *c.assignment.Otherwise
+	if c.assignment.Fallback != nil && !c.gateway.Balancer.Has(c.attemptQuery(), now) {
+		c.versions = *c.assignment.Fallback
 	}
 }
 
@@ -44,14 +44,14 @@
 	if c.gateway.Rollouts == nil {
 		return pick, ok
 	}
-	if !ok && c.assignment.Otherwise != nil {
-		c.versions = *c.assignment.Otherwise
+	if !ok && c.assignment.Fallback != nil {
+		c.versions = *c.assignment.Fallback
 		pick, ok = c.gateway.Balancer.Choose(c.attemptQuery(), now)
 	}
 	if !ok {
 		return pick, false
 	}
-	c.gateway.Rollouts.Chosen(c.assignment, pick.Target.Version, now)
+	c.gateway.Rollouts.RecordSend(c.assignment, pick.Target.Version, now)
 	c.assignmentUnused = false
 	return pick, true
 }
@@ -83,7 +83,7 @@
 // returnAssignment returns an assignment that no attempt used.
 func (c *call) returnAssignment() {
 	if c.assignmentUnused {
-		c.gateway.Rollouts.Unused(c.assignment)
+		c.gateway.Rollouts.Release(c.assignment)
 		c.assignmentUnused = false
 	}
 }
@@ -93,7 +93,7 @@
 	if g.Rollouts == nil {
 		return balance.Versions{}
 	}
-	return g.Rollouts.Admitting(service, now)
+	return g.Rollouts.AdmittedVersions(service, now)
 }
 
 // reportToRollout reports to the rollout of the target's version how the attempt ended.
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -183,7 +183,7 @@
 	}
 	for _, message := range heartbeat.GetRolloutReports() {
 		report := reportOf(message)
-		report.Life = heartbeat.GetLife()
+		report.Incarnation = heartbeat.GetLife()
 		if grant, answered := s.rollouts.Report(from.id, report, now); answered {
 			s.answerReport(from, grant, heartbeat.GetSequence())
 		}
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -140,8 +140,8 @@
 	chosen := decider()
 	waitFor(t, "the decider has all reports", func() bool { return len(fakes[chosen].receivedReports()) == 2 })
 	for from, report := range fakes[chosen].receivedReports() {
-		is.Equal(report.Life, nodes[from].service.incarnation)
-		report.Life = 0
+		is.Equal(report.Incarnation, nodes[from].service.incarnation)
+		report.Incarnation = 0
 		is.Equal(report, sampleReport)
 	}
 	for id, fake := range fakes {
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -7,74 +7,76 @@
 	"github.com/matryer/is"
 )
 
-// parts are all that a controller has around it.
-type parts struct {
-	silent
-	storeOf
-	decides bool
-	live    []string
-	away    bool
+// fakeDeps implements the dependencies of a controller.
+type fakeDeps struct {
+	noopDeps
+	nodeStore
+	decides   bool
+	live      []string
+	storeAway bool
 }
 
-func (p *parts) Decides(string) bool { return p.decides }
-func (p *parts) LiveIDs() []string   { return p.live }
-func (p *parts) Reachable() bool     { return !p.away }
+func (p *fakeDeps) Decides(string) bool { return p.decides }
+func (p *fakeDeps) LiveIDs() []string   { return p.live }
+func (p *fakeDeps) Reachable() bool     { return !p.storeAway }
 
-func controllerOf(p *parts) *Controller {
+func newTestController(p *fakeDeps) *Controller {
 	c := NewController(ControllerOptions{
-		Options: theOptions, Store: p, Peers: p, Registry: p, Watcher: p,
+		Options: testOptions, Store: p, Peers: p, Registry: p, Watcher: p,
 	})
-	c.commit = func(writing) {}
-	c.ordered(orderOf("v2", 1), noon)
+	c.startCommit = func(pendingCommit) {}
+	c.ordered(newOrder("v2", 1), testTime)
 	return c
 }
 
-func reportOf(stage Stage) Report {
-	return Report{Service: TallyName(theService), Order: 1, Stage: stage}
+func testReport(stage Stage) Report {
+	return Report{Service: NameHash(testService), Order: 1, Stage: stage}
 }
 
-// TestHaltIsTold: to all, some times, each notice once.
-func TestHaltIsTold(t *testing.T) {
+// TestHaltNotices checks that a halt is announced to all gateways, several times, and that each
+// notice is sent once.
+func TestHaltNotices(t *testing.T) {
 	is := is.New(t)
-	c := controllerOf(&parts{decides: true, live: []string{"b"}})
-	c.step(noon)
-	c.Grant("b", haltOf(1), time.Time{}, noon)
-	c.step(noon)
-	for i := range noticeTimes {
-		now := noon.Add(time.Duration(i) * noticeEvery)
-		is.Equal(c.Notices(now), []Grant{{Service: TallyName(theService), Order: 1, End: Halted}})
+	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
+	c.step(testTime)
+	c.Grant("b", haltNotice(1), time.Time{}, testTime)
+	c.step(testTime)
+	for i := range noticeRepeats {
+		now := testTime.Add(time.Duration(i) * noticeInterval)
+		is.Equal(c.Notices(now), []Grant{{Service: NameHash(testService), Order: 1, End: Halted}})
 		is.Equal(len(c.Notices(now)), 0)
 	}
-	is.Equal(len(c.Notices(noon.Add(time.Minute))), 0)
-	grant, ok := c.Report("b", reportOf(Canary), noon)
+	is.Equal(len(c.Notices(testTime.Add(time.Minute))), 0)
+	grant, ok := c.Report("b", testReport(Canary), testTime)
 	is.True(ok)
-	is.Equal(grant.For, time.Duration(0)) // and so says each answer
+	is.Equal(grant.For, time.Duration(0)) // each answer announces the halt, too
 }
 
-// TestCompletionIsTold: to all, some times, once the store has it.
-func TestCompletionIsTold(t *testing.T) {
+// TestCompletionNotices checks that a completion is announced to all gateways, several times,
+// once the store has it.
+func TestCompletionNotices(t *testing.T) {
 	cases := map[string]struct {
 		state State
 		err   error
 		want  int
 	}{
-		"completed":             {Completed, nil, noticeTimes},
-		"completed, no answer":  {Completed, errNoAnswer, 0},
-		"completed, outdated":   {Completed, ErrOutdated, 0},
-		"running":               {Running, nil, 0},
-		"rolled back, as halts": {RolledBack, nil, 0},
+		"completed":            {Completed, nil, noticeRepeats},
+		"completed, no answer": {Completed, errNoAnswer, 0},
+		"completed, outdated":  {Completed, ErrOutdated, 0},
+		"running":              {Running, nil, 0},
+		"rolled back":          {RolledBack, nil, 0},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			c := controllerOf(&parts{decides: true, live: []string{"b"}})
-			c.step(noon)
-			record := Record{Order: orderOf("v2", 1), State: test.state, Elapsed: time.Second}
-			c.committed(writing{commit: Commit{Record: record}}, 2, test.err, noon)
-			told := c.Notices(noon.Add(noticeTimes * noticeEvery))
-			is.Equal(len(told), test.want)
-			for _, grant := range told {
-				want := doneOf(1)
+			c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
+			c.step(testTime)
+			record := Record{Order: newOrder("v2", 1), State: test.state, Elapsed: time.Second}
+			c.commitDone(pendingCommit{commit: Commit{Record: record}}, 2, test.err, testTime)
+			notices := c.Notices(testTime.Add(noticeRepeats * noticeInterval))
+			is.Equal(len(notices), test.want)
+			for _, grant := range notices {
+				want := doneNotice(1)
 				want.Age = time.Second
 				is.Equal(grant, want)
 			}
@@ -82,28 +84,29 @@
 	}
 }
 
-// TestWhoAnswers: only a process that decides, and that has looked lately.
-func TestWhoAnswers(t *testing.T) {
+// TestReportsAnsweredByDecider checks that only a process that decides, and that has made a step
+// recently, answers reports.
+func TestReportsAnsweredByDecider(t *testing.T) {
 	is := is.New(t)
-	p := &parts{decides: true, live: []string{"b"}}
-	c := controllerOf(p)
+	p := &fakeDeps{decides: true, live: []string{"b"}}
+	c := newTestController(p)
 	answer := func(now time.Time) (Stage, bool) {
-		grant, ok := c.Report("b", reportOf(Hold), now)
+		grant, ok := c.Report("b", testReport(Hold), now)
 		return grant.Stage, ok
 	}
-	_, ok := answer(noon)
-	is.True(!ok) // it hasn't looked yet
-	c.step(noon)
-	answer(noon)
-	c.step(noon.Add(stepEvery))
-	stage, ok := answer(noon.Add(stepEvery))
+	_, ok := answer(testTime)
+	is.True(!ok) // no step was made yet
+	c.step(testTime)
+	answer(testTime)
+	c.step(testTime.Add(stepInterval))
+	stage, ok := answer(testTime.Add(stepInterval))
 	is.True(ok)
 	is.Equal(stage, Canary)
-	is.Equal(len(c.Reports(noon.Add(stepEvery))), 0) // its own it takes itself
-	_, ok = answer(noon.Add(stepEvery + stepLate + 1))
-	is.True(!ok) // it was held up
+	is.Equal(len(c.Reports(testTime.Add(stepInterval))), 0) // the decider doesn't send its own reports
+	_, ok = answer(testTime.Add(stepInterval + maxStepGap + 1))
+	is.True(!ok) // the process was stalled
 	p.decides = false
-	now := noon.Add(time.Second)
+	now := testTime.Add(time.Second)
 	c.step(now)
 	_, ok = answer(now)
 	is.True(!ok)
@@ -112,45 +115,45 @@
 	c.step(now)
 	stage, ok = answer(now)
 	is.True(ok)
-	is.Equal(stage, Hold) // until it has heard all again
+	is.Equal(stage, Hold) // until all gateways have reported again
 }
 
-// TestCutOff: a process that hears few of the gateways, and not the store, allows itself
-// nothing.
-func TestCutOff(t *testing.T) {
+// TestPartitionedGateway checks that a process in contact with a minority of the gateways, and
+// not with the store, grants nothing.
+func TestPartitionedGateway(t *testing.T) {
 	cases := map[string]struct {
-		live []string
-		away bool
-		want bool
+		live      []string
+		storeAway bool
+		want      bool
 	}{
-		"few are heard":                        {nil, false, true},
-		"the store is away":                    {[]string{"b", "c"}, true, true},
-		"few are heard, and the store is away": {nil, true, false},
+		"few peers":                        {nil, false, true},
+		"store unreachable":                {[]string{"b", "c"}, true, true},
+		"few peers, and store unreachable": {nil, true, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := &parts{decides: true, live: []string{"b", "c"}}
-			control := controllerOf(p)
-			control.step(noon)
-			p.live, p.away = c.live, c.away
-			control.step(noon.Add(stepEvery))
-			_, ok := control.Report("b", reportOf(Hold), noon.Add(stepEvery))
+			p := &fakeDeps{decides: true, live: []string{"b", "c"}}
+			control := newTestController(p)
+			control.step(testTime)
+			p.live, p.storeAway = c.live, c.storeAway
+			control.step(testTime.Add(stepInterval))
+			_, ok := control.Report("b", testReport(Hold), testTime.Add(stepInterval))
 			is.Equal(ok, c.want)
 		})
 	}
 }
 
-// TestOrderedAgainAfterItsEnd: sums of an order that has ended are not the next one's,
-// also if nobody looked in between.
-func TestOrderedAgainAfterItsEnd(t *testing.T) {
+// TestTotalsResetAfterEnd checks that the totals of an order that has ended don't count for the
+// next one, even if no step was made in between.
+func TestTotalsResetAfterEnd(t *testing.T) {
 	is := is.New(t)
-	c := controllerOf(&parts{decides: true, live: []string{"b"}})
-	c.step(noon)
-	c.Report("b", Report{Service: TallyName(theService), Order: 1, Requests: 900, Exposed: 90}, noon)
-	c.recorded(Record{Order: orderOf("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", noon)
-	c.ordered(orderOf("v2", 3), noon)
-	c.step(noon)
-	requests, exposed := c.duties[theService].decider.sums()
+	c := newTestController(&fakeDeps{decides: true, live: []string{"b"}})
+	c.step(testTime)
+	c.Report("b", Report{Service: NameHash(testService), Order: 1, Requests: 900, Exposed: 90}, testTime)
+	c.recorded(Record{Order: newOrder("v2", 1), State: RolledBack, Refused: []string{"v2"}}, 2, "", testTime)
+	c.ordered(newOrder("v2", 3), testTime)
+	c.step(testTime)
+	requests, exposed := c.deciders[testService].decider.totals()
 	is.Equal([]int{requests, exposed}, []int{0, 0})
 }
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -6,161 +6,164 @@
 	"time"
 )
 
-// situation is what a decider is told at each step.
-type situation struct {
-	// view is what the own gate knows; its trial is running.
+// stepInput is the input of one step of a decider.
+type stepInput struct {
+	// view is the state of the own gate; its trial is running.
 	view view
-	// report is what the own gate reports.
+	// report is the own gate's report.
 	report Report
-	// every is the time between reports.
-	every time.Duration
-	// live are the other gateways that are heard.
-	live []string
-	// few says that they are so few that this process is probably cut off from the others,
-	// and most how many there were.
-	few  bool
-	most int
-	// reachable says whether the store answered the last call.
+	// reportInterval is the time between reports.
+	reportInterval time.Duration
+	// livePeers are the other gateways that are alive.
+	livePeers []string
+	// minority is set if there are so few peers that this process is probably partitioned off
+	// from the others; maxPeers is how many there were.
+	minority bool
+	maxPeers int
+	// reachable reports whether the store answered the last call.
 	reachable bool
-	// versions are the service's targets, by version.
+	// versions is the number of the service's targets per version.
 	versions map[string]int
-	// committing says that the store has not yet answered a commit.
+	// committing is set while the store has not answered a commit.
 	committing bool
-	// unsure says that a completion which builds on the known record was not answered:
-	// the store may still take it.
-	unsure bool
+	// completionUnresolved is set if a completion that replaces the known record was not
+	// answered: the store may still apply it.
+	completionUnresolved bool
 }
 
-// decider takes the steps of one service's roll-out. It is pure: it hears reports, and
-// tells what to allow and what to write.
+// decider takes the steps of one service's roll-out. It is a pure state machine: its inputs are
+// reports, and its outputs are what to allow and what to write.
 type decider struct {
 	options Options
 	order   Order
-	// first is the revision of the first order of the trial.
-	first int64
-	// since is when the order became known to the first gateway, as far as is known.
-	since    time.Time
-	deadline time.Time
-	// before are the sums at the last order, if it is not the trial's first.
+	// firstRevision is the revision of the trial's first order.
+	firstRevision int64
+	// knownSince is when the order became known to the first gateway, as far as this process
+	// knows.
+	knownSince time.Time
+	deadline   time.Time
+	// requestsBefore and exposedBefore are the totals at the last order, if it is not the trial's
+	// first.
 	requestsBefore, exposedBefore int
 	judge                         *Judge
-	gateways                      map[string]*heard
-	// began is when this process began to decide.
-	began time.Time
-	every time.Duration
-	stage Stage
-	// moveUntil is when the gateways leave the move; it is in the past but in a move.
+	gateways                      map[string]*gatewayReports
+	// decidingSince is when this process began to decide.
+	decidingSince  time.Time
+	reportInterval time.Duration
+	stage          Stage
+	// moveUntil is when the gateways leave the move. It is in the past unless a move is running.
 	moveBegan, moveUntil time.Time
-	// reason is why the version gets nothing any more; empty if it may.
-	reason string
-	// alone is since when the service has had targets of the version only.
-	alone time.Time
-	// others are the other versions that were seen since the order.
-	others map[string]bool
-	// listed are the versions that had targets when the first order was taken up, if no
-	// gateway had taken it up before; nil before the registry has said so.
-	listed []string
+	// haltReason is why the version may get no more requests; empty if it may.
+	haltReason string
+	// soleSince is when the service was first seen with targets of this version only.
+	soleSince time.Time
+	// otherVersions are the other versions seen since the order.
+	otherVersions map[string]bool
+	// initialVersions are the versions that had targets when the first order was taken up, unless
+	// a gateway had taken up an order before. It is nil until the registry has answered.
+	initialVersions []string
 }
 
 func newDecider(options Options, v view, now time.Time) *decider {
 	return &decider{
-		options: options, order: v.order, first: v.first, since: v.since, began: now,
-		judge: NewJudge(), gateways: make(map[string]*heard), others: make(map[string]bool),
+		options: options, order: v.order, firstRevision: v.firstRevision, knownSince: v.knownSince, decidingSince: now,
+		judge: NewJudge(), gateways: make(map[string]*gatewayReports), otherVersions: make(map[string]bool),
 	}
 }
 
-// rest has the decider allow nothing until it has heard all gateways again: it was not
-// its turn in between.
-func (d *decider) rest(now time.Time) {
-	d.stage, d.began, d.alone = Hold, now, time.Time{}
+// reset makes the decider allow nothing until all gateways have reported again, after another
+// process has decided in between.
+func (d *decider) reset(now time.Time) {
+	d.stage, d.decidingSince, d.soleSince = Hold, now, time.Time{}
 }
 
-// decision is what a step decides; the stage is the decider's.
+// decision is the result of a step. The stage is in the decider.
 type decision struct {
-	// commit is what is to be written, if it isn't nil, with an answer before by.
+	// commit is the commit to make, to be answered before by, or nil.
 	commit *Commit
 	by     time.Time
-	// reason is why the stage or the state is another one now; empty for no change.
+	// reason is why the stage or the state has changed; empty for no change.
 	reason string
 }
 
 // step decides what is allowed from now on, and what is to be written.
-func (d *decider) step(s situation, now time.Time) decision {
-	d.learn(s, now)
-	d.hear(own, s.report, now)
-	if d.reason == "" {
-		d.reason = d.condemned(s, now)
+func (d *decider) step(s stepInput, now time.Time) decision {
+	d.update(s, now)
+	d.addReport(selfID, s.report, now)
+	if d.haltReason == "" {
+		d.haltReason = d.checkHalt(s, now)
 	}
-	if d.reason != "" {
+	if d.haltReason != "" {
 		d.stage = Hold
-		return decision{commit: d.write(s, RolledBack, now), by: now.Add(commitTimeout), reason: d.reason}
+		return decision{commit: d.commitFor(s, RolledBack, now), by: now.Add(commitTimeout), reason: d.haltReason}
 	}
-	if why := d.standing(s, now); why != "" {
-		return decision{commit: d.write(s, Completed, now), by: now.Add(commitTimeout), reason: why}
+	if reason := d.completeWithoutMove(s, now); reason != "" {
+		return decision{commit: d.commitFor(s, Completed, now), by: now.Add(commitTimeout), reason: reason}
 	}
-	why := d.advance(s, now)
-	if d.stage == Move && d.moved(s, now) {
+	reason := d.advance(s, now)
+	if d.stage == Move && d.moveComplete(s, now) {
 		by := d.moveUntil.Add(-holdMargin)
-		return decision{commit: d.write(s, Completed, now), by: by, reason: "all gateways send everything to the version"}
+		return decision{commit: d.commitFor(s, Completed, now), by: by, reason: "all gateways send all requests to the version"}
 	}
-	if s.unsure && !now.Before(d.moveUntil.Add(-holdMargin)) {
-		// The gateways send to the others again: the completion must not be taken now.
-		return decision{commit: d.write(s, Running, now), by: now.Add(commitTimeout), reason: why}
+	if s.completionUnresolved && !now.Before(d.moveUntil.Add(-holdMargin)) {
+		// The gateways send to the other versions again, so the completion must not take effect
+		// now.
+		return decision{commit: d.commitFor(s, Running, now), by: now.Add(commitTimeout), reason: reason}
 	}
-	if d.stage != Move && d.outOfDate(s, now) {
-		return decision{commit: d.write(s, Running, now), by: now.Add(commitTimeout), reason: why}
+	if d.stage != Move && d.recordOutdated(s, now) {
+		return decision{commit: d.commitFor(s, Running, now), by: now.Add(commitTimeout), reason: reason}
 	}
-	return decision{reason: why}
+	return decision{reason: reason}
 }
 
-// outOfDate says whether the record lacks the order, or much of the time since: all
-// gateways may begin anew, and the deadline is to stay. Not shortly before a move, since
-// a record that is written late would take the place of the one that it builds on.
-func (d *decider) outOfDate(s situation, now time.Time) bool {
+// recordOutdated reports whether the record lacks the order or much of the time elapsed since.
+// All gateways may restart, and the deadline must not change. It is false shortly before a move,
+// since a record that is written late would replace the one that the completion builds on.
+func (d *decider) recordOutdated(s stepInput, now time.Time) bool {
 	record := s.view.record
 	if record.Order.Revision < d.order.Revision {
 		return true
 	}
-	age := now.Sub(d.since)
-	return age-record.Elapsed >= elapsedEvery && age+elapsedEvery < d.at(moveFrom)
+	age := now.Sub(d.knownSince)
+	return age-record.Elapsed >= elapsedInterval && age+elapsedInterval < d.timePart(moveStart)
 }
 
-// learn takes what has changed since the last step.
-func (d *decider) learn(s situation, now time.Time) {
-	d.every = s.every
+// update takes over what has changed since the last step.
+func (d *decider) update(s stepInput, now time.Time) {
+	d.reportInterval = s.reportInterval
 	if s.view.order.Revision != d.order.Revision {
-		d.order, d.since = s.view.order, s.view.since
-		d.requestsBefore, d.exposedBefore = d.sums()
+		d.order, d.knownSince = s.view.order, s.view.knownSince
+		d.requestsBefore, d.exposedBefore = d.totals()
 		if d.stage == Move {
-			// The completion of the order before can't be written any more.
+			// The completion of the previous order can no longer be written.
 			d.stage = Canary
 		}
 	}
-	if s.view.since.Before(d.since) {
-		d.since = s.view.since
+	if s.view.knownSince.Before(d.knownSince) {
+		d.knownSince = s.view.knownSince
 	}
-	d.deadline = deadlineOf(d.order, d.since, s.view.notBefore)
-	if d.listed == nil && s.versions != nil {
-		d.listed = listedBefore(s)
+	d.deadline = deadlineOf(d.order, d.knownSince, s.view.notBefore)
+	if d.initialVersions == nil && s.versions != nil {
+		d.initialVersions = versionsBeforeOrder(s)
 	}
 	others := 0
 	for version, count := range s.versions {
 		if version != d.order.Version && count > 0 {
-			d.others[version] = true
+			d.otherVersions[version] = true
 			others += count
 		}
 	}
 	switch {
 	case others > 0 || s.versions[d.order.Version] == 0 || !s.reachable:
-		d.alone = time.Time{}
-	case d.alone.IsZero():
-		d.alone = now
+		d.soleSince = time.Time{}
+	case d.soleSince.IsZero():
+		d.soleSince = now
 	}
 }
 
-// listedBefore are the versions that have targets before the first order's version has
-// shown anything; none if another order or a record came before.
-func listedBefore(s situation) []string {
+// versionsBeforeOrder returns the versions that have targets before the version of the first
+// order has proved itself. It is empty if there was another order or a record before.
+func versionsBeforeOrder(s stepInput) []string {
 	if s.view.revision != 0 {
 		return []string{}
 	}
@@ -170,85 +173,88 @@
 			listed = append(listed, version)
 		}
 	}
-	return namesOf(listed, append([]string{s.view.order.Version}, s.view.refused...)...)
+	return sortedVersions(listed, append([]string{s.view.order.Version}, s.view.refused...)...)
 }
 
-// served are the versions that served before the first order, for the record.
-func (d *decider) served(v view) []string {
+// initialVersionsToRecord returns the versions that served before the first order, for the
+// record.
+func (d *decider) initialVersionsToRecord(v view) []string {
 	if v.record.Current != "" {
 		return nil
 	}
-	served := namesOf(slices.Concat(v.served, d.listed), v.refused...)
+	served := sortedVersions(slices.Concat(v.provenVersions, d.initialVersions), v.refused...)
 	if len(served) == 0 {
 		return nil
 	}
 	return served
 }
 
-// condemned is why the version gets nothing any more; empty if it may.
-func (d *decider) condemned(s situation, now time.Time) string {
+// checkHalt returns why the version may get no more requests; empty if it may.
+func (d *decider) checkHalt(s stepInput, now time.Time) string {
 	if s.view.halted {
-		return "another gateway has halted the version; its log has the reason"
+		return "another gateway halted the version; its log has the reason"
 	}
-	if s.view.proved() {
+	if s.view.isProven() {
 		return ""
 	}
-	verdict, why := d.judge.Verdict()
+	verdict, reason := d.judge.Verdict()
 	if verdict == Bad {
-		return "judged bad: " + why
+		return "judged bad: " + reason
 	}
-	return d.overdue(s, now)
+	return d.checkDeadline(s, now)
 }
 
-// overdue is what the clock says against the version; empty for nothing. Before the
-// deadline the others are heard first: what a new decider lacks they may have.
-func (d *decider) overdue(s situation, now time.Time) string {
+// checkDeadline returns the reason to halt the version for lack of time; empty for none. Before
+// the deadline all gateways must have reported first, since they may have the evidence that a new
+// decider lacks.
+func (d *decider) checkDeadline(s stepInput, now time.Time) string {
 	if !now.Before(d.deadline) {
-		return d.undone(s, "the deadline has passed")
+		return d.appendMissing(s, "the deadline has passed")
 	}
 	if s.versions[d.order.Version] == 0 || d.stage == Move || !d.informed(s, now) {
 		return ""
 	}
-	verdict, why := d.judge.Verdict()
-	if verdict == Undecided && !d.judge.Clean() && now.Sub(d.since) >= d.at(lastMoment) {
-		return d.undone(s, "not judged in time: "+why)
+	verdict, verdictReason := d.judge.Verdict()
+	if verdict == Undecided && !d.judge.Clean() && now.Sub(d.knownSince) >= d.timePart(verdictDeadline) {
+		return d.appendMissing(s, "not judged in time: "+verdictReason)
 	}
-	if !d.alone.IsZero() || now.Add(d.leastMove()).Before(d.deadline) {
+	if !d.soleSince.IsZero() || now.Add(d.minMoveDuration()).Before(d.deadline) {
 		return ""
 	}
-	return d.undone(s, "no time is left for the move")
+	return d.appendMissing(s, "no time is left for the move")
 }
 
-// undone adds to a reason what the roll-out lacks.
-func (d *decider) undone(s situation, reason string) string {
+// appendMissing adds what the roll-out lacks to a reason.
+func (d *decider) appendMissing(s stepInput, reason string) string {
 	switch {
 	case s.versions == nil:
-		return reason + ", and the service is not known"
+		return reason + ", and the service is unknown"
 	case s.versions[d.order.Version] == 0:
 		return reason + ", and the version has no targets"
 	case !s.reachable:
-		return reason + ", and the store is away"
+		return reason + ", and the store is unreachable"
 	}
 	return reason
 }
 
-// at is a part of the time from the order to its deadline.
-func (d *decider) at(of float64) time.Duration {
-	return part(d.deadline.Sub(d.since), of)
+// timePart returns a fraction of the time from the order to its deadline.
+func (d *decider) timePart(factor float64) time.Duration {
+	return scale(d.deadline.Sub(d.knownSince), factor)
 }
 
-// standing is why the version has everything without a move; empty if it hasn't.
-func (d *decider) standing(s situation, now time.Time) string {
-	if s.few {
+// completeWithoutMove returns why the version gets all requests without a move; empty if it
+// doesn't.
+func (d *decider) completeWithoutMove(s stepInput, now time.Time) string {
+	if s.minority {
 		return ""
 	}
 	if d.order.Version == s.view.record.Current {
 		return "the version is the current one"
 	}
-	if s.view.proved() {
+	if s.view.isProven() {
 		return "the version served before the first order"
 	}
-	if d.alone.IsZero() || now.Sub(d.alone) < aloneFor {
+	if d.soleSince.IsZero() || now.Sub(d.soleSince) < soleVersionDelay {
 		return ""
 	}
 	if d.hadOthers(s.view) && !d.judge.Clean() {
@@ -257,99 +263,99 @@
 	return "the service has no targets of other versions"
 }
 
-// hadOthers says whether the service ever had another version, as far as is known: a new
-// decider has not seen those that were there before it.
+// hadOthers reports whether the service is known to have had another version. A new decider
+// hasn't seen the ones that were there before it.
 func (d *decider) hadOthers(v view) bool {
-	return len(d.others) > 0 || v.record.Current != "" || len(v.refused) > 0
+	return len(d.otherVersions) > 0 || v.record.Current != "" || len(v.refused) > 0
 }
 
-// advance goes to another stage if it is time, and says why.
-func (d *decider) advance(s situation, now time.Time) string {
+// advance moves to another stage if it is time, and returns the reason.
+func (d *decider) advance(s stepInput, now time.Time) string {
 	switch d.stage {
 	case Hold:
-		heardAll := d.heardAll(s, now) || d.waited(now)
-		if s.versions[d.order.Version] == 0 || !heardAll {
+		reported := d.allReported(s, now) || d.waitedForReports(now)
+		if s.versions[d.order.Version] == 0 || !reported {
 			return ""
 		}
 		d.stage = Canary
-		return "the version's targets are listed"
+		return "targets of the version are registered"
 	case Canary:
-		return d.begin(s, now)
+		return d.beginMove(s, now)
 	case Move:
 		if now.Before(d.moveUntil) {
 			return ""
 		}
 		d.stage = Canary
-		return "the move's time is over, and the store has not taken it"
+		return "the move ended before the store recorded its completion"
 	}
 	return ""
 }
 
-// begin starts the move if it is time, and says why.
-func (d *decider) begin(s situation, now time.Time) string {
-	verdict, why := d.judge.Verdict()
-	age := now.Sub(d.since)
-	good := verdict == Good && age >= d.at(moveFrom)
+// beginMove starts the move if it is time, and returns the reason.
+func (d *decider) beginMove(s stepInput, now time.Time) string {
+	verdict, reason := d.judge.Verdict()
+	age := now.Sub(d.knownSince)
+	good := verdict == Good && age >= d.timePart(moveStart)
 	if !good {
-		good = verdict != Bad && d.judge.Clean() && age >= d.at(cleanFrom)
+		good = verdict != Bad && d.judge.Clean() && age >= d.timePart(cleanMoveStart)
 	}
-	if !good || !s.reachable || s.committing || s.unsure || s.few || !d.heardAll(s, now) {
+	if !good || !s.reachable || s.committing || s.completionUnresolved || s.minority || !d.allReported(s, now) {
 		return ""
 	}
 	if s.versions[d.order.Version] == 0 || s.view.record.Order.Revision != d.order.Revision {
-		// A record that the store may write later would take the place of the one on
-		// which the completion builds.
+		// A record that the store may apply later would replace the one that the completion
+		// builds on.
 		return ""
 	}
-	lasts := d.affords(s, now)
-	if lasts < d.leastMove() {
+	duration := d.affordableMove(s, now)
+	if duration < d.minMoveDuration() {
 		return ""
 	}
-	d.stage, d.moveBegan, d.moveUntil = Move, now, now.Add(lasts)
-	return fmt.Sprintf("%s; the share is enough for a move of %d ms", why, lasts.Milliseconds())
+	d.stage, d.moveBegan, d.moveUntil = Move, now, now.Add(duration)
+	return fmt.Sprintf("%s; the share allows a move of %d ms", reason, duration.Milliseconds())
 }
 
-// leastMove is how long a move lasts at least: all gateways hear of it with their next
-// report, say so, and the store answers.
-func (d *decider) leastMove() time.Duration {
-	return d.entryEvery() + entryMargin + commitReserve
+// minMoveDuration returns the shortest useful duration of a move: all gateways receive its grant
+// with their next report and confirm it, and the store answers.
+func (d *decider) minMoveDuration() time.Duration {
+	return d.moveReportInterval() + entryMargin + commitReserve
 }
 
-// stepEvery is the time until the next look at the roll-out.
-func (d *decider) stepEvery() time.Duration {
+// stepInterval returns the time until the next evaluation of the roll-out.
+func (d *decider) stepInterval() time.Duration {
 	if d.stage == Move {
-		return moveStepEvery
+		return moveStepInterval
 	}
-	return stepEvery
+	return stepInterval
 }
 
-// entryEvery is the time between reports when a move may begin.
-func (d *decider) entryEvery() time.Duration {
-	if hurried(d.order, d.options) {
-		return d.every / hurry
+// moveReportInterval returns the time between reports when a move may begin.
+func (d *decider) moveReportInterval() time.Duration {
+	if isShortOrder(d.order, d.options) {
+		return d.reportInterval / shortOrderReportFactor
 	}
-	return d.every
+	return d.reportInterval
 }
 
-// moved says whether the completion may be written now: all live gateways obey the
-// move, all requests have gone to the version for a while, and nothing is under way at
-// others, or there is no more time to wait for it.
-func (d *decider) moved(s situation, now time.Time) bool {
-	if !s.reachable || s.few || !now.Before(d.moveUntil.Add(-holdMargin)) {
+// moveComplete reports whether the completion may be written now: all live gateways follow the
+// move, all requests have gone to the version for a while, and no requests are in flight at other
+// versions, or there is no more time to wait for them.
+func (d *decider) moveComplete(s stepInput, now time.Time) bool {
+	if !s.reachable || s.minority || !now.Before(d.moveUntil.Add(-holdMargin)) {
 		return false
 	}
 	others := 0
-	for id, h := range d.gateways {
-		if id == own || slices.Contains(s.live, id) {
-			others += h.report.Others
+	for id, g := range d.gateways {
+		if id == selfID || slices.Contains(s.livePeers, id) {
+			others += g.report.Others
 		}
 	}
-	for _, id := range append([]string{own}, s.live...) {
-		h := d.gateways[id]
-		if h == nil || !h.obeysMove(d.order.Revision) || h.at.Before(d.moveBegan) || d.late(h, now) {
+	for _, id := range append([]string{selfID}, s.livePeers...) {
+		g := d.gateways[id]
+		if g == nil || !g.obeysMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
 			return false
 		}
 	}
-	seen := now.Sub(d.moveBegan) >= seenReports*d.entryEvery()
-	return seen && others == 0 || now.Add(commitReserve).After(d.moveUntil)
+	longEnough := now.Sub(d.moveBegan) >= minMoveReports*d.moveReportInterval()
+	return longEnough && others == 0 || now.Add(commitReserve).After(d.moveUntil)
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -6,37 +6,38 @@
 )
 
 const (
-	// routeTraffic is how many answers of the others make a route one with traffic: of
-	// fewer requests, the version can't have got a share.
-	routeTraffic = 4
-	// rarePart is the part of the service's answers below which a route is rare: a tenth
-	// of the requests of a short order holds no sample of its own for it.
-	rarePart = 0.05
-	// waitOthers and waitRounds are how long the version's news waits for the others':
-	// until they gave so many answers on the route, or all gateways have had time for so
-	// many reports. Trouble that begins on both sides shows in the others' shares only then.
-	waitOthers = 30
-	waitRounds = 2
-	// waitMost is by how many answers what waits may exceed what the others gave since:
-	// there are more only in the move, when the others get no requests.
-	waitMost = 6
-	// cleanEvidence is the least that the tests of all routes together must say in favour
-	// of a version that is called clean: that of some three good answers. Without any,
+	// minRouteAnswers is the number of the others' answers from which a route counts as one with
+	// traffic. With fewer requests, the version can't have received a share of them.
+	minRouteAnswers = 4
+	// rareRoutePart is the part of the service's answers below which a route is rare: a tenth of
+	// the requests of a short order doesn't contain a sample of its own for it.
+	rareRoutePart = 0.05
+	// maxDeferOthers and maxDeferRounds limit how long the version's answers are deferred in
+	// favour of the others': until the others have given this many answers on the route, or all
+	// gateways have had time for this many reports. Trouble that starts on both sides only shows
+	// in the others' shares by then.
+	maxDeferOthers = 30
+	maxDeferRounds = 2
+	// maxDeferExcess is by how many answers the deferred ones may exceed those of the others
+	// since. The excess is only larger during the move, when the others get no requests.
+	maxDeferExcess = 6
+	// cleanWeight is the least weight in favour of a version that the tests of all routes together
+	// must reach to call it clean, which is that of some three good answers. Without any answers
 	// nothing is known.
-	cleanEvidence = -1.0
+	cleanWeight = -1.0
 )
 
-// Verdict is what is known of a version.
+// Verdict is the judgement of a version.
 type Verdict int
 
-// The verdicts. Bad is never taken back; Good is, when the version turns bad.
+// The verdicts. Bad is final; Good is revoked if the version turns bad.
 const (
 	Undecided Verdict = iota
 	Good
 	Bad
 )
 
-// String is the verdict in a word.
+// String returns the verdict in lower case.
 func (v Verdict) String() string {
 	switch v {
 	case Undecided:
@@ -49,24 +50,24 @@
 	return fmt.Sprintf("verdict %d", int(v))
 }
 
-// Counts are answers; Failed and Slow are among them, and no answer is both.
+// Counts counts answers. Failed and Slow are included in Answers, and no answer is both.
 type Counts struct {
 	Answers, Failed, Slow int
 }
 
-func (c Counts) plus(more Counts) Counts {
-	return Counts{c.Answers + more.Answers, c.Failed + more.Failed, c.Slow + more.Slow}
+func (c Counts) add(other Counts) Counts {
+	return Counts{c.Answers + other.Answers, c.Failed + other.Failed, c.Slow + other.Slow}
 }
 
-// since is what came after an earlier sum; false if this one isn't a later sum of the
-// same counter.
-func (c Counts) since(earlier Counts) (Counts, bool) {
-	news := Counts{c.Answers - earlier.Answers, c.Failed - earlier.Failed, c.Slow - earlier.Slow}
-	return news, news.valid()
+// delta returns the answers since an earlier total; false if c is not a later total of the same
+// counter.
+func (c Counts) delta(earlier Counts) (Counts, bool) {
+	delta := Counts{c.Answers - earlier.Answers, c.Failed - earlier.Failed, c.Slow - earlier.Slow}
+	return delta, delta.valid()
 }
 
-// whole are the answers that did not fail: those that have a pace.
-func (c Counts) whole() int {
+// succeeded returns the number of answers that did not fail, which are the ones that have a pace.
+func (c Counts) succeeded() int {
 	return c.Answers - c.Failed
 }
 
@@ -80,271 +81,273 @@
 	Route   uint32 `json:"route"`
 	Version Counts `json:"of_version"`
 	Others  Counts `json:"of_others"`
-	// Passed says that the version's sample is large enough and good.
+	// Passed is set if the version's sample is large enough and good.
 	Passed bool `json:"passed"`
 }
 
-// Judge compares the answers of the version on trial with those of the others, by route,
-// from the tallies of all gateways. It is not safe for concurrent use.
+// Judge compares the answers of the version on trial with those of the others, by route, based on
+// the tallies of all gateways. It is not safe for concurrent use.
 type Judge struct {
-	// known are the last sums of each gateway's counters.
+	// known holds the last totals of each gateway's counters.
 	known  map[string]map[tallyKey]Counts
 	routes map[uint32]*judgedRoute
-	// names are the keys of routes, in order.
-	names []uint32
-	// rare are the common tests of the routes with few requests, and whole those of all
-	// routes: they find soonest what strikes all of them.
-	rare, whole tests
-	// failures and slow are the troubles of the others lately, on all routes.
-	failures, slow baseline
+	// routeKeys holds the sorted keys of routes.
+	routeKeys []uint32
+	// rareRoutes are the combined tests of the routes with few requests. allRoutes are those of
+	// all routes, which are the first to detect trouble that affects all of them.
+	rareRoutes, allRoutes routeTests
+	// failureBaseline and slowBaseline are the recent troubles of the others over all routes.
+	failureBaseline, slowBaseline baseline
 	// bad is why the version is bad; empty until it is.
 	bad string
-	// takes is how many reports were taken, and ignored how many sums were of no use.
-	takes, ignored int
+	// reports counts the reports taken in, and ignored the totals that were stale or invalid.
+	reports, ignored int
 }
 
 type judgedRoute struct {
-	tests
-	failuresBase, slowBase baseline
-	// waiting is, from the first on, the version's news that is not judged yet, the oldest
-	// first, and waitingAnswers how many answers that is.
-	waiting               []waitingNews
-	first, waitingAnswers int
+	routeTests
+	failureBaseline, slowBaseline baseline
+	// deferred[head:] are the version's answers that are not evaluated yet, oldest first, and
+	// deferredAnswers is their number.
+	deferred              []deferredTally
+	head, deferredAnswers int
 }
 
-// waitingNews waits until the others' answers show how it was at its time.
-type waitingNews struct {
-	news Tally
-	// others is how many answers the others had given on the route when it came, and
-	// takes the number of Judge.Take that brought it.
-	others, takes int
+// deferredTally is kept until the others' answers show how things were at its time.
+type deferredTally struct {
+	tally Tally
+	// othersAnswers is the number of answers that the others had given on the route when the
+	// tally arrived, and report the number of the report that brought it.
+	othersAnswers, report int
 }
 
 // NewJudge returns a judge that has seen no answers.
 func NewJudge() *Judge {
 	return &Judge{
-		known:  make(map[string]map[tallyKey]Counts),
-		routes: make(map[uint32]*judgedRoute),
-		rare:   tests{what: "routes with few requests together"},
-		whole:  tests{what: "all routes together"},
+		known:      make(map[string]map[tallyKey]Counts),
+		routes:     make(map[uint32]*judgedRoute),
+		rareRoutes: routeTests{scope: "routes with few requests together"},
+		allRoutes:  routeTests{scope: "all routes together"},
 	}
 }
 
-// Take takes the sums that a gateway has reported. A gateway that has begun anew needs
-// another name. Lost reports do no harm, as the next sums hold their news, and neither do
-// those that come late or twice: a sum that is no later one of its counter is ignored.
-func (j *Judge) Take(gateway string, tallies []Tally) {
+// AddReport takes in the totals that a gateway has reported. A restarted gateway needs another
+// name. Lost reports do no harm, as the next totals include their answers, and neither do late or
+// repeated ones: a total that is no later one of its counter is ignored.
+func (j *Judge) AddReport(gateway string, tallies []Tally) {
 	known, ok := j.known[gateway]
 	if !ok {
 		known = make(map[tallyKey]Counts)
 		j.known[gateway] = known
 	}
-	j.takes++
-	for _, tally := range j.newsOf(known, tallies) {
+	j.reports++
+	for _, tally := range j.increments(known, tallies) {
 		if tally.Target == 0 {
-			j.takeOthers(tally)
+			j.addOthers(tally)
 		} else {
-			j.routeOf(tally.Route).wait(tally, j.takes)
+			j.routeFor(tally.Route).deferTally(tally, j.reports)
 		}
 	}
-	weighed := false
-	for _, name := range j.names {
-		if route := j.routes[name]; j.judge(route) {
-			j.settle(&route.tests)
-			weighed = true
+	evaluated := false
+	for _, name := range j.routeKeys {
+		if route := j.routes[name]; j.evaluate(route) {
+			j.update(&route.routeTests)
+			evaluated = true
 		}
 	}
-	if weighed {
-		j.settle(&j.rare)
-		j.settle(&j.whole)
+	if evaluated {
+		j.update(&j.rareRoutes)
+		j.update(&j.allRoutes)
 	}
 }
 
-// settle sums up tests that have news; the first that make the version bad say why.
-func (j *Judge) settle(t *tests) {
-	t.settle()
+// update recomputes tests that have new answers. The first ones to find the version bad give the
+// reason.
+func (j *Judge) update(t *routeTests) {
+	t.update()
 	if j.bad == "" && t.bad() {
-		j.bad = t.why()
+		j.bad = t.explain()
 	}
 }
 
-// newsOf is what is new in sums, as tallies of the news alone.
-func (j *Judge) newsOf(known map[tallyKey]Counts, tallies []Tally) []Tally {
-	news := make([]Tally, 0, len(tallies))
+// increments returns what the totals add to the known ones, as tallies of the added answers
+// alone.
+func (j *Judge) increments(known map[tallyKey]Counts, tallies []Tally) []Tally {
+	increments := make([]Tally, 0, len(tallies))
 	for _, tally := range tallies {
 		key := tallyKey{tally.Route, tally.Target}
 		sum := Counts{tally.Answers, tally.Failed, tally.Slow}
-		fresh, ok := sum.since(known[key])
+		delta, ok := sum.delta(known[key])
 		if !ok {
 			j.ignored++
 			continue
 		}
-		if fresh.Answers == 0 {
+		if delta.Answers == 0 {
 			continue
 		}
 		known[key] = sum
-		news = append(news, Tally{tally.Route, tally.Target, fresh.Answers, fresh.Failed, fresh.Slow})
+		increments = append(increments, Tally{tally.Route, tally.Target, delta.Answers, delta.Failed, delta.Slow})
 	}
-	return news
+	return increments
 }
 
-// Ignored is how many sums were of no use: older than what was known, or impossible.
+// Ignored returns the number of totals that were older than the known ones or impossible.
 func (j *Judge) Ignored() int {
 	return j.ignored
 }
 
-func (j *Judge) routeOf(name uint32) *judgedRoute {
+func (j *Judge) routeFor(name uint32) *judgedRoute {
 	route, ok := j.routes[name]
 	if !ok {
-		route = &judgedRoute{tests: tests{what: fmt.Sprintf("route %08x", name)}}
+		route = &judgedRoute{routeTests: routeTests{scope: fmt.Sprintf("route %08x", name)}}
 		j.routes[name] = route
-		at, _ := slices.BinarySearch(j.names, name)
-		j.names = slices.Insert(j.names, at, name)
+		index, _ := slices.BinarySearch(j.routeKeys, name)
+		j.routeKeys = slices.Insert(j.routeKeys, index, name)
 	}
 	return route
 }
 
-func (j *Judge) takeOthers(news Tally) {
-	route := j.routeOf(news.Route)
-	counts := Counts{news.Answers, news.Failed, news.Slow}
-	route.others = route.others.plus(counts)
-	j.whole.others = j.whole.others.plus(counts)
+func (j *Judge) addOthers(tally Tally) {
+	route := j.routeFor(tally.Route)
+	counts := Counts{tally.Answers, tally.Failed, tally.Slow}
+	route.others = route.others.add(counts)
+	j.allRoutes.others = j.allRoutes.others.add(counts)
 	if j.isRare(route) {
-		j.rare.others = j.rare.others.plus(counts)
+		j.rareRoutes.others = j.rareRoutes.others.add(counts)
 	}
-	route.failuresBase.add(counts.Answers, counts.Failed)
-	route.slowBase.add(counts.whole(), counts.Slow)
-	j.failures.add(counts.Answers, counts.Failed)
-	j.slow.add(counts.whole(), counts.Slow)
+	route.failureBaseline.add(counts.Answers, counts.Failed)
+	route.slowBaseline.add(counts.succeeded(), counts.Slow)
+	j.failureBaseline.add(counts.Answers, counts.Failed)
+	j.slowBaseline.add(counts.succeeded(), counts.Slow)
 }
 
-// wait puts the version's news off.
-func (r *judgedRoute) wait(news Tally, takes int) {
-	r.waiting = append(r.waiting, waitingNews{news: news, others: r.others.Answers, takes: takes})
-	r.waitingAnswers += news.Answers
+// deferTally queues the version's answers for later evaluation.
+func (r *judgedRoute) deferTally(tally Tally, report int) {
+	r.deferred = append(r.deferred, deferredTally{tally: tally, othersAnswers: r.others.Answers, report: report})
+	r.deferredAnswers += tally.Answers
 }
 
-// due says whether the oldest of what waits can be judged: the others have answered since,
-// or all gateways have had time to say so, or they answer no more.
-func (r *judgedRoute) due(takes int) bool {
-	if r.first == len(r.waiting) {
+// ready reports whether the oldest deferred tally can be evaluated: the others have answered
+// since, all gateways have had time to report that, or the others answer no more.
+func (r *judgedRoute) ready(dueReport int) bool {
+	if r.head == len(r.deferred) {
 		return false
 	}
-	oldest := r.waiting[r.first]
-	others := r.others.Answers - oldest.others
-	return others >= waitOthers || takes >= oldest.takes || r.waitingAnswers > others+waitMost
+	oldest := r.deferred[r.head]
+	others := r.others.Answers - oldest.othersAnswers
+	return others >= maxDeferOthers || dueReport >= oldest.report || r.deferredAnswers > others+maxDeferExcess
 }
 
-// next takes the oldest of what waits; compact must follow.
-func (r *judgedRoute) next() Tally {
-	news := r.waiting[r.first].news
-	r.waitingAnswers -= news.Answers
-	r.first++
-	return news
+// pop removes the oldest deferred tally; compact must follow.
+func (r *judgedRoute) pop() Tally {
+	tally := r.deferred[r.head].tally
+	r.deferredAnswers -= tally.Answers
+	r.head++
+	return tally
 }
 
 func (r *judgedRoute) compact() {
-	r.waiting = slices.Delete(r.waiting, 0, r.first)
-	r.first = 0
+	r.deferred = slices.Delete(r.deferred, 0, r.head)
+	r.head = 0
 }
 
-// judge weighs the news of a route that is due; false if none is.
-func (j *Judge) judge(route *judgedRoute) bool {
-	earliest := j.takes - waitRounds*len(j.known)
-	if !route.due(earliest) {
+// evaluate weighs the deferred answers of a route that are ready; false if none are.
+func (j *Judge) evaluate(route *judgedRoute) bool {
+	dueReport := j.reports - maxDeferRounds*len(j.known)
+	if !route.ready(dueReport) {
 		return false
 	}
-	failureOdds := oddsOver(route.failuresBase.of(&j.failures, baseFailures))
-	slowOdds := oddsOver(route.slowBase.of(&j.slow, baseSlow))
+	failureOdds := newLogOdds(route.failureBaseline.tolerated(&j.failureBaseline, minBaseFailures))
+	slowOdds := newLogOdds(route.slowBaseline.tolerated(&j.slowBaseline, minBaseSlow))
 	rare := j.isRare(route)
-	for route.due(earliest) {
-		news := route.next()
-		counts := Counts{news.Answers, news.Failed, news.Slow}
-		route.take(news.Target, counts, failureOdds, slowOdds)
-		j.whole.take(news.Target, counts, failureOdds, slowOdds)
+	for route.ready(dueReport) {
+		tally := route.pop()
+		counts := Counts{tally.Answers, tally.Failed, tally.Slow}
+		route.add(tally.Target, counts, failureOdds, slowOdds)
+		j.allRoutes.add(tally.Target, counts, failureOdds, slowOdds)
 		if rare {
-			j.rare.take(news.Target, counts, failureOdds, slowOdds)
+			j.rareRoutes.add(tally.Target, counts, failureOdds, slowOdds)
 		}
 	}
 	route.compact()
 	return true
 }
 
-// isRare says whether a route has few of the service's requests.
+// isRare reports whether a route has few of the service's requests.
 func (j *Judge) isRare(route *judgedRoute) bool {
-	return float64(route.others.Answers) < rarePart*float64(j.whole.others.Answers)
+	return float64(route.others.Answers) < rareRoutePart*float64(j.allRoutes.others.Answers)
 }
 
-// passed says whether a route with traffic is good by its own tests or, if it is rare, by
-// the common ones.
+// passed reports whether a route with traffic is good by its own tests or, if it is rare, by the
+// combined ones.
 func (j *Judge) passed(route *judgedRoute) bool {
-	return route.passed() || j.isRare(route) && j.rare.passed()
+	return route.passed() || j.isRare(route) && j.rareRoutes.passed()
 }
 
-// Verdict is what is known now, and why, in plain words with the figures. A version is
-// good when each route with traffic has passed both tests.
+// Verdict returns the current verdict and its reason, in plain language with the figures. A
+// version is good when each route with traffic has passed both tests.
 func (j *Judge) Verdict() (Verdict, string) {
 	if j.bad != "" {
 		return Bad, j.bad
 	}
-	busy, passed := 0, 0
+	withTraffic, passed := 0, 0
 	for _, route := range j.routes {
-		if !route.busy() {
+		if !route.hasTraffic() {
 			continue
 		}
-		busy++
+		withTraffic++
 		if j.passed(route) {
 			passed++
 		}
 	}
-	reason := fmt.Sprintf("%d of %d routes with traffic have passed", passed, busy)
-	if busy > 0 && passed == busy && j.whole.passed() {
+	reason := fmt.Sprintf("%d of %d routes with traffic have passed", passed, withTraffic)
+	if withTraffic > 0 && passed == withTraffic && j.allRoutes.passed() {
 		return Good, reason
 	}
 	return Undecided, reason
 }
 
-// Wanted are the routes with traffic whose samples on the version are too small yet, in
-// order. They are all routes if only what they show together speaks against the version.
-func (j *Judge) Wanted() []uint32 {
+// UndersampledRoutes returns the routes with traffic whose samples of the version are still too
+// small, sorted. It returns all routes if only their combined answers speak against the version.
+func (j *Judge) UndersampledRoutes() []uint32 {
 	if j.bad != "" {
 		return nil
 	}
-	var busy, wanted []uint32
-	for _, name := range j.names {
+	var withTraffic, wanted []uint32
+	for _, name := range j.routeKeys {
 		route := j.routes[name]
-		if !route.busy() {
+		if !route.hasTraffic() {
 			continue
 		}
-		busy = append(busy, name)
+		withTraffic = append(withTraffic, name)
 		if !j.passed(route) {
 			wanted = append(wanted, name)
 		}
 	}
-	if len(wanted) == 0 && !j.whole.passed() {
-		return busy
+	if len(wanted) == 0 && !j.allRoutes.passed() {
+		return withTraffic
 	}
 	return wanted
 }
 
-// Clean says that nothing speaks against the version so far, and something in favour of
-// it, although samples may be small. It is what can be said when the time is over.
+// Clean reports whether nothing speaks against the version so far, and something in favour of it,
+// even if the samples are small. It is the criterion when time is running out.
 func (j *Judge) Clean() bool {
-	if j.bad != "" || j.rare.doubted() {
+	if j.bad != "" || j.rareRoutes.suspect() {
 		return false
 	}
 	for _, route := range j.routes {
-		if route.doubted() {
+		if route.suspect() {
 			return false
 		}
 	}
-	return j.whole.failures.sound+j.whole.slow.sound <= cleanEvidence
+	return j.allRoutes.failures.soundWeight+j.allRoutes.slow.soundWeight <= cleanWeight
 }
 
-// Routes are the sums of each route, for operators, in the order of their names.
+// Routes returns the totals of each route for operators, sorted by name.
 func (j *Judge) Routes() []RouteSum {
-	sums := make([]RouteSum, 0, len(j.names))
-	for _, name := range j.names {
+	sums := make([]RouteSum, 0, len(j.routeKeys))
+	for _, name := range j.routeKeys {
 		route := j.routes[name]
 		sums = append(sums, RouteSum{
 			Route:   name,
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -19,249 +19,250 @@
 	goleak.VerifyTestMain(m)
 }
 
-// TestOrders: what operators order while a roll-out runs, or has ended.
+// TestOrders checks the result of orders that are given while a roll-out runs, or after it has
+// ended.
 func TestOrders(t *testing.T) {
-	const lasts = 20 * time.Second
+	const duration = 20 * time.Second
 	cases := map[string]struct {
-		play func(w *world)
-		want Record
+		setup func(cl *cluster)
+		want  Record
 	}{
 		"another version while it runs": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.order("v3", lasts)
-				w.run(lasts)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.order("v3", duration)
+				cl.run(duration)
 			},
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"another version while a bad one runs": {
-			func(w *world) {
-				w.form = forms["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(time.Second)
-				w.order("v3", lasts)
-				w.run(lasts)
+			func(cl *cluster) {
+				cl.behavior = versionBehaviors["fails at once"]
+				cl.order(newVersion, duration)
+				cl.run(time.Second)
+				cl.order("v3", duration)
+				cl.run(duration)
 			},
 			Record{State: Completed, Current: "v3", Refused: []string{"v1", "v2"}},
 		},
 		"withdrawn while it runs": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.store.withdraw()
-				w.run(time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.store.withdraw()
+				cl.run(time.Second)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"withdrawn while it runs and all gateways begin anew": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.store.withdraw()
-				for _, n := range w.nodes {
-					w.store.history = w.store.history[len(w.store.history)-1:]
-					n.begin()
-					record, revision := w.store.record, w.store.recordRevision
-					n.control.recorded(record, revision, "", w.now)
+		"withdrawn while it runs and all gateways restart": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.store.withdraw()
+				for _, n := range cl.nodes {
+					cl.store.history = cl.store.history[len(cl.store.history)-1:]
+					n.start()
+					record, revision := cl.store.record, cl.store.recordRevision
+					n.control.recorded(record, revision, "", cl.now)
 				}
-				w.run(settleFor + time.Second)
+				cl.run(replicaReadTime + time.Second)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"withdrawn at once": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.store.withdraw()
-				w.run(2 * time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.store.withdraw()
+				cl.run(2 * time.Second)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"withdrawn after its completion": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.store.withdraw()
-				w.run(settleFor + time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(duration)
+				cl.store.withdraw()
+				cl.run(replicaReadTime + time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the old version while it runs": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.order(oldVersion, lasts)
-				w.run(time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.order(oldVersion, duration)
+				cl.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version at once after the new one": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.order(oldVersion, lasts)
-				w.run(2 * time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.order(oldVersion, duration)
+				cl.run(2 * time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
-		"the old version while it runs, and all gateways begin anew": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				for _, n := range w.nodes {
-					n.begin()
+		"the old version while it runs, and all gateways restart": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				for _, n := range cl.nodes {
+					n.start()
 				}
-				w.order(oldVersion, lasts)
-				w.run(2 * time.Second)
+				cl.order(oldVersion, duration)
+				cl.run(2 * time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version after the new one was rolled back": {
-			func(w *world) {
-				w.form = forms["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.order(oldVersion, lasts)
-				w.run(time.Second)
+			func(cl *cluster) {
+				cl.behavior = versionBehaviors["fails at once"]
+				cl.order(newVersion, duration)
+				cl.run(duration)
+				cl.order(oldVersion, duration)
+				cl.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
-		"the old version while the store is away": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.order(oldVersion, lasts)
-				w.store.down = true
-				w.run(lasts)
-				w.store.down = false
-				w.run(2 * time.Second)
+		"the old version while the store is down": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.order(oldVersion, duration)
+				cl.store.down = true
+				cl.run(duration)
+				cl.store.down = false
+				cl.run(2 * time.Second)
 			},
 			Record{State: Completed, Current: "v1", Refused: []string{"v2"}},
 		},
 		"the old version, withdrawn before its end is written": {
-			func(w *world) {
-				w.order(oldVersion, lasts)
-				w.store.withdraw()
-				w.run(2 * time.Second)
+			func(cl *cluster) {
+				cl.order(oldVersion, duration)
+				cl.store.withdraw()
+				cl.run(2 * time.Second)
 			},
 			Record{State: RolledBack},
 		},
-		"the first order is for the version that all have": {
-			func(w *world) {
-				w.order(oldVersion, lasts)
-				w.run(time.Second)
+		"the first order is for the only version": {
+			func(cl *cluster) {
+				cl.order(oldVersion, duration)
+				cl.run(time.Second)
 			},
 			Record{State: Completed, Current: "v1"},
 		},
 		"ordered again while it runs": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				w.order(newVersion, lasts)
-				w.run(lasts)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				cl.order(newVersion, duration)
+				cl.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"ordered again after its completion": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.order(newVersion, lasts)
-				w.run(time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(duration)
+				cl.order(newVersion, duration)
+				cl.run(time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"ordered again after it was rolled back": {
-			func(w *world) {
-				w.form = forms["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(lasts)
-				w.form = form{}
-				w.order(newVersion, lasts)
-				w.run(lasts)
+			func(cl *cluster) {
+				cl.behavior = versionBehaviors["fails at once"]
+				cl.order(newVersion, duration)
+				cl.run(duration)
+				cl.behavior = versionBehavior{}
+				cl.order(newVersion, duration)
+				cl.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the only version there is": {
-			func(w *world) {
-				delete(w.targets, oldVersion)
-				w.order(newVersion, lasts)
-				w.run(aloneFor + time.Second)
+			func(cl *cluster) {
+				delete(cl.targets, oldVersion)
+				cl.order(newVersion, duration)
+				cl.run(soleVersionDelay + time.Second)
 			},
 			Record{State: Completed, Current: "v2"},
 		},
-		"entries lapse for a while": {
-			func(w *world) {
-				w.form = forms["fails at once"]
-				w.order(newVersion, lasts)
-				delete(w.targets, oldVersion)
-				w.run(aloneFor - time.Second)
-				w.targets[oldVersion] = 10
-				w.run(lasts)
+		"entries expire for a while": {
+			func(cl *cluster) {
+				cl.behavior = versionBehaviors["fails at once"]
+				cl.order(newVersion, duration)
+				delete(cl.targets, oldVersion)
+				cl.run(soleVersionDelay - time.Second)
+				cl.targets[oldVersion] = 10
+				cl.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"entries lapse while the store is down": {
-			func(w *world) {
-				w.form = forms["fails at once"]
-				w.order(newVersion, lasts)
-				w.run(time.Second)
-				w.store.down = true
-				delete(w.targets, oldVersion)
-				w.run(aloneFor + time.Second)
-				w.store.down = false
-				w.run(time.Second)
-				w.targets[oldVersion] = 10
-				w.run(lasts)
+		"entries expire while the store is down": {
+			func(cl *cluster) {
+				cl.behavior = versionBehaviors["fails at once"]
+				cl.order(newVersion, duration)
+				cl.run(time.Second)
+				cl.store.down = true
+				delete(cl.targets, oldVersion)
+				cl.run(soleVersionDelay + time.Second)
+				cl.store.down = false
+				cl.run(time.Second)
+				cl.targets[oldVersion] = 10
+				cl.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
 		"no targets by the deadline": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.events = nil
-				w.store.putOrder(Order{Service: theService, Version: newVersion, Duration: lasts})
-				w.run(lasts)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.events = nil
+				cl.store.putOrder(Order{Service: testService, Version: newVersion, Duration: duration})
+				cl.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"the service is not known": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.targets = nil
-				w.run(lasts)
+		"unknown service": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.targets = nil
+				cl.run(duration)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"its targets come late": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(targetsAfter)
-				delete(w.targets, newVersion)
-				w.run(8 * time.Second)
-				w.targets[newVersion] = 10
-				w.run(lasts - 8*time.Second)
+		"targets register late": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(registrationDelay)
+				delete(cl.targets, newVersion)
+				cl.run(8 * time.Second)
+				cl.targets[newVersion] = 10
+				cl.run(duration - 8*time.Second)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
 		"the store is down at the deadline": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(lasts / 2)
-				w.store.down = true
-				w.run(lasts)
-				w.store.down = false
-				w.run(time.Second)
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(duration / 2)
+				cl.store.down = true
+				cl.run(duration)
+				cl.store.down = false
+				cl.run(time.Second)
 			},
 			Record{State: RolledBack, Refused: []string{"v2"}},
 		},
-		"all gateways begin anew": {
-			func(w *world) {
-				w.order(newVersion, lasts)
-				w.run(5 * time.Second)
-				for _, n := range w.nodes {
-					n.begin()
+		"all gateways restart": {
+			func(cl *cluster) {
+				cl.order(newVersion, duration)
+				cl.run(5 * time.Second)
+				for _, n := range cl.nodes {
+					n.start()
 				}
-				w.run(lasts)
+				cl.run(duration)
 			},
 			Record{State: Completed, Current: "v2", Refused: []string{"v1"}},
 		},
@@ -269,146 +270,145 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, 5, form{}, 1)
-			c.play(w)
-			w.want(c.want.State)
-			is.Equal(w.store.record.Current, c.want.Current)
-			is.Equal(append([]string(nil), w.store.record.Refused...), c.want.Refused)
+			cl := newCluster(t, 5, versionBehavior{}, 1)
+			c.setup(cl)
+			cl.wantState(c.want.State)
+			is.Equal(cl.store.record.Current, c.want.Current)
+			is.Equal(append([]string(nil), cl.store.record.Refused...), c.want.Refused)
 		})
 	}
 }
 
-// TestAnyOrderOfEvents: the bounds hold whatever happens when.
-func TestAnyOrderOfEvents(t *testing.T) {
+// TestRandomEvents checks that the bounds hold for any sequence of events.
+func TestRandomEvents(t *testing.T) {
 	var names []string
 	for name := range faults {
 		names = append(names, name)
 	}
-	slices.Sort(names) // or the same draws were other faults in the next run
+	slices.Sort(names) // so that the same draws give the same faults in each run
 	rapid.Check(t, func(rt *rapid.T) {
-		f := forms[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
-		lasts := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
-		w := newWorld(rt, rapid.IntRange(1, 7).Draw(rt, "gateways"), f, rapid.Uint64().Draw(rt, "seed"))
-		w.rate = float64(rapid.IntRange(20, 400).Draw(rt, "rate"))
-		w.order(newVersion, lasts)
-		end := w.now.Add(lasts)
-		w.run(300 * time.Millisecond) // an order that nobody has seen binds nobody
+		behavior := versionBehaviors[rapid.SampledFrom([]string{"good", "fails at once", "slow", "bad on one route"}).Draw(rt, "form")]
+		duration := time.Duration(rapid.IntRange(6, 24).Draw(rt, "seconds")) * time.Second
+		cl := newCluster(rt, rapid.IntRange(1, 7).Draw(rt, "gateways"), behavior, rapid.Uint64().Draw(rt, "seed"))
+		cl.rate = float64(rapid.IntRange(20, 400).Draw(rt, "rate"))
+		cl.order(newVersion, duration)
+		end := cl.now.Add(duration)
+		cl.run(300 * time.Millisecond) // an order has no effect before a gateway has seen it
 		for range rapid.IntRange(1, 5).Draw(rt, "events") {
-			w.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond)
-			n := w.nodes[rapid.IntRange(0, len(w.nodes)-1).Draw(rt, "gateway")]
-			mends := time.Duration(rapid.IntRange(100, 8000).Draw(rt, "mends")) * time.Millisecond
+			cl.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms")) * time.Millisecond)
+			n := cl.nodes[rapid.IntRange(0, len(cl.nodes)-1).Draw(rt, "gateway")]
+			repairAfter := time.Duration(rapid.IntRange(100, 8000).Draw(rt, "mends")) * time.Millisecond
 			switch rapid.IntRange(0, 10).Draw(rt, "kind") {
 			case 0:
-				w.order(newVersion, lasts)
+				cl.order(newVersion, duration)
 			case 1:
-				w.order("v3", lasts)
+				cl.order("v3", duration)
 			case 2:
-				w.store.withdraw()
+				cl.store.withdraw()
 			case 3:
-				n.insists = !n.insists
+				n.alwaysDecides = !n.alwaysDecides
 			case 4:
-				w.order(oldVersion, lasts)
+				cl.order(oldVersion, duration)
 			default:
 				name := rapid.SampledFrom(names).Draw(rt, "fault")
-				if len(w.nodes) > 1 {
-					w.after(mends, faults[name](w, n))
+				if len(cl.nodes) > 1 {
+					cl.after(repairAfter, faults[name](cl, n))
 				}
 			}
-			end = later(end, w.ordered.Add(lasts))
+			end = laterTime(end, cl.orderedAt.Add(duration))
 		}
-		w.run(8 * time.Second) // all is mended
-		if n := w.nodes[0]; n.dead {
-			n.begin()
+		cl.run(8 * time.Second) // all faults have ended
+		if n := cl.nodes[0]; n.dead {
+			n.start()
 		}
-		// If all have begun anew, the time that no record has kept is lost.
-		w.run(max(end.Sub(w.now), 0) + lasts + 4*time.Second)
-		w.end()
-		if !w.store.record.final() {
-			rt.Fatalf("no end: %v, order %d", w.store.record, w.store.order)
+		// If all gateways have restarted, the time that no record has kept is lost.
+		cl.run(max(end.Sub(cl.now), 0) + duration + 4*time.Second)
+		cl.checkViolations()
+		if !cl.store.record.isFinal() {
+			rt.Fatalf("the record is not final: %v, order %d", cl.store.record, cl.store.order)
 		}
-		// Of fewer requests the share is too few answers to tell; the bound holds anyway.
-		enough := w.rate*lasts.Seconds() >= 2000
-		if f.bad() && enough && w.completed {
-			rt.Fatalf("a bad version has been completed: %v\n%v", w.store.record, w.log)
+		// With fewer requests, the share gives too few answers for a verdict; the bound holds
+		// anyway.
+		enough := cl.rate*duration.Seconds() >= 2000
+		if behavior.bad() && enough && cl.newCompleted {
+			rt.Fatalf("a bad version was completed: %v\n%v", cl.store.record, cl.log)
 		}
 	})
 }
 
-// TestAGatewayThatLearnsLateOfACompletion finds targets of the version, or of the one before, at
-// every moment.
-//
-// Seen: a gateway refused requests for 10 to 90 ms, since the targets of the old version had
-// stopped and it took the roll-out to be running. How it came about: it held no grant of the
-// move, and learnt of the completion with the store's changes, which take a tenth of a second.
-// Either it had reported that it sends everything to the version, and begun anew since, or it had
-// been cut off from everything when the completion was written, and was connected a moment later.
-func TestAGatewayThatLearnsLateOfACompletion(t *testing.T) {
+// TestGatewayLearnsOfCompletionLate checks that a gateway that learns late of a completion finds
+// targets of the new or the old version at every moment. It used to refuse requests for 10 to 90
+// ms, because the targets of the old version had stopped while it took the roll-out to be
+// running. It held no grant of the move, and learned of the completion with the store's changes,
+// which take a tenth of a second. Either it had confirmed the move and then restarted, or it had
+// been partitioned off when the completion was written, and was reconnected a moment later.
+func TestGatewayLearnsOfCompletionLate(t *testing.T) {
 	cases := map[string]struct {
-		lasts time.Duration
-		rate  float64
-		play  func(w *world, strike func(fault string, mends time.Duration))
+		duration time.Duration
+		rate     float64
+		steps    func(cl *cluster, inject func(fault string, repairAfter time.Duration))
 	}{
-		"it begins anew": {6 * time.Second, 158, func(w *world, strike func(string, time.Duration)) {
-			strike("half of them killed", 100*time.Millisecond)
-			w.order(newVersion, 6*time.Second)
-			w.order(newVersion, 6*time.Second)
-			strike("half of them killed", 100*time.Millisecond)
-			w.run(91 * time.Millisecond)
-			strike("half of them killed", 4801*time.Millisecond)
+		"restarted": {6 * time.Second, 158, func(cl *cluster, inject func(string, time.Duration)) {
+			inject("half of them killed", 100*time.Millisecond)
+			cl.order(newVersion, 6*time.Second)
+			cl.order(newVersion, 6*time.Second)
+			inject("half of them killed", 100*time.Millisecond)
+			cl.run(91 * time.Millisecond)
+			inject("half of them killed", 4801*time.Millisecond)
 		}},
-		"it is connected again": {14 * time.Second, 20, func(w *world, strike func(string, time.Duration)) {
-			w.run(271 * time.Millisecond)
-			strike("answers lost, done", 100*time.Millisecond)
-			w.run(6 * time.Second)
-			strike("half of them killed", 101*time.Millisecond)
-			strike("cut off", 5611*time.Millisecond)
+		"reconnected": {14 * time.Second, 20, func(cl *cluster, inject func(string, time.Duration)) {
+			cl.run(271 * time.Millisecond)
+			inject("answers lost, done", 100*time.Millisecond)
+			cl.run(6 * time.Second)
+			inject("half of them killed", 101*time.Millisecond)
+			inject("cut off", 5611*time.Millisecond)
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 2, forms["good"], 0)
-			w.rate = test.rate
-			w.order(newVersion, test.lasts)
-			w.run(300 * time.Millisecond)
-			test.play(w, func(fault string, mends time.Duration) { w.after(mends, faults[fault](w, w.nodes[0])) })
-			w.run(8 * time.Second)
-			w.run(test.lasts + 4*time.Second)
-			w.end()
+			cl := newCluster(t, 2, versionBehaviors["good"], 0)
+			cl.rate = test.rate
+			cl.order(newVersion, test.duration)
+			cl.run(300 * time.Millisecond)
+			test.steps(cl, func(fault string, repairAfter time.Duration) { cl.after(repairAfter, faults[fault](cl, cl.nodes[0])) })
+			cl.run(8 * time.Second)
+			cl.run(test.duration + 4*time.Second)
+			cl.checkViolations()
 		})
 	}
 }
 
-// heldStore answers when the context ends.
-type heldStore struct{ began chan struct{} }
+// blockingStore answers a commit when the context ends.
+type blockingStore struct{ started chan struct{} }
 
-func (s heldStore) Commit(ctx context.Context, _ Commit) (int64, error) {
-	close(s.began)
+func (s blockingStore) Commit(ctx context.Context, _ Commit) (int64, error) {
+	close(s.started)
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-func (heldStore) Reachable() bool { return true }
+func (blockingStore) Reachable() bool { return true }
 
-type silent struct{}
+type noopDeps struct{}
 
-func (silent) RolloutStep(Step)               {}
-func (silent) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
+func (noopDeps) RolloutStep(Step)               {}
+func (noopDeps) Versions(string) map[string]int { return map[string]int{"v1": 1, "v2": 1} }
 
-// TestCloseWaits: for the look at the roll-outs, and for a commit under way.
-func TestCloseWaits(t *testing.T) {
+// TestCloseWaitsForCommit checks that Close waits for a running step and for a commit in flight.
+func TestCloseWaitsForCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := heldStore{began: make(chan struct{})}
+		store := blockingStore{started: make(chan struct{})}
 		c := NewController(ControllerOptions{
-			Options: theOptions, Store: store, Registry: silent{}, Watcher: silent{},
+			Options: testOptions, Store: store, Registry: noopDeps{}, Watcher: noopDeps{},
 		})
 		is.NoErr(c.Start(t.Context()))
-		c.Ordered(Order{Service: theService, Version: "v2", Duration: time.Minute, Revision: 1})
-		<-store.began
-		is.Equal(c.Services(), []string{theService})
-		name, ok := c.ServiceOf(TallyName(theService))
+		c.Ordered(Order{Service: testService, Version: "v2", Duration: time.Minute, Revision: 1})
+		<-store.started
+		is.Equal(c.Services(), []string{testService})
+		name, ok := c.ServiceOf(NameHash(testService))
 		is.True(ok)
-		is.Equal(name, theService)
+		is.Equal(name, testService)
 		status := c.Rollouts()
 		is.Equal(len(status), 1)
 		is.Equal(status[0].Version, "v2")
--- a/internal/rollout/record_test.go
+++ b/internal/rollout/record_test.go
@@ -7,27 +7,27 @@
 	"github.com/matryer/is"
 )
 
-func goodRecord() Record {
+func validRecord() Record {
 	return Record{
 		Order: Order{Service: "s", Version: "v2", Duration: time.Minute, Revision: 7},
 		State: Completed, Elapsed: time.Second, Current: "v2", Refused: []string{"v0", "v1"}, Served: []string{"v3"},
 	}
 }
 
-func TestRecordComesBack(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	is := is.New(t)
-	data, err := Encode(goodRecord())
+	data, err := Encode(validRecord())
 	is.NoErr(err)
 	read, err := Decode(data)
 	is.NoErr(err)
-	is.Equal(read, goodRecord())
+	is.Equal(read, validRecord())
 	later := append([]byte(`{"of a later release":{"x":[1]},`), data[1:]...)
 	read, err = Decode(later)
 	is.NoErr(err)
-	is.Equal(read, goodRecord())
+	is.Equal(read, validRecord())
 }
 
-func TestRecordsThatAreRefused(t *testing.T) {
+func TestInvalidRecords(t *testing.T) {
 	cases := map[string]func(r *Record){
 		"no service":               func(r *Record) { r.Order.Service = "" },
 		"no version":               func(r *Record) { r.Order.Version, r.Current = "", "" },
@@ -39,28 +39,28 @@
 		"rolled back, not refused": func(r *Record) { r.State, r.Current = RolledBack, "" },
 		"current refused":          func(r *Record) { r.Refused = []string{"v1", "v2"} },
 		"out of order":             func(r *Record) { r.Refused = []string{"v1", "v0"} },
-		"twice":                    func(r *Record) { r.Refused = []string{"v1", "v1"} },
+		"duplicate":                func(r *Record) { r.Refused = []string{"v1", "v1"} },
 		"served and refused":       func(r *Record) { r.Served = []string{"v1"} },
 		"served, out of order":     func(r *Record) { r.Served = []string{"v5", "v4"} },
 		"served, not UTF-8":        func(r *Record) { r.Served = []string{"v\xff"} },
 		"empty":                    func(r *Record) { r.Refused = []string{"", "v1"} },
 		"not UTF-8":                func(r *Record) { r.Refused = []string{"v\xff"} },
 	}
-	for name, spoil := range cases {
+	for name, corrupt := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			record := goodRecord()
-			spoil(&record)
+			record := validRecord()
+			corrupt(&record)
 			_, err := Encode(record)
 			is.True(err != nil)
 		})
 	}
 }
 
-// FuzzDecode: whatever the store holds, a record that is taken is a sound one, and comes
-// back as it is.
+// FuzzDecode checks that each decoded record is valid, and doesn't change when it is encoded and
+// decoded again.
 func FuzzDecode(f *testing.F) {
-	data, err := Encode(goodRecord())
+	data, err := Encode(validRecord())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -7,87 +7,89 @@
 	"time"
 )
 
-// orderTime leaves the judge enough answers where 14 in 100 fail anyway: of 24 plays of
-// 12 s at this rate it left one good version undecided, which is within its stated errors.
+// orderTime gives the judge enough answers if 14 in 100 fail in any version. With orders of 12 s
+// at this rate, one good version in 24 runs was left undecided, which is within the stated error
+// probabilities.
 const orderTime = 16 * time.Second
 
-// TestFormsOfVersions: good versions get all in time, bad ones are rolled back, and what
-// they get stays below the bound at every moment.
-func TestFormsOfVersions(t *testing.T) {
-	for name, f := range forms {
+// TestVersionBehaviors checks that good versions get all requests in time, that bad ones are
+// rolled back, and that what they get stays below the bound at every moment.
+func TestVersionBehaviors(t *testing.T) {
+	for name, behavior := range versionBehaviors {
 		for _, gateways := range []int{4, 28, 103} {
 			t.Run(fmt.Sprintf("%s, %d gateways", name, gateways), func(t *testing.T) {
-				w := newWorld(t, gateways, f, uint64(gateways))
-				w.order(newVersion, orderTime)
-				w.run(orderTime)
-				t.Logf("%d of %d", w.windows[0].exposed, w.windows[0].requests)
-				if f.bad() {
-					w.want(RolledBack)
+				cl := newCluster(t, gateways, behavior, uint64(gateways))
+				cl.order(newVersion, orderTime)
+				cl.run(orderTime)
+				t.Logf("%d of %d", cl.windows[0].exposed, cl.windows[0].requests)
+				if behavior.bad() {
+					cl.wantState(RolledBack)
 					return
 				}
-				w.want(Completed)
+				cl.wantState(Completed)
 			})
 		}
 	}
 }
 
-// moments of a roll-out at which something fails, by the step that begins them.
-var moments = map[string]func(step Step) bool{
+// faultSteps are the steps of a roll-out at which a fault is injected.
+var faultSteps = map[string]func(step Step) bool{
 	"ordered": func(step Step) bool { return step.Kind == StepOrdered },
 	"canary":  func(step Step) bool { return step.Kind == StepStage && step.Stage == Canary },
 	"move":    func(step Step) bool { return step.Kind == StepStage && step.Stage == Move },
 	"halt":    func(step Step) bool { return step.Kind == StepHalted },
 }
 
-const faultLasts = 4 * time.Second
+const faultDuration = 4 * time.Second
 
-// faults befall the gateway that decides, or the store; each says what ends it.
-var faults = map[string]func(w *world, n *node) (mend func()){
-	"killed": func(_ *world, n *node) func() {
+// faults affect the gateway that decides, or the store. Each returns a function that ends the
+// fault.
+var faults = map[string]func(cl *cluster, n *node) (repair func()){
+	"killed": func(_ *cluster, n *node) func() {
 		n.dead = true
-		return n.begin
+		return n.start
 	},
-	"lost": func(_ *world, n *node) func() {
+	"lost": func(_ *cluster, n *node) func() {
 		n.dead = true
 		return func() {}
 	},
-	"frozen": func(_ *world, n *node) func() {
+	"frozen": func(_ *cluster, n *node) func() {
 		n.frozen = true
-		return n.thaw
+		return n.resume
 	},
-	"cut off from gateways": func(_ *world, n *node) func() {
+	"cut off from gateways": func(_ *cluster, n *node) func() {
 		n.cutOff = true
 		return func() { n.cutOff = false }
 	},
-	"cut off": func(_ *world, n *node) func() {
+	"cut off": func(_ *cluster, n *node) func() {
 		n.cutOff, n.cutStore = true, true
 		return func() { n.cutOff, n.cutStore = false, false }
 	},
-	"cut off from the store": func(_ *world, n *node) func() {
+	"cut off from the store": func(_ *cluster, n *node) func() {
 		n.cutStore = true
 		return func() { n.cutStore = false }
 	},
-	"another one cut off": func(w *world, n *node) func() {
-		other := w.nodes[0]
+	"another one cut off": func(cl *cluster, n *node) func() {
+		other := cl.nodes[0]
 		if other == n {
-			other = w.nodes[1]
+			other = cl.nodes[1]
 		}
 		other.cutOff, other.cutStore = true, true
 		return func() { other.cutOff, other.cutStore = false, false }
 	},
-	"gateways in two parts": func(w *world, _ *node) func() {
-		for i, n := range w.nodes {
-			n.island = i % 2
+	"gateways in two parts": func(cl *cluster, _ *node) func() {
+		for i, n := range cl.nodes {
+			n.partition = i % 2
 		}
 		return func() {
-			for _, n := range w.nodes {
-				n.island = 0
+			for _, n := range cl.nodes {
+				n.partition = 0
 			}
 		}
 	},
-	"half of them killed": func(w *world, n *node) func() {
+	"half of them killed": func(cl *cluster, n *node) func() {
 		var killed []*node
-		for i, other := range w.nodes {
+		for i, other := range cl.nodes {
 			if other == n || i%2 == 0 {
 				other.dead = true
 				killed = append(killed, other)
@@ -95,156 +97,157 @@
 		}
 		return func() {
 			for _, other := range killed {
-				other.begin()
+				other.start()
 			}
 		}
 	},
-	"store down": func(w *world, _ *node) func() {
-		w.store.down = true
-		return func() { w.store.down = false }
+	"store down": func(cl *cluster, _ *node) func() {
+		cl.store.down = true
+		return func() { cl.store.down = false }
 	},
-	"store slow": func(w *world, _ *node) func() {
-		w.store.slow = 400 * time.Millisecond
-		return func() { w.store.slow = 0 }
+	"store slow": func(cl *cluster, _ *node) func() {
+		cl.store.slow = 400 * time.Millisecond
+		return func() { cl.store.slow = 0 }
 	},
-	"store down, decider killed": func(w *world, n *node) func() {
-		w.store.down, n.dead = true, true
+	"store down, decider killed": func(cl *cluster, n *node) func() {
+		cl.store.down, n.dead = true, true
 		return func() {
-			w.store.down = false
-			n.begin()
+			cl.store.down = false
+			n.start()
 		}
 	},
-	"answers lost, done":     loses("done"),
-	"answers lost, not done": loses("not"),
-	"answers lost, later":    loses("later"),
-	"packets lost": func(w *world, _ *node) func() {
-		w.loss = 0.2
-		return func() { w.loss = 0.01 }
+	"answers lost, done":     losesAnswers("done"),
+	"answers lost, not done": losesAnswers("not"),
+	"answers lost, later":    losesAnswers("later"),
+	"packets lost": func(cl *cluster, _ *node) func() {
+		cl.loss = 0.2
+		return func() { cl.loss = 0.01 }
 	},
 }
 
-func loses(how string) func(w *world, n *node) func() {
-	return func(w *world, _ *node) func() {
-		w.store.lose = how
-		return func() { w.store.lose = "" }
+func losesAnswers(how string) func(cl *cluster, n *node) func() {
+	return func(cl *cluster, _ *node) func() {
+		cl.store.lostAnswers = how
+		return func() { cl.store.lostAnswers = "" }
 	}
 }
 
-// noTime are faults that may leave a good version no time: it may be rolled back, too.
-// There the gateways that are killed in the move take with them what they had sent, and
-// with it half of the share, and one of them decides again when it is back.
-var noTime = map[string]bool{"half of them killed, move": true}
+// mayRunOutOfTime are faults that may leave a good version too little time, so that it may be
+// rolled back as well. The gateways that are killed in the move take with them the record of what
+// they had sent, and with it half of the share, and one of them decides again when it is back.
+var mayRunOutOfTime = map[string]bool{"half of them killed, move": true}
 
-// TestFaults: whatever fails at whatever step, the bounds hold, an order ends once, and
-// no bad version is completed. A good one is, but where the fault leaves it no time.
-func TestFaults(t *testing.T) {
-	const gateways, lasts = 9, 30 * time.Second
+// TestFaultsDuringRollout checks that the bounds hold, that an order ends once, and that no bad
+// version is completed, whatever fails at whatever step. A good version is completed unless the
+// fault leaves it too little time.
+func TestFaultsDuringRollout(t *testing.T) {
+	const gateways, duration = 9, 30 * time.Second
 	for faultName, fault := range faults {
-		for momentName, moment := range moments {
+		for momentName, moment := range faultSteps {
 			for _, formName := range []string{"good", "fails at once", "turns bad", "slow"} {
-				f := forms[formName]
+				behavior := versionBehaviors[formName]
 				t.Run(fmt.Sprintf("%s, %s, %s", faultName, momentName, formName), func(t *testing.T) {
-					w := newWorld(t, gateways, f, 6)
-					w.strike = func(n *node, step Step) bool {
+					cl := newCluster(t, gateways, behavior, 6)
+					cl.injectFault = func(n *node, step Step) bool {
 						if !moment(step) {
 							return false
 						}
-						w.after(0, func() { w.after(faultLasts, fault(w, n)) })
+						cl.after(0, func() { cl.after(faultDuration, fault(cl, n)) })
 						return true
 					}
-					w.order(newVersion, lasts)
-					w.run(lasts + faultLasts + 3*time.Second)
+					cl.order(newVersion, duration)
+					cl.run(duration + faultDuration + 3*time.Second)
 					want := Completed
-					if f.bad() {
+					if behavior.bad() {
 						want = RolledBack
 					}
-					if noTime[faultName+", "+momentName] && !f.bad() && w.store.record.final() {
-						w.end()
+					if mayRunOutOfTime[faultName+", "+momentName] && !behavior.bad() && cl.store.record.isFinal() {
+						cl.checkViolations()
 						return
 					}
-					w.want(want)
+					cl.wantState(want)
 				})
 			}
 		}
 	}
 }
 
-// TestNextDeciderLate: the one that decides is killed late, while the store is away. The
-// next one hears all before it judges.
-func TestNextDeciderLate(t *testing.T) {
+// TestDeciderKilledWhileStoreIsDown checks that the next decider waits for the reports of all
+// gateways before its verdict, if the previous one is killed late while the store is down.
+func TestDeciderKilledWhileStoreIsDown(t *testing.T) {
 	for seed := range uint64(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			w := newWorld(t, 28, form{}, seed)
-			w.rate = 40
-			w.order(newVersion, time.Minute)
-			w.run(36 * time.Second)
-			w.store.down = true
-			w.run(16 * time.Second)
-			w.decides().dead = true
-			w.run(2 * time.Second)
-			w.store.down = false
-			w.run(15 * time.Second)
-			w.want(Completed)
+			cl := newCluster(t, 28, versionBehavior{}, seed)
+			cl.rate = 40
+			cl.order(newVersion, time.Minute)
+			cl.run(36 * time.Second)
+			cl.store.down = true
+			cl.run(16 * time.Second)
+			cl.decider().dead = true
+			cl.run(2 * time.Second)
+			cl.store.down = false
+			cl.run(15 * time.Second)
+			cl.wantState(Completed)
 		})
 	}
 }
 
-// TestAloneWithTheStore: a gateway that hears no others but reaches the store neither
-// completes an order nor ends it before its deadline.
-func TestAloneWithTheStore(t *testing.T) {
+// TestIsolatedGatewayWithStore checks that a gateway that is in contact with the store, but with
+// no other gateway, neither completes an order nor ends it before its deadline.
+func TestIsolatedGatewayWithStore(t *testing.T) {
 	for _, failures := range []float64{0, 0.06, 0.12} {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("failures %.2f, seed %d", failures, seed), func(t *testing.T) {
-				w := newWorld(t, 28, form{failures: failures}, seed)
-				w.rate = 150
-				w.order(newVersion, 40*time.Second)
-				w.run(5 * time.Second)
-				lone := w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return !n.Decides(theService) })]
-				lone.cutOff = true
-				commit := lone.control.commit
-				lone.control.commit = func(c writing) {
-					if c.commit.Record.final() && w.now.Sub(w.ordered) < 39*time.Second {
-						w.fault("%s alone ends the order: %s, %s", lone.id, c.commit.Record.State, c.reason)
+				cl := newCluster(t, 28, versionBehavior{failures: failures}, seed)
+				cl.rate = 150
+				cl.order(newVersion, 40*time.Second)
+				cl.run(5 * time.Second)
+				isolated := cl.nodes[slices.IndexFunc(cl.nodes, func(n *node) bool { return !n.Decides(testService) })]
+				isolated.cutOff = true
+				commit := isolated.control.startCommit
+				isolated.control.startCommit = func(c pendingCommit) {
+					if c.commit.Record.isFinal() && cl.now.Sub(cl.orderedAt) < 39*time.Second {
+						cl.addViolation("%s ends the order while isolated: %s, %s", isolated.id, c.commit.Record.State, c.reason)
 					}
 					commit(c)
 				}
-				w.run(40 * time.Second)
-				w.end()
+				cl.run(40 * time.Second)
+				cl.checkViolations()
 			})
 		}
 	}
 }
 
-// TestCompletionAnsweredLate: the store takes the completion of a move after it. It has
-// no effect then, as the gateways send to the others again; or, if all that follows is
-// late as well, no request is without a target.
-func TestCompletionAnsweredLate(t *testing.T) {
+// TestCompletionCommittedAfterMove checks the case that the store applies the completion of a
+// move after its end. It has no effect then, as the gateways send to the other versions again;
+// or, if all later answers are late as well, no request is left without a target.
+func TestCompletionCommittedAfterMove(t *testing.T) {
 	cases := map[string]struct {
-		form  form
-		stays bool
-		want  State
+		form      versionBehavior
+		staysLate bool
+		want      State
 	}{
-		"good":             {form{}, false, Completed},
-		"good, stays so":   {form{}, true, Completed},
-		"fails under load": {forms["fails under load"], false, RolledBack},
+		"good":              {versionBehavior{}, false, Completed},
+		"good, always late": {versionBehavior{}, true, Completed},
+		"fails under load":  {versionBehaviors["fails under load"], false, RolledBack},
 	}
 	for name, c := range cases {
 		for seed := range uint64(5) {
 			t.Run(fmt.Sprintf("%s, seed %d", name, seed), func(t *testing.T) {
-				w := newWorld(t, 28, c.form, seed)
-				w.order(newVersion, 30*time.Second)
+				cl := newCluster(t, 28, c.form, seed)
+				cl.order(newVersion, 30*time.Second)
 				moved := false
-				for w.now.Sub(w.ordered) < 32*time.Second {
-					w.run(tick)
-					moving := w.decides().moves()
-					if w.store.lose == "" && moving && !moved {
-						w.store.lose = "later"
+				for cl.now.Sub(cl.orderedAt) < 32*time.Second {
+					cl.run(tick)
+					moving := cl.decider().inMove()
+					if cl.store.lostAnswers == "" && moving && !moved {
+						cl.store.lostAnswers = "later"
 					}
-					if w.store.lose != "" && !moving && !c.stays {
-						w.store.lose, moved = "", true
+					if cl.store.lostAnswers != "" && !moving && !c.staysLate {
+						cl.store.lostAnswers, moved = "", true
 					}
 				}
-				w.want(c.want)
+				cl.wantState(c.want)
 			})
 		}
 	}
--- a/internal/rollout/evidence_test.go
+++ b/internal/rollout/sprt_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOdds(t *testing.T) {
+func TestLogOdds(t *testing.T) {
 	tests := map[string]struct {
 		base           float64
 		troubled, fine float64
@@ -21,7 +21,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got := oddsOver(test.base)
+			got := newLogOdds(test.base)
 			is.True(math.Abs(got.troubled-test.troubled) < 1e-9)
 			is.True(math.Abs(got.fine-test.fine) < 1e-9)
 			is.True(math.Abs(got.weight(5, 2)-(2*test.troubled+3*test.fine)) < 1e-9)
@@ -29,17 +29,17 @@
 	}
 }
 
-// weighed plays answers with a share of trouble, one by one over some targets, until the
-// test says bad or, unless it is to go on watching, has passed.
-func weighed(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test evidence, at int) {
-	weights := oddsOver(base)
+// runTest adds answers with a share of troubled ones to a test, one by one over some targets,
+// until the version is bad or, unless watch is set, the test has passed.
+func runTest(random *rand.Rand, base, share float64, targets, answers int, watch bool) (test sequentialTest, at int) {
+	weights := newLogOdds(base)
 	for at = 1; at <= answers; at++ {
 		troubled := 0
 		if random.Float64() < share {
 			troubled = 1
 		}
 		test.add(uint32(random.IntN(targets)+1), 1, weights.weight(1, troubled))
-		test.settle()
+		test.update()
 		if test.bad() || test.passed && !watch {
 			break
 		}
@@ -47,20 +47,21 @@
 	return test, at
 }
 
-// The chances of a false end of one test are no larger than its constants say, and the
-// sample that it takes is that of the design: what a tenth of a short order holds.
-func TestChancesOfAFalseEnd(t *testing.T) {
+// TestErrorProbabilities checks that one test gives wrong results no more often than its
+// constants say, and needs no larger sample than designed for, which is what a tenth of the
+// requests of a short order provides.
+func TestErrorProbabilities(t *testing.T) {
 	const trials = 20_000
 	tests := map[string]struct {
 		base    float64
 		targets int
-		// sample is the most answers that a good version may take on average.
+		// sample is the largest mean number of answers that a good version may need.
 		sample float64
 	}{
-		"no failures to speak of, one target":   {0.02, 1, 28},
-		"no failures to speak of, many targets": {0.02, 5, 28},
-		"failures on both sides, one target":    {0.14, 1, 60},
-		"failures on both sides, many targets":  {0.14, 5, 60},
+		"hardly any failures, one target":      {0.02, 1, 28},
+		"hardly any failures, many targets":    {0.02, 5, 28},
+		"failures on both sides, one target":   {0.14, 1, 60},
+		"failures on both sides, many targets": {0.14, 5, 60},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -69,12 +70,12 @@
 			random := rand.New(rand.NewPCG(17, 4))
 			falselyBad, falselyGood, sample := 0, 0, 0
 			for range trials {
-				good, at := weighed(random, test.base, test.base, test.targets, 1000, false)
+				good, at := runTest(random, test.base, test.base, test.targets, 1000, false)
 				sample += at
 				if good.bad() {
 					falselyBad++
 				}
-				bad, _ := weighed(random, test.base, test.base+badStep, test.targets, 1000, false)
+				bad, _ := runTest(random, test.base, test.base+badStep, test.targets, 1000, false)
 				if bad.passed {
 					falselyGood++
 				}
@@ -82,37 +83,38 @@
 			t.Logf("falsely bad %d, falsely good %d of %d, sample %.1f",
 				falselyBad, falselyGood, trials, float64(sample)/trials)
 			is.True(float64(falselyBad) <= falseBad*trials)
-			most := falseGood * trials
+			limit := falseGood * trials
 			if test.targets > 1 {
-				most *= 1.5
+				limit *= 1.5
 			}
-			is.True(float64(falselyGood) <= most)
+			is.True(float64(falselyGood) <= limit)
 			is.True(float64(sample)/trials <= test.sample)
 		})
 	}
 }
 
-// What turns bad after the test has passed is found about as soon as at once: good answers
-// don't pile up. And watching long doesn't make a good version bad.
-func TestWatchesAfterPassing(t *testing.T) {
+// TestBadAfterPassing checks that a version that turns bad after the test has passed is found
+// about as soon as one that is bad from the start, since good answers don't accumulate. Watching
+// for long doesn't make a good version bad.
+func TestBadAfterPassing(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(18, 4))
 	const trials = 2000
 	answers, falselyBad := 0, 0
 	for range trials {
-		test, _ := weighed(random, 0.02, 0.02, 5, 500, true)
+		test, _ := runTest(random, 0.02, 0.02, 5, 500, true)
 		if test.bad() {
 			falselyBad++
 			continue
 		}
-		weights := oddsOver(0.02)
+		weights := newLogOdds(0.02)
 		for !test.bad() {
 			troubled := 0
 			if random.Float64() < 0.5 {
 				troubled = 1
 			}
 			test.add(uint32(random.IntN(5)+1), 1, weights.weight(1, troubled))
-			test.settle()
+			test.update()
 			answers++
 		}
 	}
@@ -121,22 +123,22 @@
 	is.True(answers <= 14*trials)
 }
 
-// However badly fewer targets than are needed answer, they make no version bad, and they
-// don't keep it from passing by what the others show.
-func TestFewTargetsConvictNoVersion(t *testing.T) {
+// TestTooFewBadTargets checks that fewer bad targets than needed, however bad, neither make a
+// version bad nor keep it from passing by the answers of the others.
+func TestTooFewBadTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		targets := rapid.IntRange(2, 16).Draw(t, "targets")
 		needed := fewNeeded
 		if targets >= manyTargets {
 			needed = manyNeeded
 		}
-		weights := oddsOver(baseFailures)
-		var test evidence
-		// Each target has answered well before the first ones fail.
+		weights := newLogOdds(minBaseFailures)
+		var test sequentialTest
+		// Each target answers well before the first ones fail.
 		for target := range targets {
-			test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+			test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 		}
-		test.settle()
+		test.update()
 		for range rapid.IntRange(1, 40).Draw(t, "rounds") {
 			for target := range targets {
 				answers := rapid.IntRange(0, 3).Draw(t, "answers")
@@ -146,9 +148,9 @@
 				}
 				test.add(uint32(target+1), answers, weights.weight(answers, troubled))
 			}
-			test.settle()
+			test.update()
 			if test.bad() {
-				t.Fatalf("bad by %d of %d targets", needed-1, targets)
+				t.Fatalf("called bad for %d of %d targets", needed-1, targets)
 			}
 		}
 		for target := range targets {
@@ -159,62 +161,65 @@
 				test.add(uint32(target+1), share, weights.weight(share, 0))
 			}
 		}
-		test.settle()
+		test.update()
 		if !test.passed {
-			t.Fatalf("not passed by %d sound targets, weight %g", targets-needed+1, test.sound)
+			t.Fatalf("not passed with %d sound targets, weight %g", targets-needed+1, test.soundWeight)
 		}
 	})
 }
 
-// As many as are needed do make it bad, and a version with a single target needs no other.
-func TestEnoughTargetsConvict(t *testing.T) {
+// TestEnoughBadTargets checks that the needed number of bad targets makes a version bad, which is
+// one for a version with a single target.
+func TestEnoughBadTargets(t *testing.T) {
 	for targets, needed := range map[int]int{1: 1, 2: 2, 3: 2, 4: 3, 16: 3} {
 		is := is.New(t)
-		weights := oddsOver(baseFailures)
-		var test evidence
+		weights := newLogOdds(minBaseFailures)
+		var test sequentialTest
 		for target := range targets {
-			test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+			test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 		}
-		test.settle()
+		test.update()
 		for target := range needed {
 			is.True(!test.bad())
 			test.add(uint32(target+1), 30, weights.weight(30, 30))
-			test.settle()
+			test.update()
 		}
-		// The good answers of the others weigh something too.
+		// The good answers of the other targets have some weight, too.
 		is.True(test.weight >= badWeight || targets > needed)
 		for target := range targets {
 			test.add(uint32(target+1), 5, weights.weight(5, 2))
 		}
-		test.settle()
+		test.update()
 		is.True(test.bad()) // targets
 	}
 }
 
-// Two broken ones of four, and a neighbour that fails once, are luck.
+// TestBrokenTargetsAndAFailure checks that two broken targets of four, and one failure at a
+// third, are put down to chance.
 func TestBrokenTargetsAndAFailure(t *testing.T) {
 	is := is.New(t)
-	weights := oddsOver(baseFailures)
-	var test evidence
+	weights := newLogOdds(minBaseFailures)
+	var test sequentialTest
 	for target := range manyTargets {
-		test.add(uint32(target+1), answersOfTarget, weights.weight(answersOfTarget, 0))
+		test.add(uint32(target+1), minTargetAnswers, weights.weight(minTargetAnswers, 0))
 	}
 	test.add(1, 30, weights.weight(30, 30))
 	test.add(2, 30, weights.weight(30, 30))
 	test.add(3, 1, weights.weight(1, 1))
-	test.settle()
+	test.update()
 	is.True(!test.bad())
 }
 
-// One target that answers before its neighbours do isn't taken for the only one.
+// TestFirstAnswersOfOneTarget checks that a target that answers before the others do isn't taken
+// for the only one.
 func TestFirstAnswersOfOneTarget(t *testing.T) {
 	is := is.New(t)
-	weights := oddsOver(baseFailures)
-	var test evidence
-	test.add(1, loneAnswers-1, weights.weight(loneAnswers-1, loneAnswers-1))
-	test.settle()
+	weights := newLogOdds(minBaseFailures)
+	var test sequentialTest
+	test.add(1, minLoneAnswers-1, weights.weight(minLoneAnswers-1, minLoneAnswers-1))
+	test.update()
 	is.True(!test.bad())
 	test.add(2, 1, weights.weight(1, 0))
-	test.settle()
+	test.update()
 	is.True(!test.bad())
 }
--- a/internal/rollout/tallies_test.go
+++ b/internal/rollout/tallies_test.go
@@ -9,64 +9,65 @@
 )
 
 func TestTalliesList(t *testing.T) {
-	type added struct {
+	type answer struct {
 		route, target string
 		failed, slow  bool
 	}
-	chat, order := TallyName("chat"), TallyName("order")
-	one, two := TallyName("one"), TallyName("two")
+	chat, order := NameHash("chat"), NameHash("order")
+	one, two := NameHash("one"), NameHash("two")
 	tests := map[string]struct {
-		// told is what is listed before news is added.
-		told, news []added
-		most       int
-		want       []Tally
+		// listed is added before the first list, and added after it.
+		listed, added []answer
+		limit         int
+		want          []Tally
 	}{
-		"nothing": {most: 9, want: []Tally{}},
+		"nothing": {limit: 9, want: []Tally{}},
 		"other versions together": {
-			news: []added{{"chat", "", false, false}, {"chat", "", true, false}, {"chat", "", false, true}},
-			most: 9,
-			want: []Tally{{chat, 0, 3, 1, 1}},
+			added: []answer{{"chat", "", false, false}, {"chat", "", true, false}, {"chat", "", false, true}},
+			limit: 9,
+			want:  []Tally{{chat, 0, 3, 1, 1}},
 		},
 		"a failure isn't slow": {
-			news: []added{{"chat", "one", true, true}},
-			most: 9,
-			want: []Tally{{chat, one, 1, 1, 0}},
+			added: []answer{{"chat", "one", true, true}},
+			limit: 9,
+			want:  []Tally{{chat, one, 1, 1, 0}},
 		},
-		"the most news first, sums over the life": {
-			told: []added{{"chat", "one", false, false}, {"chat", "one", true, false}, {"order", "two", false, false}},
-			news: []added{{"order", "two", false, false}},
-			most: 9,
-			want: []Tally{{order, two, 2, 0, 0}, {chat, one, 2, 1, 0}},
+		"the most new answers first, as totals": {
+			listed: []answer{{"chat", "one", false, false}, {"chat", "one", true, false}, {"order", "two", false, false}},
+			added:  []answer{{"order", "two", false, false}},
+			limit:  9,
+			want:   []Tally{{order, two, 2, 0, 0}, {chat, one, 2, 1, 0}},
 		},
-		"bounded": {
-			news: []added{{"chat", "one", false, false}, {"order", "two", false, false}, {"order", "two", false, false}},
-			most: 1,
-			want: []Tally{{order, two, 2, 0, 0}},
+		"limited": {
+			added: []answer{{"chat", "one", false, false}, {"order", "two", false, false}, {"order", "two", false, false}},
+			limit: 1,
+			want:  []Tally{{order, two, 2, 0, 0}},
 		},
-		"a bound below zero is zero": {
-			news: []added{{"chat", "one", false, false}},
-			most: -1,
-			want: []Tally{},
+		"a negative limit is zero": {
+			added: []answer{{"chat", "one", false, false}},
+			limit: -1,
+			want:  []Tally{},
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			tallies := NewTallies()
-			for _, a := range test.told {
+			for _, a := range test.listed {
 				tallies.Add(a.route, a.target, a.failed, a.slow)
 			}
 			tallies.List(9)
-			for _, a := range test.news {
+			for _, a := range test.added {
 				tallies.Add(a.route, a.target, a.failed, a.slow)
 			}
-			is.Equal(tallies.List(test.most), test.want)
+			is.Equal(tallies.List(test.limit), test.want)
 		})
 	}
 }
 
-// Sums that have no news come in turn, as another gateway may need them.
-func TestTalliesComeInTurn(t *testing.T) {
+// TestTalliesRotate checks that totals without new answers are listed in turn, as another gateway
+// may need them.
+func TestTalliesRotate(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
 	for i := range 10 {
@@ -82,22 +83,24 @@
 	is.Equal(len(seen), 10)
 }
 
-// Beyond a number of routes the others are counted together, and none is lost.
+// TestTalliesAreBounded checks that routes beyond the limit are counted together, and that no
+// answer is lost.
 func TestTalliesAreBounded(t *testing.T) {
 	is := is.New(t)
 	tallies := NewTallies()
-	for i := range tallyRoutes + 50 {
+	for i := range maxTallyRoutes + 50 {
 		for range 2 {
 			tallies.Add(fmt.Sprint("route-", i), "", false, false)
 		}
 	}
-	listed := tallies.List(10 * tallyRoutes)
-	is.Equal(len(listed), tallyRoutes+1)
+	listed := tallies.List(10 * maxTallyRoutes)
+	is.Equal(len(listed), maxTallyRoutes+1)
 	is.Equal(listed[0], Tally{Route: otherRoutes, Answers: 100})
 }
 
-// The sums are those of a plain count, whatever was listed in between.
-func TestTalliesAreSums(t *testing.T) {
+// TestTalliesAreTotals checks that the totals match a plain count, whatever was listed in
+// between.
+func TestTalliesAreTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tallies := NewTallies()
 		want := make(map[tallyKey]Counts)
@@ -107,9 +110,9 @@
 			failed := rapid.Bool().Draw(t, "failed")
 			slow := rapid.Bool().Draw(t, "slow")
 			tallies.Add(route, target, failed, slow)
-			key := tallyKey{route: TallyName(route)}
+			key := tallyKey{route: NameHash(route)}
 			if target != "" {
-				key.target = TallyName(target)
+				key.target = NameHash(target)
 			}
 			counts := Counts{Answers: 1}
 			if failed {
@@ -117,7 +120,7 @@
 			} else if slow {
 				counts.Slow = 1
 			}
-			want[key] = want[key].plus(counts)
+			want[key] = want[key].add(counts)
 			if rapid.Bool().Draw(t, "list") {
 				tallies.List(rapid.IntRange(0, 4).Draw(t, "most"))
 			}
