--- a/internal/process/exec.go
+++ b/internal/process/exec.go
@@ -26,8 +26,8 @@
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
-// Executed is an accepted script.
-type Executed struct {
+// ExecResult is the result of an accepted script.
+type ExecResult struct {
 	config.Result
 	// InForce and Routers are set when the call waited.
 	InForce int `json:"in_force,omitempty"`
@@ -53,21 +53,21 @@
 	writeJSON(w, executed)
 }
 
-func (o *operators) exec(r *http.Request, script Script) (Executed, error) {
+func (o *operators) exec(r *http.Request, script Script) (ExecResult, error) {
 	parsed, err := oplang.ParseScript(script.Text)
 	if err != nil {
-		return Executed{}, err
+		return ExecResult{}, err
 	}
 	command, err := parsed.Command()
 	if err != nil {
-		return Executed{}, fault.New(fault.BadRequest, fault.NotRun, "%v", err)
+		return ExecResult{}, fault.New(fault.BadRequest, fault.NotRun, "%v", err)
 	}
 	command.ID, command.Who, command.DryRun, command.Force = script.ID, script.Who, script.DryRun, script.Force
 	result, err := o.do(r, command)
 	if err != nil {
-		return Executed{}, err
+		return ExecResult{}, err
 	}
-	executed := Executed{Result: result}
+	executed := ExecResult{Result: result}
 	if script.WaitMS > 0 && !result.DryRun {
 		o.await(r.Context(), &executed, time.Duration(script.WaitMS)*time.Millisecond)
 	}
@@ -128,7 +128,7 @@
 
 // await asks all live routers whether they have the revision, until all do or
 // the time is out.
-func (o *operators) await(ctx context.Context, executed *Executed, limit time.Duration) {
+func (o *operators) await(ctx context.Context, executed *ExecResult, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -147,7 +147,7 @@
 
 // behind asks each live router for its revision and names those that do not
 // have the change or do not answer.
-func (o *operators) behind(ctx context.Context, executed *Executed) []string {
+func (o *operators) behind(ctx context.Context, executed *ExecResult) []string {
 	var mu sync.Mutex
 	var missing []string
 	var wait sync.WaitGroup
--- a/internal/process/gateway_quarantine_http.go
+++ b/internal/process/gateway_quarantine_http.go
@@ -15,13 +15,13 @@
 	QueryQuarantine = "print"
 )
 
-// HeldBack is a request that is held back, as the metrics address has it.
-type HeldBack struct {
-	Print string `json:"print"`
+// HeldRequest is a request that is held back, as the metrics address has it.
+type HeldRequest struct {
+	Fingerprint string `json:"print"`
 	// Ends is how many targets ended under it.
-	Ends int `json:"ends"`
-	// LeftMS is how long it is still held back.
-	LeftMS int64 `json:"left_ms"`
+	Crashes int `json:"ends"`
+	// RemainingMS is how long it is still held back.
+	RemainingMS int64 `json:"left_ms"`
 }
 
 // quarantineHandler answers for the requests that are held back.
@@ -39,11 +39,11 @@
 	})
 }
 
-func heldBack(cases []quarantine.HeldRequest) []HeldBack {
+func heldBack(cases []quarantine.HeldRequest) []HeldRequest {
 	// An empty list, not null, where there are none.
-	listed := make([]HeldBack, 0, len(cases))
+	listed := make([]HeldRequest, 0, len(cases))
 	for _, held := range cases {
-		listed = append(listed, HeldBack{Print: held.Fingerprint.String(), Ends: held.Crashes, LeftMS: held.Remaining.Milliseconds()})
+		listed = append(listed, HeldRequest{Fingerprint: held.Fingerprint.String(), Crashes: held.Crashes, RemainingMS: held.Remaining.Milliseconds()})
 	}
 	return listed
 }
--- a/internal/process/gateway_targets_http.go
+++ b/internal/process/gateway_targets_http.go
@@ -8,31 +8,31 @@
 // PathTargets is where a gateway's metrics address says what it makes of each target.
 const PathTargets = "/targets"
 
-// TargetStanding is what a gateway makes of one target.
-type TargetStanding struct {
-	ID         string `json:"id"`
-	Life       string `json:"life"`
-	Service    string `json:"service"`
-	Address    string `json:"address"`
-	DataCenter string `json:"data_center"`
-	Version    string `json:"version,omitempty"`
+// TargetStatus is what a gateway makes of one target.
+type TargetStatus struct {
+	ID          string `json:"id"`
+	Incarnation string `json:"life"`
+	Service     string `json:"service"`
+	Address     string `json:"address"`
+	DataCenter  string `json:"data_center"`
+	Version     string `json:"version,omitempty"`
 	// Standing is why it gets nothing, or less than its share; balance.ReasonNone otherwise.
-	Standing balance.Reason `json:"standing"`
-	// LeftMS is for how many milliseconds that holds; zero if it is not known.
-	LeftMS int64 `json:"left_ms,omitempty"`
+	Reason balance.Reason `json:"standing"`
+	// RemainingMS is for how many milliseconds that holds; zero if it is not known.
+	RemainingMS int64 `json:"left_ms,omitempty"`
 	// InFlight are this gateway's requests there, and Others those of the other gateways.
 	InFlight int `json:"in_flight"`
 	Others   int `json:"others"`
 }
 
 // targets are all targets as this gateway sees them.
-func (p *GatewayProcess) targets() []TargetStanding {
-	var targets []TargetStanding
+func (p *GatewayProcess) targets() []TargetStatus {
+	var targets []TargetStatus
 	for _, known := range p.gateway.Balancer.Standings(clock.Check()) {
-		targets = append(targets, TargetStanding{
-			ID: known.ID, Life: known.Life, Service: known.Service, Address: known.Address,
-			DataCenter: known.DataCenter, Version: known.Version, Standing: known.Reason,
-			LeftMS: known.Left.Milliseconds(), InFlight: known.InFlight, Others: known.Others,
+		targets = append(targets, TargetStatus{
+			ID: known.ID, Incarnation: known.Life, Service: known.Service, Address: known.Address,
+			DataCenter: known.DataCenter, Version: known.Version, Reason: known.Reason,
+			RemainingMS: known.Left.Milliseconds(), InFlight: known.InFlight, Others: known.Others,
 		})
 	}
 	return targets
--- a/internal/process/operators.go
+++ b/internal/process/operators.go
@@ -155,8 +155,8 @@
 	Leaving    bool        `json:"leaving"`
 	Steady     bool        `json:"steady"`
 	Targets    []TargetRow `json:"targets,omitempty"`
-	// HeardMS is how old the word on load is.
-	HeardMS int64 `json:"heard_ms"`
+	// LoadAgeMS is how old the word on load is.
+	LoadAgeMS int64 `json:"heard_ms"`
 }
 
 // TargetRow is one target as operators see it.
@@ -184,7 +184,7 @@
 		Standing:   strings.ToLower(strings.TrimPrefix(peer.Standing.String(), "STANDING_")),
 		Leaving:    peer.Leaving,
 		Steady:     peer.Steady,
-		HeardMS:    min(peer.Heard, time.Hour).Milliseconds(),
+		LoadAgeMS:  min(peer.Heard, time.Hour).Milliseconds(),
 	}
 	for _, target := range peer.Targets {
 		row.Targets = append(row.Targets, TargetRow{
--- a/internal/process/quarantine_test.go
+++ b/internal/process/quarantine_test.go
@@ -463,13 +463,13 @@
 	at := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
 	response, err := http.Get(at)
 	is.NoErr(err)
-	var listed []process.HeldBack
+	var listed []process.HeldRequest
 	is.NoErr(json.NewDecoder(response.Body).Decode(&listed))
 	is.NoErr(response.Body.Close())
 	is.Equal(len(listed), 1)
-	is.True(listed[0].Ends >= enoughCrashes)
+	is.True(listed[0].Crashes >= enoughCrashes)
 	is.Equal(f.callWithBody(1, "/ask/1", "held", fatalNumber(0)).status, http.StatusBadRequest)
-	request, err := http.NewRequest(http.MethodDelete, at+"?"+process.QueryQuarantine+"="+listed[0].Print, nil)
+	request, err := http.NewRequest(http.MethodDelete, at+"?"+process.QueryQuarantine+"="+listed[0].Fingerprint, nil)
 	is.NoErr(err)
 	lifted, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
--- a/internal/process/query.go
+++ b/internal/process/query.go
@@ -20,13 +20,13 @@
 // storeWait bounds what a query reads from the store.
 const storeWait = 2 * time.Second
 
-// Text is the body of a query.
-type Text struct {
+// QueryRequest is the body of a query.
+type QueryRequest struct {
 	Text string `json:"text"`
 }
 
 func (o *operators) serveQuery(w http.ResponseWriter, r *http.Request) {
-	var body Text
+	var body QueryRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand)).Decode(&body); err != nil {
 		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the query is not readable: %v", err))
 		return
@@ -143,7 +143,7 @@
 		for _, target := range row.Targets {
 			table.Rows = append(table.Rows, []string{
 				target.ID, target.Pool, row.ID, row.DataCenter, fmt.Sprint(target.Leaving),
-				fmt.Sprint(target.InFlight), fmt.Sprint(target.Limit), fmt.Sprint(row.HeardMS), row.ID,
+				fmt.Sprint(target.InFlight), fmt.Sprint(target.Limit), fmt.Sprint(row.LoadAgeMS), row.ID,
 			})
 		}
 	}
--- a/internal/process/reference_test.go
+++ b/internal/process/reference_test.go
@@ -248,10 +248,10 @@
 		_ = response.Body.Close()
 		return response.StatusCode, string(text)
 	}
-	status, text := post("/query", Text{Text: "routers"})
+	status, text := post("/query", QueryRequest{Text: "routers"})
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(text, "router-0"))
-	status, text = post("/query", Text{Text: "history"})
+	status, text = post("/query", QueryRequest{Text: "history"})
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(text, "missing"))
 	status, text = post("/exec", Script{ID: "a", Text: "create model m"})
--- a/pkg/cmd/member/list/list.go
+++ b/pkg/cmd/member/list/list.go
@@ -72,7 +72,7 @@
 		return [][]string{append(first, "-", "-", "-", "-", "-")}
 	}
 	rows := make([][]string, 0, len(m.Targets))
-	heard := (time.Duration(m.HeardMS) * time.Millisecond).Round(time.Millisecond)
+	heard := (time.Duration(m.LoadAgeMS) * time.Millisecond).Round(time.Millisecond)
 	for _, target := range m.Targets {
 		name := target.ID
 		if target.Leaving {
--- a/pkg/cmd/quarantine/list/list.go
+++ b/pkg/cmd/quarantine/list/list.go
@@ -56,8 +56,8 @@
 	}
 	rows := make([][]string, 0, len(held))
 	for _, request := range held {
-		left := (time.Duration(request.LeftMS) * time.Millisecond).Round(time.Second)
-		rows = append(rows, []string{request.Print, fmt.Sprint(request.Ends), left.String()})
+		left := (time.Duration(request.RemainingMS) * time.Millisecond).Round(time.Second)
+		rows = append(rows, []string{request.Fingerprint, fmt.Sprint(request.Crashes), left.String()})
 	}
 	return cmdutil.Table(opts.IO.Out, []string{"PRINT", "TARGETS ENDED", "HELD BACK FOR"}, rows)
 }
--- a/pkg/cmd/targets/targets.go
+++ b/pkg/cmd/targets/targets.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	if opts.Service != "" {
-		known = slices.DeleteFunc(known, func(target process.TargetStanding) bool { return target.Service != opts.Service })
+		known = slices.DeleteFunc(known, func(target process.TargetStatus) bool { return target.Service != opts.Service })
 	}
 	if opts.JSON {
 		return cmdutil.PrintJSON(opts.IO.Out, known)
@@ -65,7 +65,7 @@
 	rows := make([][]string, 0, len(known))
 	for _, target := range known {
 		rows = append(rows, []string{
-			target.ID, target.Service, target.Address, target.DataCenter, string(target.Standing), left(target),
+			target.ID, target.Service, target.Address, target.DataCenter, string(target.Reason), left(target),
 			fmt.Sprint(target.InFlight), fmt.Sprint(target.Others),
 		})
 	}
@@ -73,9 +73,9 @@
 }
 
 // left is for how much longer the reason holds.
-func left(target process.TargetStanding) string {
-	if target.LeftMS == 0 {
+func left(target process.TargetStatus) string {
+	if target.RemainingMS == 0 {
 		return "-"
 	}
-	return (time.Duration(target.LeftMS) * time.Millisecond).Round(100 * time.Millisecond).String()
+	return (time.Duration(target.RemainingMS) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
--- a/pkg/cmdutil/client.go
+++ b/pkg/cmdutil/client.go
@@ -82,8 +82,8 @@
 }
 
 // Exec sends a script of the operators' language.
-func (c *Client) Exec(ctx context.Context, script process.Script) (process.Executed, error) {
-	var executed process.Executed
+func (c *Client) Exec(ctx context.Context, script process.Script) (process.ExecResult, error) {
+	var executed process.ExecResult
 	err := c.call(ctx, http.MethodPost, "/exec", script, &executed)
 	return executed, err
 }
@@ -91,7 +91,7 @@
 // Query asks a question of the operators' language.
 func (c *Client) Query(ctx context.Context, text string) (oplang.Table, error) {
 	var table oplang.Table
-	err := c.call(ctx, http.MethodPost, "/query", process.Text{Text: text}, &table)
+	err := c.call(ctx, http.MethodPost, "/query", process.QueryRequest{Text: text}, &table)
 	if fault.KindOf(err) == fault.Unsettled && err != nil {
 		// A question changes nothing, so a lost answer needs no settling.
 		err = fault.New(fault.NotReady, fault.NotRun, "the router does not answer; name another with --router")
--- a/pkg/cmdutil/gateway.go
+++ b/pkg/cmdutil/gateway.go
@@ -30,13 +30,13 @@
 }
 
 // Targets are all targets as the gateway sees them.
-func (c *GatewayClient) Targets(ctx context.Context) ([]process.TargetStanding, error) {
-	return list[process.TargetStanding](ctx, c, process.PathTargets, "targets")
+func (c *GatewayClient) Targets(ctx context.Context) ([]process.TargetStatus, error) {
+	return list[process.TargetStatus](ctx, c, process.PathTargets, "targets")
 }
 
 // HeldBack are the requests that the gateway holds back.
-func (c *GatewayClient) HeldBack(ctx context.Context) ([]process.HeldBack, error) {
-	return list[process.HeldBack](ctx, c, process.PathQuarantine, "requests")
+func (c *GatewayClient) HeldBack(ctx context.Context) ([]process.HeldRequest, error) {
+	return list[process.HeldRequest](ctx, c, process.PathQuarantine, "requests")
 }
 
 // Lift has a request sent again that is held back, named by its print.
