--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -15,7 +15,7 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// agentProcess is an agent with all its services.
+// agentProcess runs an agent and all its services.
 type agentProcess struct {
 	*common
 	agent *agent.Agent
@@ -31,7 +31,7 @@
 		ID:         s.ID,
 		Session:    c.node.Session,
 		DataCenter: s.DataCenter,
-		Targets:    targetsOf(s),
+		Targets:    agentTargets(s),
 		Admission:  s.AdmissionOptions(),
 		Cache:      s.CacheOptions(),
 		Once:       s.OnceOptions(),
@@ -44,13 +44,13 @@
 		HostID:     s.Host,
 	}
 	if s.Hosts != "" {
-		options.Hosts = &external.HTTPHosts{Base: s.Hosts, Client: outbound()}
+		options.Hosts = &external.HTTPHosts{Base: s.Hosts, Client: newHTTPClient()}
 	}
 	p.agent = agent.New(options)
 	c.node.Serve(p.agent.Handle)
 	c.registerGauges()
-	p.registerLoads()
-	p.registerClock()
+	p.registerLoadGauges()
+	p.registerClockGauge()
 	ops := &operators{common: c, ready: func() bool { return true }}
 	return p, errors.Join(
 		c.kernel.Register("agent", p.agent),
@@ -58,23 +58,23 @@
 	)
 }
 
-func targetsOf(s *settings.Settings) []agent.Target {
-	client := outbound()
+func agentTargets(s *settings.Settings) []agent.Target {
+	client := newHTTPClient()
 	var targets []agent.Target
 	for _, t := range s.Targets {
-		made := agent.Target{ID: t.ID, Pool: t.Pool, Managed: t.Managed}
+		converted := agent.Target{ID: t.ID, Pool: t.Pool, Managed: t.Managed}
 		if t.Kind == "service" {
-			made.Service = &target.HTTPService{Base: t.URL, Client: client}
+			converted.Service = &target.HTTPService{Base: t.URL, Client: client}
 		} else {
-			made.Engine = &target.HTTPEngine{Base: t.URL, Client: client}
+			converted.Engine = &target.HTTPEngine{Base: t.URL, Client: client}
 		}
-		targets = append(targets, made)
+		targets = append(targets, converted)
 	}
 	return targets
 }
 
-// registerLoads exports the load of the agent's few targets.
-func (p *agentProcess) registerLoads() {
+// registerLoadGauges exports the total load of the agent's targets; an agent has only a few.
+func (p *agentProcess) registerLoadGauges() {
 	metric.Gauge(p.registry, "targets_in_flight", "Requests in flight at this agent's targets.", func() float64 {
 		sum := 0
 		for _, load := range p.agent.Loads() {
@@ -91,14 +91,14 @@
 	})
 }
 
-// registerClock exports warnings about clocks.
-func (p *agentProcess) registerClock() {
+// registerClockGauge exports the number of clock warnings.
+func (p *agentProcess) registerClockGauge() {
 	metric.Gauge(p.registry, "clock_warnings", "Exchanges that showed wall clocks too far apart.", func() float64 {
 		return float64(p.agent.ClockWarnings())
 	})
 }
 
-// registerGauges exports what routers and agents share.
+// registerGauges exports the metrics that routers and agents share.
 func (c *common) registerGauges() {
 	metric.Gauge(c.registry, "config_revision", "Configuration revision in force.", func() float64 {
 		return float64(c.node.Config.Revision())
@@ -134,16 +134,17 @@
 	return nil
 }
 
-// drainTell gives the others a moment to hear that the agent is leaving.
-const drainTell = time.Second
+// leavePropagationTime is the minimum duration of a drain, so that the other processes learn that
+// the agent is leaving before it stops.
+const leavePropagationTime = time.Second
 
-// Drain takes no new work, hands slots over and waits for what is in flight.
+// Drain stops accepting work, hands over the agent's slots and waits for requests in flight.
 func (p *agentProcess) Drain(ctx context.Context) error {
 	p.log.Info("agent draining")
-	began := time.Now()
+	start := time.Now()
 	err := p.agent.Drain(ctx)
-	if wait := drainTell - time.Since(began); wait > 0 {
-		timer := time.NewTimer(wait)
+	if remaining := leavePropagationTime - time.Since(start); remaining > 0 {
+		timer := time.NewTimer(remaining)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
--- a/internal/process/budget_test.go
+++ b/internal/process/budget_test.go
@@ -37,9 +37,9 @@
 			s := &settings.Gateway{Retry: settings.RetryBudget{Ratio: 0.2, Slack: 100, Window: settings.Duration(10 * time.Second)}}
 			p := &GatewayProcess{settings: s, started: time.Now().Add(-tc.running)}
 			p.gateway = &gateway.Gateway{Balancer: balance.New(balance.DefaultOptions()), Budgets: retrybudget.New(retryOptions(s))}
-			p.countPeers(peer.Census{Live: tc.peers, Known: tc.peers})
+			p.applyCensus(peer.Census{Live: tc.peers, Known: tc.peers})
 			if name == "thirty, then alone" {
-				p.countPeers(peer.Census{}) // cut off, the others go on spending
+				p.applyCensus(peer.Census{}) // cut off, the others go on spending
 			}
 			spent := 0
 			for p.gateway.Budgets.Spend("s", time.Now()) {
@@ -88,7 +88,7 @@
 			is := is.New(t)
 			is.NoErr(err)
 			urged := 0
-			taker := &sink{process: p, urge: func() { urged++ }}
+			taker := &sink{process: p, notifyPeers: func() { urged++ }}
 			taker.Target(ready)
 			tc.tell(taker)
 			is.Equal(urged, tc.want)
@@ -128,7 +128,7 @@
 // TestTimeIsLeftForWhatIsInFlight: also where the grace time is short.
 func TestTimeIsLeftForWhatIsInFlight(t *testing.T) {
 	is := is.New(t)
-	is.Equal(unreadyOf(8*time.Second), unreadyFor)
-	is.Equal(unreadyOf(20*time.Second), unreadyFor)
-	is.Equal(unreadyOf(3*time.Second), 1200*time.Millisecond)
+	is.Equal(gatewayUnreadyDelay(8*time.Second), unreadyDelay)
+	is.Equal(gatewayUnreadyDelay(20*time.Second), unreadyDelay)
+	is.Equal(gatewayUnreadyDelay(3*time.Second), 1200*time.Millisecond)
 }
--- a/internal/process/exec.go
+++ b/internal/process/exec.go
@@ -15,33 +15,35 @@
 	"github.com/capersaddle/capersaddle/internal/oplang"
 )
 
-// Script is the body of an exec call.
+// Script is the body of a call to exec.
 type Script struct {
 	Text   string `json:"text"`
 	ID     string `json:"id"`
 	Who    string `json:"who,omitempty"`
 	DryRun bool   `json:"dry_run,omitempty"`
 	Force  bool   `json:"force,omitempty"`
-	// WaitMS is how long to wait until the change is in force everywhere.
+	// WaitMS limits the wait, in milliseconds, until all live routers have the change; zero does
+	// not wait.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
 // ExecResult is the result of an accepted script.
 type ExecResult struct {
 	config.Result
-	// InForce and Routers are set when the call waited.
+	// InForce counts the routers that have the change, out of Routers live ones. Both are set
+	// only when the call waited.
 	InForce int `json:"in_force,omitempty"`
 	Routers int `json:"routers,omitempty"`
-	// Missing names the routers that were not seen to have the change.
+	// Missing lists the live routers that did not confirm the change in time.
 	Missing []string `json:"missing,omitempty"`
 }
 
 func (o *operators) serveExec(w http.ResponseWriter, r *http.Request) {
 	var script Script
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&script); err != nil {
-		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the command is not readable: %v", err))
+		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "cannot read the command: %v", err))
 		return
 	}
 	executed, err := o.exec(r, script)
@@ -63,34 +65,34 @@
 		return ExecResult{}, fault.New(fault.BadRequest, fault.NotRun, "%v", err)
 	}
 	command.ID, command.Who, command.DryRun, command.Force = script.ID, script.Who, script.DryRun, script.Force
-	result, err := o.do(r, command)
+	result, err := o.execute(r, command)
 	if err != nil {
 		return ExecResult{}, err
 	}
 	executed := ExecResult{Result: result}
 	if script.WaitMS > 0 && !result.DryRun {
-		o.await(r.Context(), &executed, time.Duration(script.WaitMS)*time.Millisecond)
+		o.awaitRevision(r.Context(), &executed, time.Duration(script.WaitMS)*time.Millisecond)
 	}
 	return executed, nil
 }
 
-// do carries out a command after checking that it breaks no promise.
-func (o *operators) do(r *http.Request, command config.Command) (config.Result, error) {
+// execute runs a command. Unless forced, it first refuses marks that checkMarks rejects.
+func (o *operators) execute(r *http.Request, command config.Command) (config.Result, error) {
 	if !command.Force {
-		if refusal := o.breaks(command); refusal != nil {
+		if refusal := o.checkMarks(command); refusal != nil {
 			return config.Result{}, refusal
 		}
 	}
 	result, err := o.editor.Do(r.Context(), command)
 	if err == nil && !result.DryRun {
-		o.takeEffect(r)
+		o.fetchConfig(r)
 	}
 	return result, err
 }
 
-// breaks refuses a mark that would leave a pool without a target, and one of a
-// target that nobody knows.
-func (o *operators) breaks(command config.Command) *fault.Error {
+// checkMarks refuses to mark targets that no agent has, or the last target in a pool that accepts
+// work.
+func (o *operators) checkMarks(command config.Command) *fault.Error {
 	var marked []string
 	for _, change := range command.Changes {
 		kind, name, err := config.SplitName(change.Name)
@@ -102,41 +104,40 @@
 		return nil
 	}
 	pools := make(map[string]string)
-	left := make(map[string]int)
+	remaining := make(map[string]int)
 	o.node.Members.Visit(func(view member.View) {
 		for _, target := range view.Member.GetTargets() {
 			pools[target.GetId()] = target.GetPool()
 			if view.Alive() && !target.GetLeaving() && !slices.Contains(marked, target.GetId()) {
-				left[target.GetPool()]++
+				remaining[target.GetPool()]++
 			}
 		}
 	})
 	for _, name := range marked {
 		pool, known := pools[name]
 		if !known {
-			return fault.New(fault.Conflict, fault.NotRun, "no agent has a target %q; use force if it is still to come", name)
+			return fault.New(fault.Conflict, fault.NotRun, "no agent has target %q; use force if it will be added later", name)
 		}
-		if left[pool] == 0 {
-			return fault.New(fault.Conflict, fault.NotRun, "%q is the last target of %q that takes work; use force to stop it all the same", name, pool)
+		if remaining[pool] == 0 {
+			return fault.New(fault.Conflict, fault.NotRun, "%q is the last target in pool %q that accepts work; use force to stop it anyway", name, pool)
 		}
 	}
 	return nil
 }
 
-// awaitEvery is the wait between two rounds of asking.
-const awaitEvery = 100 * time.Millisecond
+// revisionPollInterval is the wait between two polls of the routers' revisions.
+const revisionPollInterval = 100 * time.Millisecond
 
-// await asks all live routers whether they have the revision, until all do or
-// the time is out.
-func (o *operators) await(ctx context.Context, executed *ExecResult, limit time.Duration) {
+// awaitRevision polls all live routers until each has the revision or the time limit is reached.
+func (o *operators) awaitRevision(ctx context.Context, executed *ExecResult, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
-		executed.Missing = o.behind(ctx, executed)
+		executed.Missing = o.laggingRouters(ctx, executed)
 		if len(executed.Missing) == 0 || ctx.Err() != nil {
 			return
 		}
-		timer := time.NewTimer(awaitEvery)
+		timer := time.NewTimer(revisionPollInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -145,12 +146,12 @@
 	}
 }
 
-// behind asks each live router for its revision and names those that do not
-// have the change or do not answer.
-func (o *operators) behind(ctx context.Context, executed *ExecResult) []string {
+// laggingRouters asks each live router for its revision and returns the IDs of those that lack
+// the change or do not answer.
+func (o *operators) laggingRouters(ctx context.Context, executed *ExecResult) []string {
 	var mu sync.Mutex
 	var missing []string
-	var wait sync.WaitGroup
+	var pending sync.WaitGroup
 	executed.Routers = 0
 	for _, peer := range o.node.Members.Peers() {
 		if peer.Role != member.RoleRouter || !peer.Alive() {
@@ -160,7 +161,7 @@
 		if peer.ID == o.settings.ID {
 			continue
 		}
-		wait.Go(func() {
+		pending.Go(func() {
 			delta, err := o.node.Pull(ctx, peer.LinkAddress, executed.Revision)
 			if err == nil && delta.GetTo() >= executed.Revision {
 				return
@@ -170,7 +171,7 @@
 			missing = append(missing, peer.ID)
 		})
 	}
-	wait.Wait()
+	pending.Wait()
 	slices.SortFunc(missing, strings.Compare)
 	executed.InForce = executed.Routers - len(missing)
 	return missing
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -30,31 +30,30 @@
 )
 
 const (
-	// proofMargin is kept between the age of a proof and the time after which
-	// a key must not be served, for the way to a target.
+	// proofMargin is subtracted from the time after which a revoked key must not be served, to
+	// allow for the delay until a request reaches its target.
 	proofMargin = 400 * time.Millisecond
-	// denyFreshness is how old the proof may be when a request is denied.
+	// denyFreshness is the maximum age of the freshness proof for denying a request.
 	denyFreshness = 4 * time.Second
-	// retryShare of the allowed ratio is what one gateway spends, since the
-	// gateways' windows don't begin together.
+	// retryShare is the fraction of the allowed retry ratio that one gateway spends. It is below
+	// 1 because the gateways' windows do not start at the same time.
 	retryShare = 0.85
-	// leastGateways is how many gateways the retry slack is shared among at
-	// least, and gatewaysToCome how many there may be for each one seen: more
-	// may join at any time.
-	leastGateways  = 8
-	gatewaysToCome = 1.3
-	// unknownGateways is how many there are taken to be until a process has
-	// had the time to hear them, knownAfter.
-	unknownGateways = 32
-	knownAfter      = 5 * time.Second
-	// peerBudget is how many bytes a second are sent to other gateways in
-	// beats; the users allow 8 KB for all control.
-	peerBudget = 7000
-	// drainMargin is kept before the end of the grace time.
+	// minGateways is the minimum number of gateways that the retry slack is divided by, and
+	// gatewayGrowthFactor the number assumed per gateway seen, since more can join at any time.
+	minGateways         = 8
+	gatewayGrowthFactor = 1.3
+	// assumedGateways is the number of gateways assumed while a process may not yet have
+	// discovered the others, which takes up to discoveryTime.
+	assumedGateways = 32
+	discoveryTime   = 5 * time.Second
+	// peerBytesPerSecond limits the heartbeat traffic to other gateways; 8 KB a second are
+	// allowed for all control traffic.
+	peerBytesPerSecond = 7000
+	// drainMargin is left unused before the end of the grace period.
 	drainMargin = 500 * time.Millisecond
 )
 
-// GatewayProcess is a gateway with all its services.
+// GatewayProcess runs a gateway and all its services.
 type GatewayProcess struct {
 	settings *settings.Gateway
 	kernel   *kernel.Kernel
@@ -65,30 +64,30 @@
 	store    *observe.Dependency
 	peers    *peer.Service
 	crashes  *gateway.Crashes
-	// held is what is held for callers.
-	held     *spool.Budget
-	rollouts *rollout.Controller
-	lag      *lag.Monitor
-	// late is what the log last said of the lag.
-	late      atomic.Bool
-	front     *platform.Front
-	callers   *inbound.Listener
-	server    *http.Server
-	leaving   atomic.Bool
-	addresses Addresses
-	started   time.Time
-	// peerKnewAt is when another gateway was first found to hold the store's
-	// content, while this one held nothing; used by the feed only.
-	peerKnewAt time.Time
-	// expectedGateways is how many gateways there were when the last checkpoint was
-	// written; zero if that is not known.
+	// heldBudget limits the bytes buffered for callers.
+	heldBudget *spool.Budget
+	rollouts   *rollout.Controller
+	lag        *lag.Monitor
+	// loggedLate is the lag state that was last logged.
+	loggedLate atomic.Bool
+	front      *platform.Front
+	callers    *inbound.Listener
+	server     *http.Server
+	draining   atomic.Bool
+	addresses  Addresses
+	started    time.Time
+	// peerCopySeenAt is when another gateway was first found to hold the store's content while
+	// this one held nothing. Only the feed accesses it.
+	peerCopySeenAt time.Time
+	// expectedGateways is the number of gateways when the last checkpoint was written; zero if
+	// unknown.
 	expectedGateways atomic.Int32
-	// mostPeers is used by the peers' rounds only.
-	mostPeers int
+	// maxPeers is the highest number of live peers seen. Only the rounds of the peer service
+	// access it.
+	maxPeers int
 }
 
-// NewGateway puts a gateway together from its settings and takes its
-// addresses.
+// NewGateway creates a gateway process from its settings and opens its listeners.
 func NewGateway(s *settings.Gateway, logger *log.Logger) (*GatewayProcess, error) {
 	registry := prometheus.NewRegistry()
 	p := &GatewayProcess{settings: s, started: time.Now(), kernel: kernel.New(), log: logger.With("process", s.ID)}
@@ -102,25 +101,25 @@
 		Limiters: admission.NewLimiters(admission.DefaultLimiterOptions()),
 		Proof:    new(freshness.Proof),
 		Events:   p.observer,
-		Options:  gateway.Options{KeyFreshness: keyFreshness(s), DenyFreshness: denyFreshness, PeersReachable: p.accompanied, PeersConfigured: p.othersKnow, ProcessLate: p.lag.Late, StreamDelay: time.Duration(s.Pass)},
+		Options:  gateway.Options{KeyFreshness: keyFreshness(s), DenyFreshness: denyFreshness, PeersReachable: p.peersReachable, PeersConfigured: p.peersConfigured, ProcessLate: p.lag.Late, StreamDelay: time.Duration(s.Pass)},
 	}
-	p.held = spool.NewBudget(heldBytes(s))
-	p.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout, CallerEnded: p.observer.CallerEnded}, p.held)
+	p.heldBudget = spool.NewBudget(maxHeldBytes(s))
+	p.gateway.Spools = spool.New(spool.Options{MaxPerCaller: spool.DefaultMaxPerCaller, WriteTimeout: spool.DefaultWriteTimeout, CallerEnded: p.observer.CallerEnded}, p.heldBudget)
 	p.crashes = gateway.NewCrashes(quarantine.New(), p.gateway.Balancer, sender, p.observer)
 	p.gateway.Crashes = p.crashes
 	p.store = p.observer.NewStoreDependency()
-	p.feed = platform.NewFeed(platform.NewStore(s.Store), &sink{process: p, urge: p.urge}, p.storeRole, p.yields)
-	p.front = &platform.Front{Gateway: p.gateway, Held: p.held}
+	p.feed = platform.NewFeed(platform.NewStore(s.Store), &sink{process: p, notifyPeers: p.notifyPeers}, p.storeRole, p.yieldsToPeers)
+	p.front = &platform.Front{Gateway: p.gateway, Held: p.heldBudget}
 	observe.RegisterGauges(registry, p.gauges())
 	steps := []func() error{
 		func() error { return p.kernel.Register("lag", p.lag) },
 		func() error { return p.kernel.Register("sender", sender) },
-		p.joinPeers,
+		p.registerPeers,
 		func() error { return p.kernel.Register("crashes", p.crashes) },
-		func() error { return p.joinRollouts(registry) },
+		func() error { return p.registerRollouts(registry) },
 		func() error { return p.kernel.Register("feed", p.feed) },
-		func() error { return p.kernel.Register("checkpoint", p.newSaver()) },
-		p.saveCrashes,
+		func() error { return p.kernel.Register("checkpoint", p.newCheckpointSaver()) },
+		p.registerCrashStore,
 		p.serveCallers,
 		p.serveReady,
 		func() error { return p.serveMetrics(registry) },
@@ -133,7 +132,7 @@
 	return p, nil
 }
 
-// gauges are what the process tells of its state when it is asked.
+// gauges returns the functions that compute the gateway's gauges when metrics are collected.
 func (p *GatewayProcess) gauges() observe.Gauges {
 	traffic := func() (sent, received int64) {
 		if p.peers == nil {
@@ -163,10 +162,10 @@
 			return float64(total)
 		},
 		Lag:       func() float64 { return p.lag.Lag().Seconds() },
-		Held:      func() float64 { return float64(p.held.Held()) },
+		Held:      func() float64 { return float64(p.heldBudget.Held()) },
 		HeldBack:  func() float64 { return float64(len(p.crashes.Table.HeldRequests(clock.Now()))) },
-		Resting:   func() float64 { return p.countReason(balance.ReasonRest) },
-		Leaving:   func() float64 { return p.countReason(balance.ReasonAnswer) },
+		Resting:   func() float64 { return p.countTargets(balance.ReasonRest) },
+		Leaving:   func() float64 { return p.countTargets(balance.ReasonAnswer) },
 		Evacuated: func() float64 { return float64(len(p.gateway.Balancer.Evacuated())) },
 		InFlight: func() float64 {
 			total := 0
@@ -178,63 +177,66 @@
 	}
 }
 
-// keepsCheckpoint says whether this process is the one that writes the checkpoint. Of
-// 300 that had begun together and had not heard of each other yet some 28 wrote one,
-// of 220 KB with 3,000 targets, to everybody who watches the store.
-func (p *GatewayProcess) keepsCheckpoint() bool {
+// writesCheckpoint reports whether this process writes the checkpoint. It waits until the other
+// gateways can be known: of 300 that started together, some 28 had not yet discovered the others
+// and each wrote one, of 220 KB with 3,000 targets, which the store sent to all its watchers.
+func (p *GatewayProcess) writesCheckpoint() bool {
 	if p.peers == nil {
 		return true
 	}
-	return time.Since(p.started) >= knownAfter && p.peers.First()
+	return time.Since(p.started) >= discoveryTime && p.peers.First()
 }
 
-// newSaver keeps in the store where parts of prompts are cached.
-func (p *GatewayProcess) newSaver() *checkpoint.Saver {
-	called := func(err error) { p.observer.StoreCalled("checkpoint", err) }
-	saver := checkpoint.NewSaver(p.gateway.Balancer, p.feed, p.keepsCheckpoint, called)
+// newCheckpointSaver returns the service that saves in the store which targets cache which parts
+// of prompts.
+func (p *GatewayProcess) newCheckpointSaver() *checkpoint.Saver {
+	recordCall := func(err error) { p.observer.StoreCalled("checkpoint", err) }
+	saver := checkpoint.NewSaver(p.gateway.Balancer, p.feed, p.writesCheckpoint, recordCall)
 	saver.HeldBack = func() []quarantine.Record { return p.crashes.Table.AtLimit(clock.Now()) }
 	return saver
 }
 
-// closer is a service that has begun already.
-type closer struct {
+// closeFunc is a service that is already running and only needs to be closed.
+type closeFunc struct {
 	close func() error
 }
 
-// Start has nothing to do.
-func (closer) Start(context.Context) error { return nil }
+// Start does nothing.
+func (closeFunc) Start(context.Context) error { return nil }
 
-// Close ends the service.
-func (c closer) Close() error { return c.close() }
+// Close stops the service.
+func (c closeFunc) Close() error { return c.close() }
 
-// Ready says whether callers may come: configuration and servers are known,
-// there is a proof to vouch for keys by, and the process gets to run.
+// Ready reports whether the gateway accepts callers: configuration and targets are loaded, there
+// is a freshness proof for checking API keys, and the process has enough processor time or no
+// peer has any to spare.
 func (p *GatewayProcess) Ready() bool {
-	return !p.leaving.Load() && p.gateway.Table() != nil && p.feed.Loaded() && p.proven() && !p.checkLate()
+	return !p.draining.Load() && p.gateway.Table() != nil && p.feed.Loaded() && p.hasProof() && !p.checkLag()
 }
 
-// proven says whether there ever was a proof that the store's content is known here.
-func (p *GatewayProcess) proven() bool {
-	_, proven := p.gateway.Proof.Age(clock.Check())
-	return proven
+// hasProof reports whether the process has ever had a proof that it knew the store's content.
+func (p *GatewayProcess) hasProof() bool {
+	_, known := p.gateway.Proof.Age(clock.Check())
+	return known
 }
 
-// targetsListed notes how many targets the first whole copy of the store has brought.
-func (p *GatewayProcess) targetsListed() {
+// recordTargetCount records the number of targets after the first complete copy of the store.
+func (p *GatewayProcess) recordTargetCount() {
 	p.observer.TargetsListed(len(p.gateway.Balancer.Targets()))
 }
 
-// fetching notes what the peers' service does; it also tells of the first copy.
-type fetching struct {
+// peerWatcher observes the peer service and records the target count after the first copy of the
+// store.
+type peerWatcher struct {
 	*observe.Observer
 	process *GatewayProcess
 }
 
-// ReplicaFetched notes the fetching of the store's content from a peer.
-func (f fetching) ReplicaFetched(id string, from, to int64, err error) {
+// ReplicaFetched records a fetch of the store's content from a peer.
+func (f peerWatcher) ReplicaFetched(id string, from, to int64, err error) {
 	f.Observer.ReplicaFetched(id, from, to, err)
 	if from == 0 && err == nil {
-		f.process.targetsListed()
+		f.process.recordTargetCount()
 	}
 }
 
@@ -242,16 +244,17 @@
 	options := balance.OptionsFor(balance.Bound{Multiple: s.Load.Multiple, Extra: s.Load.Extra})
 	options.DataCenter = s.DataCenter
 	options.Cold = balance.Bound{Multiple: s.Cold.Multiple, Extra: s.Cold.Extra}
-	// What lapsed may also have left, and then gets no new work for long.
+	// A target whose entry lapsed may have left, and then must get no new work once the leave
+	// time has passed.
 	const leaveShare = 0.85
 	options.Lapse = min(balance.MostLapse, time.Duration(leaveShare*float64(s.Leave)))
 	return options
 }
 
-// heldBytes is how many bytes are held for callers at most, without bound if the host's memory
-// is not known: the rest of the memory is for
-// the process itself, twice over for the collector.
-func heldBytes(s *settings.Gateway) int64 {
+// maxHeldBytes limits the bytes buffered for callers; zero means no limit, if the host's memory
+// is unknown. The rest of the memory is for the process itself, counted twice because of the
+// garbage collector.
+func maxHeldBytes(s *settings.Gateway) int64 {
 	const share = 1.0 / 8
 	return int64(share * s.Host.MemoryMB * (1 << 20))
 }
@@ -259,7 +262,7 @@
 func retryOptions(s *settings.Gateway) retrybudget.Options {
 	return retrybudget.Options{
 		Ratio:  retryShare * s.Retry.Ratio,
-		Slack:  s.Retry.Slack / unknownGateways,
+		Slack:  s.Retry.Slack / assumedGateways,
 		Window: time.Duration(s.Retry.Window),
 	}
 }
@@ -281,57 +284,56 @@
 	return nil
 }
 
-// Drain goes unready, goes on serving until the platform has surely seen it,
-// and then waits for the requests in flight. Every answer asks its caller to
-// use another connection.
+// Drain reports the gateway as not ready, keeps serving until the platform has noticed, and then
+// waits for requests in flight. Every answer asks its caller to use another connection.
 func (p *GatewayProcess) Drain(ctx context.Context) error {
 	p.log.Info(observe.EventDrain, "grace_ms", time.Duration(p.settings.Grace).Milliseconds())
-	p.leaving.Store(true)
+	p.draining.Store(true)
 	if p.peers != nil {
 		p.peers.Leave()
 	}
 	p.front.CloseConnections()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(p.settings.Grace)-drainMargin)
 	defer cancel()
-	timer := time.NewTimer(unreadyOf(time.Duration(p.settings.Grace)))
+	timer := time.NewTimer(gatewayUnreadyDelay(time.Duration(p.settings.Grace)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if err := p.callers.Drain(ctx); err != nil {
-		// The grace time is over: what is left is cut by us or by the platform.
+		// The grace period is over: remaining requests are cut off here or by the platform.
 		return errors.CombineErrors(err, p.server.Close())
 	}
 	return nil
 }
 
-// unreadyOf is how long of the grace time an unready gateway still takes
-// callers: most of it is left for what is in flight.
-func unreadyOf(grace time.Duration) time.Duration {
+// gatewayUnreadyDelay is how long a draining gateway still accepts callers. Most of the grace
+// period is kept for requests in flight.
+func gatewayUnreadyDelay(grace time.Duration) time.Duration {
 	const share = 0.4
-	return min(unreadyFor, time.Duration(share*float64(grace)))
+	return min(unreadyDelay, time.Duration(share*float64(grace)))
 }
 
-// Close ends everything and waits.
+// Close stops all services and waits for them.
 func (p *GatewayProcess) Close() error {
 	err := p.kernel.Close()
 	p.log.Info(observe.EventStop)
 	return err
 }
 
-// Forgive lets targets that were left out for their failures back in at once.
-func (p *GatewayProcess) Forgive() {
+// ReadmitTargets immediately readmits targets that were ejected for their failures.
+func (p *GatewayProcess) ReadmitTargets() {
 	p.gateway.Balancer.Forgive()
 }
 
-// Addresses are where the process listens.
+// Addresses returns the addresses that the process listens on.
 func (p *GatewayProcess) Addresses() Addresses {
 	return p.addresses
 }
 
-// Reload takes over the settings that may change while the process runs; the
-// addresses stay as they were at its start.
+// Reload applies the settings that may change at run time; the addresses stay as they were at
+// start.
 func (p *GatewayProcess) Reload(s *settings.Gateway) {
 	if level, err := log.ParseLevel(s.Log.Level); err == nil && s.Log.Level != "" {
 		p.log.SetLevel(level)
--- a/internal/process/gateway_begin_test.go
+++ b/internal/process/gateway_begin_test.go
@@ -34,7 +34,7 @@
 			made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(t.Output(), settings.Log{Format: "json"}))
 			is.NoErr(err)
 			t.Cleanup(func() { _ = made.kernel.Close() })
-			s := &sink{process: made, urge: func() {}}
+			s := &sink{process: made, notifyPeers: func() {}}
 			data, err := checkpoint.Encode(checkpoint.Content{Targets: []balance.Target{targetOf("a"), targetOf("b"), targetOf("left")}})
 			is.NoErr(err)
 			balancer := made.gateway.Balancer
@@ -68,7 +68,7 @@
 		"no seeds":                      {"127.0.0.1:0", nil, 0, false},
 		"only itself is a seed":         {"127.0.0.1:0", []string{"self"}, 0, false},
 		"others may be there":           {"127.0.0.1:0", []string{"self", "10.0.0.9:1"}, 0, true},
-		"nobody was heard for a moment": {"127.0.0.1:0", []string{"10.0.0.9:1"}, discoverPatience, false},
+		"nobody was heard for a moment": {"127.0.0.1:0", []string{"10.0.0.9:1"}, peerDiscoveryTimeout, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			}
 			// Moments right at a bound would hang on the machine's speed.
 			made.started = time.Now().Add(-2 * tc.age)
-			is.Equal(made.yields(), tc.yields)
+			is.Equal(made.yieldsToPeers(), tc.yields)
 		})
 	}
 }
@@ -94,21 +94,21 @@
 // that had begun together were on hosts of a seventh of a core and 10 Mbit/s.
 func TestASmallHostYieldsToLargerOnes(t *testing.T) {
 	cases := map[string]struct {
-		beginning beginning
+		beginning startupState
 		yields    bool
 	}{
-		"a large host that hears nobody yet":     {beginning{young: true, alone: true, quick: true}, true},
-		"a large host that leads":                {beginning{young: true, quick: true, leads: true}, false},
-		"a large host behind others":             {beginning{young: true, quick: true}, true},
-		"a small host that leads for the moment": {beginning{young: true, leads: true}, true},
-		"a small host that leads for longer":     {beginning{leads: true}, false},
-		"a small host behind others":             {beginning{}, true},
-		"a host that hears nobody for longer":    {beginning{alone: true, leads: true}, false},
-		"the same on a large host":               {beginning{alone: true, quick: true}, false},
+		"a large host that hears nobody yet":     {startupState{discovering: true, noPeers: true, quickHost: true}, true},
+		"a large host that leads":                {startupState{discovering: true, quickHost: true, firstInOrder: true}, false},
+		"a large host behind others":             {startupState{discovering: true, quickHost: true}, true},
+		"a small host that leads for the moment": {startupState{discovering: true, firstInOrder: true}, true},
+		"a small host that leads for longer":     {startupState{firstInOrder: true}, false},
+		"a small host behind others":             {startupState{}, true},
+		"a host that hears nobody for longer":    {startupState{noPeers: true, firstInOrder: true}, false},
+		"the same on a large host":               {startupState{noPeers: true, quickHost: true}, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(yields(tc.beginning), tc.yields)
+			is.New(t).Equal(shouldYield(tc.beginning), tc.yields)
 		})
 	}
 }
@@ -127,10 +127,10 @@
 		age   time.Duration
 		role  platform.Role
 	}{
-		"a small host before its moment":       {small, others, moment(smallPatience) / 4, platform.Follows},
-		"after it, and nobody was heard":       {small, others, moment(smallPatience), platform.AsksFirst},
+		"a small host before its moment":       {small, others, moment(smallReadWindow) / 4, platform.Follows},
+		"after it, and nobody was heard":       {small, others, moment(smallReadWindow), platform.AsksFirst},
 		"a large host before its moment":       {large, others, 0, platform.Follows},
-		"a large host's moment comes sooner":   {large, others, moment(quickPatience), platform.AsksFirst},
+		"a large host's moment comes sooner":   {large, others, moment(quickReadWindow), platform.AsksFirst},
 		"what the host has is not known":       {settings.Host{}, others, 0, platform.AsksFirst},
 		"a small host, and nobody else can be": {small, nil, 0, platform.AsksFirst},
 	}
@@ -158,7 +158,7 @@
 	}{
 		"no other gateways":           {"", 0, true},
 		"others may be there":         {"127.0.0.1:0", 0, false},
-		"nobody was heard for longer": {"127.0.0.1:0", knownAfter, true},
+		"nobody was heard for longer": {"127.0.0.1:0", discoveryTime, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 			is.NoErr(err)
 			t.Cleanup(func() { _ = made.kernel.Close() })
 			made.started = time.Now().Add(-2 * tc.age)
-			is.Equal(made.keepsCheckpoint(), tc.keeps)
+			is.Equal(made.writesCheckpoint(), tc.keeps)
 		})
 	}
 }
--- a/internal/process/gateway_crashes.go
+++ b/internal/process/gateway_crashes.go
@@ -5,9 +5,10 @@
 	"github.com/capersaddle/capersaddle/internal/peer"
 )
 
-// saveCrashes has crash records saved in the store while some gateways are not heard. Where
-// there are no others, nobody would read them.
-func (p *GatewayProcess) saveCrashes() error {
+// registerCrashStore adds the service that saves crash records in the store while some gateways
+// are unreachable. A gateway without peers needs none, since no other process would read the
+// records.
+func (p *GatewayProcess) registerCrashStore() error {
 	if p.peers == nil {
 		return nil
 	}
@@ -15,21 +16,21 @@
 		Gateway: p.settings.ID,
 		Table:   p.crashes.Table,
 		Store:   p.feed,
-		Turn:    p.crashTurn,
+		Turn:    p.crashesToSave,
 		Called:  func(err error) { p.store.Called("crashes", err) },
 	}))
 }
 
-// crashTurn is what this process is to save of crashes. A gateway that is not heard may be
-// cut off from this one alone. Of those that hear each other one saves: the first that asks
-// the store.
-func (p *GatewayProcess) crashTurn() crashstore.Turn {
+// crashesToSave selects the crash records that this process saves. A silent gateway may be alive
+// but partitioned from this one only. Among gateways that reach each other, only the first in the
+// order of store readers saves.
+func (p *GatewayProcess) crashesToSave() crashstore.Turn {
 	census := p.peers.Census()
 	switch {
 	case census.Silent == 0 || !p.peers.First():
 		return crashstore.Nothing
 	case census.Live < peer.CrashKeepers:
-		// Each of so few keeps track of every request.
+		// With so few live gateways, each tracks every request.
 		return crashstore.All
 	}
 	return crashstore.Spread
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -15,16 +15,17 @@
 	"github.com/capersaddle/capersaddle/platform"
 )
 
-// joinPeers takes the address for other gateways, if there is one.
-func (p *GatewayProcess) joinPeers() error {
+// registerPeers listens on the address for other gateways, if there is one, and adds the peer
+// services.
+func (p *GatewayProcess) registerPeers() error {
 	if p.settings.Peers == "" {
 		p.gateway.Balancer.SetGateways(balance.Gateways{Count: 1})
 		return nil
 	}
-	p.gateway.Balancer.SetGateways(p.placeAmong(peer.Census{}))
-	conn, listener, err := listenBoth(p.settings.Peers)
+	p.gateway.Balancer.SetGateways(p.gatewayPlace(peer.Census{}))
+	conn, listener, err := listenUDPAndTCP(p.settings.Peers)
 	if err != nil {
-		return listenFailed("peers", err)
+		return listenError("peers", err)
 	}
 	address := conn.LocalAddr().String()
 	p.addresses.Link, p.addresses.Beat = address, address
@@ -33,57 +34,57 @@
 	p.peers = peer.New(peer.Options{
 		ID:       p.settings.ID,
 		Address:  address,
-		Class:    classOf(p.settings.Host),
+		Class:    hostClass(p.settings.Host),
 		Seeds:    p.settings.Seeds,
-		Budget:   peerBudget,
+		Budget:   peerBytesPerSecond,
 		Replica:  p.feed,
 		Proof:    p.gateway.Proof,
 		Balancer: p.gateway.Balancer,
-		Watcher:  fetching{p.observer, p},
+		Watcher:  peerWatcher{p.observer, p},
 
 		Quarantine: p.crashes.Table,
-		OnCensus:   p.countPeers,
+		OnCensus:   p.applyCensus,
 		Lag:        p.lag.Lag,
 		Stale:      staleAfter(p.settings),
 	}, conn, pool)
 	p.gateway.Directory, p.crashes.Peers = p.peers, p.peers
-	if p.mayLeaveReading() {
-		turn := peer.StoreOrder(p.settings.ID)
-		p.feed.CountGateways(time.Duration(turn*float64(countPatience)), func() bool { return !p.peers.Many() })
+	if p.mayDeferReading() {
+		position := peer.StoreOrder(p.settings.ID)
+		p.feed.CountGateways(time.Duration(position*float64(countWindow)), func() bool { return !p.peers.Many() })
 	}
 	server := link.NewServer(listener, hello, nil, p.log, p.peers.Handle)
 	return errors.Join(
-		p.kernel.Register("links out", closer{pool.Close}),
-		p.kernel.Register("links in", closer{server.Close}),
+		p.kernel.Register("links out", closeFunc{pool.Close}),
+		p.kernel.Register("links in", closeFunc{server.Close}),
 		p.kernel.Register("peers", p.peers),
 	)
 }
 
-// countPeers shares the bounds of all gateways among as many as are heard, or
-// ever were.
-func (p *GatewayProcess) countPeers(census peer.Census) {
+// applyCensus divides the fleet-wide limits by the number of gateways: the balancer's by those
+// now known, the retry slack by the most ever seen.
+func (p *GatewayProcess) applyCensus(census peer.Census) {
 	p.gateway.Balancer.SetPeers(census.Live)
-	p.gateway.Balancer.SetGateways(p.placeAmong(census))
-	p.mostPeers = max(p.mostPeers, census.Live)
-	gateways := max(leastGateways, gatewaysToCome*float64(p.mostPeers+1))
-	if time.Since(p.started) < knownAfter {
-		gateways = max(gateways, unknownGateways)
+	p.gateway.Balancer.SetGateways(p.gatewayPlace(census))
+	p.maxPeers = max(p.maxPeers, census.Live)
+	gateways := max(minGateways, gatewayGrowthFactor*float64(p.maxPeers+1))
+	if time.Since(p.started) < discoveryTime {
+		gateways = max(gateways, assumedGateways)
 	}
 	p.gateway.Budgets.SetSlack(p.settings.Retry.Slack / gateways)
 	p.gateway.AdmitWaiting()
 }
 
-// placeAmong is this process's place among all gateways. Until it has had the time
-// to discover the others there are taken to be as many as when the last checkpoint
-// was written, or more than the usual where none is known.
-func (p *GatewayProcess) placeAmong(census peer.Census) balance.Gateways {
+// gatewayPlace returns the number of gateways and this process's position among them. Until the
+// process has had time to discover the others, it assumes as many as when the last checkpoint was
+// written or, if that is unknown, assumedGateways, more than usual.
+func (p *GatewayProcess) gatewayPlace(census peer.Census) balance.Gateways {
 	known := census.Known + 1
-	if time.Since(p.started) >= knownAfter {
+	if time.Since(p.started) >= discoveryTime {
 		return balance.Gateways{Count: known, Place: census.Preceding}
 	}
 	expected := int(p.expectedGateways.Load())
 	if expected == 0 {
-		expected = unknownGateways
+		expected = assumedGateways
 	}
 	if known >= expected {
 		return balance.Gateways{Count: known, Place: census.Preceding}
@@ -91,179 +92,180 @@
 	return balance.Gateways{Count: expected, Place: balance.PlaceOf(p.settings.ID, expected)}
 }
 
-// accompanied says whether other gateways are heard.
-func (p *GatewayProcess) accompanied() bool {
+// peersReachable reports whether any other gateway is live.
+func (p *GatewayProcess) peersReachable() bool {
 	return p.peers != nil && p.peers.Live() > 0
 }
 
-// othersKnow says whether another gateway knows a configuration. With no peers
-// to ask it is taken to be so.
-func (p *GatewayProcess) othersKnow() bool {
+// peersConfigured reports whether another gateway has a configuration. Without peers to ask, it
+// assumes so.
+func (p *GatewayProcess) peersConfigured() bool {
 	return p.peers == nil || p.peers.Knows()
 }
 
-// inTimeShare of the lag at which a process is late is how much another one may
-// have that is to take its callers.
-const inTimeShare = 0.5
+// spareLagShare is the maximum lag of a peer that can take over callers, as a fraction of the lag
+// at which a process counts as late.
+const spareLagShare = 0.5
 
-// othersInTime says whether another gateway has processor time to spare.
-func (p *GatewayProcess) othersInTime() bool {
-	return p.peers != nil && p.peers.InTime(time.Duration(inTimeShare*float64(lag.Bound)))
+// peersOnTime reports whether another gateway has processor time to spare.
+func (p *GatewayProcess) peersOnTime() bool {
+	return p.peers != nil && p.peers.InTime(time.Duration(spareLagShare*float64(lag.Bound)))
 }
 
-// checkLate says whether this process is to take no new callers because it
-// lacks processor time and another one does not. While it is so, answers ask
-// their callers to use another connection.
-func (p *GatewayProcess) checkLate() bool {
-	late, othersInTime := p.lag.Late(), p.othersInTime()
-	if p.late.Swap(late) != late {
+// checkLag reports whether this process should accept no new callers because it lacks processor
+// time and a peer does not. While so, answers ask callers to use another connection.
+func (p *GatewayProcess) checkLag() bool {
+	late, othersInTime := p.lag.Late(), p.peersOnTime()
+	if p.loggedLate.Swap(late) != late {
 		p.observer.Lateness(late, othersInTime, p.lag.Lag())
 	}
 	p.front.MoveConnections(late && othersInTime)
 	return late && othersInTime
 }
 
-// staleAfter is the age of the proof at which a gateway asks the store itself:
-// in time for what may be new there to be in force.
+// staleAfter is the age of the proof at which a gateway asks the store itself, early enough that
+// a change found there is in force within its time limit.
 func staleAfter(s *settings.Gateway) time.Duration {
 	const share = 0.9
 	return time.Duration(share * float64(min(s.Apply, s.Leave, s.Evacuate)))
 }
 
-// peerPatience is how long a process that begins waits for the store's content
-// from another gateway which holds it: a packed copy is a tenth of what the
-// store sends, and takes 0.04 s on a link of 10 Mbit/s.
-const peerPatience = 600 * time.Millisecond
+// peerCopyTimeout is how long a starting process waits for the store's content from a gateway
+// that holds it: a compressed copy is a tenth of what the store sends, and takes 0.04 s on a link
+// of 10 Mbit/s.
+const peerCopyTimeout = 600 * time.Millisecond
 
-// awaitsPeer says whether this process has no copy of the store yet and is about
-// to fetch one from another gateway.
-func (p *GatewayProcess) awaitsPeer() bool {
+// awaitsPeerCopy reports whether this process has no copy of the store yet and is about to fetch
+// one from another gateway.
+func (p *GatewayProcess) awaitsPeerCopy() bool {
 	if p.peers == nil || p.feed.Loaded() || !p.peers.Knows() {
 		return false
 	}
-	if p.peerKnewAt.IsZero() {
-		p.peerKnewAt = time.Now()
+	if p.peerCopySeenAt.IsZero() {
+		p.peerCopySeenAt = time.Now()
 	}
-	return time.Since(p.peerKnewAt) < peerPatience
+	return time.Since(p.peerCopySeenAt) < peerCopyTimeout
 }
 
-// discoverPatience is how long a process that hears of no other gateway yet takes
-// it that there are some: gateways that begin together hear of each other by
-// the settings' seeds within 0.1 to 0.2 s.
-const discoverPatience = 300 * time.Millisecond
+// peerDiscoveryTimeout is how long a process with no live peers assumes that there are some:
+// gateways that start together discover each other through the seeds within 0.1 to 0.2 s.
+const peerDiscoveryTimeout = 300 * time.Millisecond
 
-// yields says whether other gateways are there, or may be, that come before this
-// one in the order of those who ask the store.
-func (p *GatewayProcess) yields() bool {
+// yieldsToPeers reports whether there are, or may be, other gateways that precede this one in the
+// order in which gateways ask the store.
+func (p *GatewayProcess) yieldsToPeers() bool {
 	if p.peers == nil {
 		return false
 	}
-	return yields(beginning{
-		young: p.othersSeeded() && time.Since(p.started) < discoverPatience,
-		alone: p.peers.Live() == 0,
-		quick: classOf(p.settings.Host).Quick(),
-		leads: p.peers.Leads(),
+	return shouldYield(startupState{
+		discovering:  p.hasOtherSeeds() && time.Since(p.started) < peerDiscoveryTimeout,
+		noPeers:      p.peers.Live() == 0,
+		quickHost:    hostClass(p.settings.Host).Quick(),
+		firstInOrder: p.peers.Leads(),
 	})
 }
 
-// beginning is what a process knows of itself and of the others when it has begun.
-type beginning struct {
-	// young: gateways that are there may not have been heard yet.
-	young bool
-	// alone: none was heard.
-	alone bool
-	// quick: its host reads the whole store within a moment.
-	quick bool
-	// leads: of those that are known it is among the first to ask the store.
-	leads bool
+// startupState is what a starting process knows about itself and its peers.
+type startupState struct {
+	// discovering is set while existing gateways may not have been discovered yet.
+	discovering bool
+	// noPeers is set if no other gateway is live.
+	noPeers bool
+	// quickHost is set if the host can read the whole store quickly.
+	quickHost bool
+	// firstInOrder is set if the process is among the first of the known gateways to ask the
+	// store.
+	firstInOrder bool
 }
 
-// yields says whether a process that begins leaves it to others to read the whole
-// store first. On a small host it may yet hear of a larger one.
-func yields(b beginning) bool {
-	if b.young && (b.alone || !b.quick) {
+// shouldYield reports whether a starting process leaves it to others to read the whole store
+// first. A process on a small host may still discover one on a larger host.
+func shouldYield(b startupState) bool {
+	if b.discovering && (b.noPeers || !b.quickHost) {
 		return true
 	}
-	return !b.alone && !b.leads
+	return !b.noPeers && !b.firstInOrder
 }
 
-// classOf is the class of a host.
-func classOf(host settings.Host) peer.Class {
+// hostClass returns the peer class of a host, by its share of processor cores and its link.
+func hostClass(host settings.Host) peer.Class {
 	return peer.ClassOf(host.Share*host.Cores, host.LinkMbps)
 }
 
 const (
-	// quickPatience and smallPatience are within which time processes that begin on
-	// large and on small hosts begin to read the store, each at a moment of its own,
-	// unless they hear of one that comes before them. When 300 begin together, the first
-	// 500 entries for each are 73 MB, for which a store's link of 1 Gbit/s takes 0.6 s,
-	// and meanwhile nobody gets the rest: the first copy was there after 1.4 s,
-	// so it is after 0.2 s. Among few hosts one reads soon.
-	quickPatience = 250 * time.Millisecond
-	smallPatience = 2 * time.Second
-	// patienceEach is what each gateway adds to that time at most: few that begin together
-	// are no burden for the store, and wait for nothing. Their number stands beside the
-	// last checkpoint; four of them read within 28 ms, where up to 2 s cost a
-	// deployment of four gateways 0.4 s after each loss of all of them.
-	patienceEach = 7 * time.Millisecond
-	// countPatience is within which time processes that begin ask for the number of
-	// gateways, each at a moment of its own: those that have heard many by then, or have got
-	// a copy of the store, need not.
-	countPatience = 200 * time.Millisecond
-	// leaderPatience is how long they wait for the copy of one that comes before them.
-	leaderPatience = time.Second
+	// quickReadWindow and smallReadWindow are the windows in which starting processes on large
+	// and on small hosts start to read the store, each at its own offset, unless they discover
+	// one that precedes them. When 300 start together, reading the first 500 entries takes 73 MB
+	// in all, 0.6 s of a store's link of 1 Gbit/s, which delays the rest for everyone: the first
+	// copy was complete after 1.4 s; with the windows it is after 0.2 s. Among few hosts one
+	// reads soon.
+	quickReadWindow = 250 * time.Millisecond
+	smallReadWindow = 2 * time.Second
+	// readWindowPerGateway limits the window to this much for each gateway: few that start
+	// together are no load for the store and need not wait. Their number is stored beside the
+	// last checkpoint. Four gateways read within 28 ms; waiting up to 2 s cost a deployment of
+	// four 0.4 s after each loss of all of them.
+	readWindowPerGateway = 7 * time.Millisecond
+	// countWindow is the window in which starting processes ask for the number of gateways, each
+	// at its own offset. Those that have discovered many by then, or have got a copy of the
+	// store, need not ask.
+	countWindow = 200 * time.Millisecond
+	// leaderCopyTimeout is how long a starting process waits for the copy of one that precedes
+	// it.
+	leaderCopyTimeout = time.Second
 )
 
-// mayLeaveReading says whether this process ever waits before it reads the store. One
-// that knows of no other gateway, or not what its host has, does not.
-func (p *GatewayProcess) mayLeaveReading() bool {
-	return p.peers != nil && p.othersSeeded() && classOf(p.settings.Host) != 0
+// mayDeferReading reports whether this process can ever wait before it reads the store. It never
+// does if no other gateway is named or the host's resources are unknown.
+func (p *GatewayProcess) mayDeferReading() bool {
+	return p.peers != nil && p.hasOtherSeeds() && hostClass(p.settings.Host) != 0
 }
 
-// leavesReading says whether this process, which holds nothing yet, waits for a copy
-// of the store instead of beginning to read it.
-func (p *GatewayProcess) leavesReading() bool {
-	if !p.mayLeaveReading() || p.feed.Loaded() {
+// defersReading reports whether this process holds no copy of the store yet and waits for one
+// instead of starting to read the store.
+func (p *GatewayProcess) defersReading() bool {
+	if !p.mayDeferReading() || p.feed.Loaded() {
 		return false
 	}
 	since := time.Since(p.started)
 	following := p.peers.Live() > 0 && !p.peers.Leads()
-	return since < p.readsAfter() || following && since < p.among(leaderPatience)
+	return since < p.readDelay() || following && since < p.scaleToFleet(leaderCopyTimeout)
 }
 
-// readsAfter is this process's moment: the earlier, the further in front it stands in
-// the order of those who ask the store.
-func (p *GatewayProcess) readsAfter() time.Duration {
-	patience := smallPatience
-	if classOf(p.settings.Host).Quick() {
-		patience = quickPatience
+// readDelay returns this process's offset in the read window: the earlier its position in the
+// order in which gateways ask the store, the shorter.
+func (p *GatewayProcess) readDelay() time.Duration {
+	window := smallReadWindow
+	if hostClass(p.settings.Host).Quick() {
+		window = quickReadWindow
 	}
-	return time.Duration(float64(p.among(patience)) * peer.StoreOrder(p.settings.ID))
+	return time.Duration(float64(p.scaleToFleet(window)) * peer.StoreOrder(p.settings.ID))
 }
 
-// among is how much of a time to wait is needed among as many gateways as there are.
-func (p *GatewayProcess) among(patience time.Duration) time.Duration {
+// scaleToFleet shortens a time limit to what the known number of gateways needs.
+func (p *GatewayProcess) scaleToFleet(limit time.Duration) time.Duration {
 	if known := p.feed.Gateways(); known > 0 {
-		return min(patience, time.Duration(known)*patienceEach)
+		return min(limit, time.Duration(known)*readWindowPerGateway)
 	}
-	return patience
+	return limit
 }
 
-// othersSeeded says whether the settings name another gateway.
-func (p *GatewayProcess) othersSeeded() bool {
+// hasOtherSeeds reports whether the settings name another gateway.
+func (p *GatewayProcess) hasOtherSeeds() bool {
 	return slices.ContainsFunc(p.settings.Seeds, func(seed string) bool { return seed != p.addresses.Link })
 }
 
-// hasJustRead says whether this process has read the store and may not have heard the others
-// yet: of hundreds that begin together each would go on to watch it.
-func (p *GatewayProcess) hasJustRead() bool {
-	return p.peers != nil && p.feed.Loaded() && p.othersSeeded() && time.Since(p.started) < discoverPatience
+// mayMissPeers reports whether this process has already read the store but may not have
+// discovered its peers yet. Without this check, each of hundreds that start together would go on
+// to watch the store.
+func (p *GatewayProcess) mayMissPeers() bool {
+	return p.peers != nil && p.feed.Loaded() && p.hasOtherSeeds() && time.Since(p.started) < peerDiscoveryTimeout
 }
 
-// storeRole is this process's part in asking the store.
+// storeRole returns this process's part in reading the store.
 func (p *GatewayProcess) storeRole() platform.Role {
 	switch {
-	case p.awaitsPeer() || p.leavesReading() || p.hasJustRead():
+	case p.awaitsPeerCopy() || p.defersReading() || p.mayMissPeers():
 		return platform.Follows
 	case p.peers == nil || p.peers.First():
 		return platform.AsksFirst
--- a/internal/process/gateway_quarantine_http.go
+++ b/internal/process/gateway_quarantine_http.go
@@ -8,28 +8,28 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// PathQuarantine is where a gateway's metrics address says which requests are held back,
-// and takes with DELETE, and the fingerprint in the query, which of them is to be sent again.
+// PathQuarantine lists, on a gateway's metrics address, the requests that are held back. DELETE
+// with the fingerprint in the query parameter QueryQuarantine releases one.
 const (
 	PathQuarantine  = "/quarantine"
 	QueryQuarantine = "print"
 )
 
-// HeldRequest is a request that is held back, as the metrics address has it.
+// HeldRequest is a request that is held back, as listed on the metrics address.
 type HeldRequest struct {
 	Fingerprint string `json:"print"`
-	// Ends is how many targets ended under it.
+	// Crashes counts the targets that crashed while they ran the request.
 	Crashes int `json:"ends"`
-	// RemainingMS is how long it is still held back.
+	// RemainingMS is how much longer the request is held back, in milliseconds.
 	RemainingMS int64 `json:"left_ms"`
 }
 
-// quarantineHandler answers for the requests that are held back.
+// quarantineHandler lists the requests that are held back and releases single ones.
 func quarantineHandler(crashes *gateway.Crashes) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.Method {
 		case http.MethodGet, http.MethodHead:
-			writeJSON(w, heldBack(crashes.Table.HeldRequests(clock.Now())))
+			writeJSON(w, heldRequests(crashes.Table.HeldRequests(clock.Now())))
 		case http.MethodDelete:
 			liftQuarantine(w, r, crashes)
 		default:
@@ -39,24 +39,24 @@
 	})
 }
 
-func heldBack(cases []quarantine.HeldRequest) []HeldRequest {
-	// An empty list, not null, where there are none.
-	listed := make([]HeldRequest, 0, len(cases))
-	for _, held := range cases {
-		listed = append(listed, HeldRequest{Fingerprint: held.Fingerprint.String(), Crashes: held.Crashes, RemainingMS: held.Remaining.Milliseconds()})
+func heldRequests(requests []quarantine.HeldRequest) []HeldRequest {
+	// Encode an empty list as [], not null.
+	listed := make([]HeldRequest, 0, len(requests))
+	for _, request := range requests {
+		listed = append(listed, HeldRequest{Fingerprint: request.Fingerprint.String(), Crashes: request.Crashes, RemainingMS: request.Remaining.Milliseconds()})
 	}
 	return listed
 }
 
 func liftQuarantine(w http.ResponseWriter, r *http.Request, crashes *gateway.Crashes) {
 	text := r.URL.Query().Get(QueryQuarantine)
-	print, err := quarantine.ParseFingerprint(text)
+	fingerprint, err := quarantine.ParseFingerprint(text)
 	if err != nil {
-		http.Error(w, "query "+QueryQuarantine+": found \""+text+"\"; want the 16 digits that logs and the list have", http.StatusBadRequest)
+		http.Error(w, "query "+QueryQuarantine+": found \""+text+"\"; want the 16 digits shown in logs and in the list", http.StatusBadRequest)
 		return
 	}
-	if !crashes.Lift(print, clock.Now()) {
-		http.Error(w, "nothing is held against a request "+print.String(), http.StatusNotFound)
+	if !crashes.Lift(fingerprint, clock.Now()) {
+		http.Error(w, "no request is held back under fingerprint "+fingerprint.String(), http.StatusNotFound)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/process/gateway_rollouts.go
+++ b/internal/process/gateway_rollouts.go
@@ -11,23 +11,23 @@
 	"github.com/capersaddle/capersaddle/internal/settings"
 )
 
-// registry says which versions of targets there are.
-type registry struct {
+// versionRegistry tells the rollout controller which target versions exist.
+type versionRegistry struct {
 	balancer *balance.Balancer
 }
 
-// Versions are how many targets of each version a service has; nil if it is unknown.
-func (r registry) Versions(service string) map[string]int {
+// Versions counts a service's targets by version; it returns nil for an unknown service.
+func (r versionRegistry) Versions(service string) map[string]int {
 	return r.balancer.VersionsOf(service)
 }
 
-// newRollouts is this process's part in roll-outs; the feed and the peers, if there are
-// any, stand already.
-func (p *GatewayProcess) newRollouts() *rollout.Controller {
+// newRolloutController creates the rollout controller. The feed, and the peer service if there is
+// one, must already exist.
+func (p *GatewayProcess) newRolloutController() *rollout.Controller {
 	options := rollout.ControllerOptions{
 		Options:  rolloutOptions(p.settings),
 		Store:    p.feed,
-		Registry: registry{balancer: p.gateway.Balancer},
+		Registry: versionRegistry{balancer: p.gateway.Balancer},
 		Watcher:  p.observer,
 	}
 	if p.peers != nil {
@@ -40,10 +40,10 @@
 	return controller
 }
 
-// joinRollouts has the gateway obey what is decided about versions. It comes before the
-// feed begins to hand on what the store holds.
-func (p *GatewayProcess) joinRollouts(registry prometheus.Registerer) error {
-	p.rollouts = p.newRollouts()
+// registerRollouts makes the gateway apply rollout decisions. It must come before the feed starts
+// to pass on the store's content.
+func (p *GatewayProcess) registerRollouts(registry prometheus.Registerer) error {
+	p.rollouts = p.newRolloutController()
 	observe.RegisterRollouts(registry, p.rollouts.Rollouts)
 	p.gateway.Rollouts = p.rollouts.Gate()
 	return p.kernel.Register("rollouts", p.rollouts)
@@ -53,20 +53,20 @@
 	return rollout.Options{Share: s.Rollout.Share, Slack: s.Rollout.Slack, Rollback: time.Duration(s.Rollout.Rollback)}
 }
 
-// Ordered takes an order to move a service to a version.
+// Ordered receives an order to move a service to a version.
 func (s *sink) Ordered(order rollout.Order) {
 	s.process.rollouts.Ordered(order)
-	s.urge()
+	s.notifyPeers()
 }
 
-// Withdrawn takes that a service has no order any more.
+// Withdrawn is called when a service no longer has an order.
 func (s *sink) Withdrawn(service string) {
 	s.process.rollouts.Withdrawn(service)
-	s.urge()
+	s.notifyPeers()
 }
 
-// Recorded takes the record of a roll-out.
+// Recorded receives the stored record of a rollout.
 func (s *sink) Recorded(record rollout.Record, revision int64) {
 	s.process.rollouts.Recorded(record, revision)
-	s.urge()
+	s.notifyPeers()
 }
--- a/internal/process/gateway_rollouts_http.go
+++ b/internal/process/gateway_rollouts_http.go
@@ -1,4 +1,4 @@
 package process
 
-// PathRollouts is where a gateway's metrics address says how far roll-outs have come.
+// PathRollouts serves the progress of rollouts on a gateway's metrics address.
 const PathRollouts = "/rollouts"
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -12,30 +12,29 @@
 	"github.com/capersaddle/capersaddle/internal/routing"
 )
 
-// sink takes what the platform's store holds.
+// sink receives the content of the platform's store.
 type sink struct {
 	process *GatewayProcess
-	// urge has the other gateways told at once of what must be in force soon.
-	urge func()
-
-	// mu guards learnt and kept, the targets of the last checkpoint, and begun, which says
-	// that they have been used: Begun takes them from the feed, and pages of
-	// other gateways bring them too.
-	mu    sync.Mutex
-	kept  []balance.Target
-	begun bool
-	// learnt says that a checkpoint has been taken.
-	learnt bool
+	// notifyPeers sends changes to the other gateways immediately.
+	notifyPeers func()
+
+	// mu guards checkpointTargets, restored and checkpointTaken: Begun is called by the feed, but
+	// pages from other gateways deliver checkpoints too.
+	mu                sync.Mutex
+	checkpointTargets []balance.Target
+	restored          bool
+	// checkpointTaken is set once a checkpoint has been received.
+	checkpointTaken bool
 }
 
-// urge has the other gateways told at once of what is new.
-func (p *GatewayProcess) urge() {
+// notifyPeers sends changes to the other gateways immediately, if there are any.
+func (p *GatewayProcess) notifyPeers() {
 	if p.peers != nil {
 		p.peers.Urge()
 	}
 }
 
-// Config puts a configuration in force if it is newer.
+// Config applies a configuration if it is newer than the current one.
 func (s *sink) Config(config *routing.Config) {
 	before := s.process.gateway.Version()
 	if s.process.gateway.Apply(config) {
@@ -43,11 +42,11 @@
 			s.process.gateway.Balancer.SetCold(service.Name, balance.ColdBound{Rate: service.ColdRate, Start: service.ColdStart})
 		}
 		s.process.observer.ConfigApplied(config.Version, before, len(config.Routes), len(config.Workspaces))
-		s.urge()
+		s.notifyPeers()
 	}
 }
 
-// Target takes a server that was added or changed.
+// Target adds or updates a target.
 func (s *sink) Target(target balance.Target) {
 	change := s.process.gateway.Balancer.Put(target, clock.Now())
 	if !change.Any {
@@ -55,82 +54,81 @@
 	}
 	if change.Unusable {
 		s.process.observer.TargetUnusable(target.ID)
-		s.urge()
+		s.notifyPeers()
 		return
 	}
 	if change.Outlived != "" {
 		s.process.gateway.EndSuperseded(change.Outlived)
 	}
-	// A process that begins says how many there are (targetsListed): thousands of
-	// lines cost a small host as much time as the targets themselves.
-	if s.process.proven() {
+	// A starting process only logs the number of targets (recordTargetCount): thousands of log
+	// lines cost a small host as much time as processing the targets.
+	if s.process.hasProof() {
 		s.process.observer.TargetChanged(target)
 	}
 	if target.Leaving || change.TurnedCold {
-		s.urge()
+		s.notifyPeers()
 	}
 }
 
-// Unusable takes a server whose entry has become one that names none: it gets no new work
-// until it is whole again.
+// Unusable is called when a target's entry has become invalid: the target gets no new work until
+// the entry is valid again.
 func (s *sink) Unusable(id string) {
 	if s.process.gateway.Balancer.SetUnusable(id) {
 		s.process.observer.TargetUnusable(id)
-		s.urge()
+		s.notifyPeers()
 	}
 }
 
-// Gone takes a server whose entry was removed.
+// Gone is called when a target's entry was removed.
 func (s *sink) Gone(id string) {
 	s.process.gateway.Balancer.Drop(id, clock.Now())
 	s.process.observer.TargetGone(id)
-	s.urge()
+	s.notifyPeers()
 }
 
-// Evacuated takes that nothing more is to be sent to a data centre's targets, or
-// that this was taken back. The others are notified at once: it must be in force
-// within seconds.
+// Evacuated is called when a data centre is evacuated, so that nothing more may be sent to its
+// targets, or when that is reverted. It notifies the other gateways immediately, because it must
+// be in force within seconds.
 func (s *sink) Evacuated(dataCenter string, evacuated bool) {
 	if !s.process.gateway.Balancer.SetEvacuated(dataCenter, evacuated, clock.Now()) {
 		return
 	}
 	s.process.observer.Evacuated(dataCenter, evacuated)
-	s.urge()
+	s.notifyPeers()
 }
 
-// Begun takes over the targets of the last checkpoint that are not registered:
-// their entries may have lapsed.
+// Begun is called once all entries are known. It restores those targets of the last checkpoint
+// that are not registered: their entries may have lapsed.
 func (s *sink) Begun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.process.gateway.Balancer.Restore(s.kept, clock.Now())
-	s.kept, s.begun = nil, true
-	s.process.targetsListed()
+	s.process.gateway.Balancer.Restore(s.checkpointTargets, clock.Now())
+	s.checkpointTargets, s.restored = nil, true
+	s.process.recordTargetCount()
 }
 
-// Checkpoint takes over where parts of prompts were cached when it was written.
-// Only the first one is of use: later ones come from gateways that tell each
-// other of placements anyway. Its targets are kept aside until all entries are
-// known: one that has left since is not registered, and must get no work.
+// Checkpoint restores the cached parts of prompts from a checkpoint. Only the first one is used:
+// later ones come from gateways that share their placements anyway. Its targets are held until
+// all entries are known, because a target that has left since is not registered and must get no
+// work.
 func (s *sink) Checkpoint(data []byte) {
-	if !s.takeFirst() {
+	if !s.claimFirstCheckpoint() {
 		return
 	}
-	kept, err := checkpoint.Decode(data)
+	content, err := checkpoint.Decode(data)
 	if err != nil {
 		s.process.observer.BadValue("checkpoint", err)
 		return
 	}
-	s.process.expectedGateways.Store(int32(min(kept.Gateways, math.MaxInt32)))
-	s.keepAside(kept.Targets)
-	for _, record := range kept.HeldBack {
+	s.process.expectedGateways.Store(int32(min(content.Gateways, math.MaxInt32)))
+	s.holdTargets(content.Targets)
+	for _, record := range content.HeldBack {
 		s.process.crashes.Merge(record, clock.Now())
 	}
-	s.process.gateway.Balancer.Learn(kept.Placements)
+	s.process.gateway.Balancer.Learn(content.Placements)
 }
 
-// Crashes takes what a gateway knows of requests under which targets ended. It may not
-// be heard here.
+// Crashes receives crash records from a gateway that may be unreachable from here.
 func (s *sink) Crashes(data []byte) {
 	records, err := quarantine.Decode(data)
 	if err != nil {
@@ -142,34 +140,35 @@
 	}
 }
 
-// takeFirst says whether no checkpoint was taken before.
-func (s *sink) takeFirst() bool {
+// claimFirstCheckpoint reports whether this is the first checkpoint received.
+func (s *sink) claimFirstCheckpoint() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := !s.learnt
-	s.learnt = true
+	first := !s.checkpointTaken
+	s.checkpointTaken = true
 	return first
 }
 
-func (s *sink) keepAside(targets []balance.Target) {
+// holdTargets keeps the targets of a checkpoint until Begun, unless that was already called.
+func (s *sink) holdTargets(targets []balance.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.begun {
-		s.kept = targets
+	if !s.restored {
+		s.checkpointTargets = targets
 	}
 }
 
-// Current notes that all accepted until then is in force.
+// Current records that every change accepted until that time is in force.
 func (s *sink) Current(at time.Time) {
 	s.process.gateway.Proof.Note(at)
 }
 
-// Trouble notes a value that could not be read.
+// Trouble records a value that could not be parsed.
 func (s *sink) Trouble(what string, err error) {
 	s.process.observer.BadValue(what, err)
 }
 
-// Called notes the result of a call to the store.
+// Called records the result of a call to the store.
 func (s *sink) Called(call string, err error) {
 	s.process.store.Called(call, err)
 }
--- a/internal/process/gateway_targets_http.go
+++ b/internal/process/gateway_targets_http.go
@@ -5,10 +5,10 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// PathTargets is where a gateway's metrics address says what it makes of each target.
+// PathTargets serves the state of each target on a gateway's metrics address.
 const PathTargets = "/targets"
 
-// TargetStatus is what a gateway makes of one target.
+// TargetStatus is the state of one target as a gateway sees it.
 type TargetStatus struct {
 	ID          string `json:"id"`
 	Incarnation string `json:"life"`
@@ -16,33 +16,35 @@
 	Address     string `json:"address"`
 	DataCenter  string `json:"data_center"`
 	Version     string `json:"version,omitempty"`
-	// Standing is why it gets nothing, or less than its share; balance.ReasonNone otherwise.
+	// Reason is why the target gets no requests, or less than its share; balance.ReasonNone if it
+	// gets its share.
 	Reason balance.Reason `json:"standing"`
-	// RemainingMS is for how many milliseconds that holds; zero if it is not known.
+	// RemainingMS is how much longer the reason applies, in milliseconds; zero if unknown.
 	RemainingMS int64 `json:"left_ms,omitempty"`
-	// InFlight are this gateway's requests there, and Others those of the other gateways.
+	// InFlight counts this gateway's requests in flight at the target, and Others those of the
+	// other gateways.
 	InFlight int `json:"in_flight"`
 	Others   int `json:"others"`
 }
 
-// targets are all targets as this gateway sees them.
-func (p *GatewayProcess) targets() []TargetStatus {
+// targetStatuses returns the state of all targets.
+func (p *GatewayProcess) targetStatuses() []TargetStatus {
 	var targets []TargetStatus
-	for _, known := range p.gateway.Balancer.Standings(clock.Check()) {
+	for _, target := range p.gateway.Balancer.Standings(clock.Check()) {
 		targets = append(targets, TargetStatus{
-			ID: known.ID, Incarnation: known.Life, Service: known.Service, Address: known.Address,
-			DataCenter: known.DataCenter, Version: known.Version, Reason: known.Reason,
-			RemainingMS: known.Left.Milliseconds(), InFlight: known.InFlight, Others: known.Others,
+			ID: target.ID, Incarnation: target.Life, Service: target.Service, Address: target.Address,
+			DataCenter: target.DataCenter, Version: target.Version, Reason: target.Reason,
+			RemainingMS: target.Left.Milliseconds(), InFlight: target.InFlight, Others: target.Others,
 		})
 	}
 	return targets
 }
 
-// countReason is how many targets get nothing for a reason.
-func (p *GatewayProcess) countReason(reason balance.Reason) float64 {
+// countTargets counts the targets that get no requests, or fewer, for a reason.
+func (p *GatewayProcess) countTargets(reason balance.Reason) float64 {
 	count := 0
-	for _, known := range p.gateway.Balancer.Standings(clock.Check()) {
-		if known.Reason == reason {
+	for _, target := range p.gateway.Balancer.Standings(clock.Check()) {
+		if target.Reason == reason {
 			count++
 		}
 	}
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -296,7 +296,7 @@
 		})
 		// A misbehaving server is left out for a while; the next case starts
 		// with sound ones.
-		f.gateways[0].Forgive()
+		f.gateways[0].ReadmitTargets()
 	}
 }
 
--- a/internal/process/http.go
+++ b/internal/process/http.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	// headerTimeout and headerBytes bound a request's head.
-	headerTimeout = 10 * time.Second
-	headerBytes   = 64 << 10
-	// idleTimeout ends connections without requests.
+	// headerTimeout and maxHeaderBytes limit reading a request's header.
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	// idleTimeout closes connections that carry no requests.
 	idleTimeout = 2 * time.Minute
-	// shutdownTimeout bounds the end of connections that were drained before.
+	// shutdownTimeout limits the shutdown of connections that were already drained.
 	shutdownTimeout = 5 * time.Second
 )
 
-// httpService serves one HTTP address as a service of the kernel.
+// httpService runs an HTTP server as a service of the kernel.
 type httpService struct {
 	listener net.Listener
 	server   *http.Server
 	wait     sync.WaitGroup
 }
 
-// newHTTPService owns the listener.
+// newHTTPService returns a service that owns the listener.
 func newHTTPService(listener net.Listener, handler http.Handler) *httpService {
 	return newServerService(listener, &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		IdleTimeout:       idleTimeout,
 	})
 }
 
-// newServerService owns the listener and the server.
+// newServerService returns a service that owns the listener and the server.
 func newServerService(listener net.Listener, server *http.Server) *httpService {
 	return &httpService{listener: listener, server: server}
 }
 
-// Start begins to serve.
+// Start starts serving.
 func (s *httpService) Start(context.Context) error {
 	s.wait.Go(func() { _ = s.server.Serve(s.listener) })
 	return nil
 }
 
-// Close waits for requests in flight, then ends what is left.
+// Close waits for requests in flight and then closes the remaining connections.
 func (s *httpService) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/internal/process/operators.go
+++ b/internal/process/operators.go
@@ -18,20 +18,20 @@
 	"github.com/capersaddle/capersaddle/internal/secure"
 )
 
-// mostCommand bounds an operator's command, in bytes.
-const mostCommand = 1 << 20
+// maxCommandBytes limits the body of an operator's request.
+const maxCommandBytes = 1 << 20
 
-// operators is the HTTP interface for operators and their tools.
+// operators serves the HTTP API for operators and their tools.
 type operators struct {
 	*common
-	// editor is nil on agents, which take no commands.
+	// editor is nil on agents, which accept no commands.
 	editor *config.Editor
 	ready  func() bool
-	// routed counts the targets that a router sends requests to; nil on agents.
-	routed func() int
+	// routedTargets counts the targets that a router sends requests to; nil on agents.
+	routedTargets func() int
 }
 
-// Status is what a process says of itself.
+// Status is the state of a process.
 type Status struct {
 	ID             string `json:"id"`
 	Role           string `json:"role"`
@@ -40,11 +40,11 @@
 	ConfigRevision uint64 `json:"config_revision"`
 	StoreSeen      bool   `json:"store_seen"`
 	Members        int    `json:"members"`
-	// RoutedTargets are those that a router sends requests to.
+	// RoutedTargets counts the targets that a router sends requests to.
 	RoutedTargets int `json:"routed_targets,omitempty"`
 }
 
-// OperatorError is the answer to a call that failed.
+// OperatorError is the body of the answer to a failed call.
 type OperatorError struct {
 	Kind         fault.Kind     `json:"kind"`
 	Message      string         `json:"message"`
@@ -57,46 +57,46 @@
 	mux.Get("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.Get("/readyz", o.serveReady)
 	mux.Handle("/metrics", promhttp.HandlerFor(o.registry, promhttp.HandlerOpts{}))
-	mux.Route("/operator/v1", func(sub chi.Router) {
-		sub.Use(o.authorize)
-		operate := sub.With(o.needs(secure.RoleOperate, secure.RoleAdminister))
-		administer := sub.With(o.needs(secure.RoleAdminister))
-		sub.Get("/status", o.serveStatus)
-		sub.Get("/members", o.serveMembers)
-		sub.Get("/documents", o.serveDocuments)
-		sub.Post("/query", o.serveQuery)
+	mux.Route("/operator/v1", func(api chi.Router) {
+		api.Use(o.authorize)
+		operatorAPI := api.With(o.requireRole(secure.RoleOperate, secure.RoleAdminister))
+		adminAPI := api.With(o.requireRole(secure.RoleAdminister))
+		api.Get("/status", o.serveStatus)
+		api.Get("/members", o.serveMembers)
+		api.Get("/documents", o.serveDocuments)
+		api.Post("/query", o.serveQuery)
 		if o.editor != nil {
-			sub.Get("/history", o.serveHistory)
-			operate.Post("/command", o.serveCommand)
-			operate.Post("/exec", o.serveExec)
-			administer.Post("/republish", o.serveRepublish)
-			administer.Post("/release", o.serveRelease)
+			api.Get("/history", o.serveHistory)
+			operatorAPI.Post("/command", o.serveCommand)
+			operatorAPI.Post("/exec", o.serveExec)
+			adminAPI.Post("/republish", o.serveRepublish)
+			adminAPI.Post("/release", o.serveRelease)
 		}
 	})
 	return mux
 }
 
-// authorize checks the operators' key, when the settings name one.
+// authorize checks the operators' key if the settings name one.
 func (o *operators) authorize(next http.Handler) http.Handler {
-	wanted := o.settings.OperatorKeyHash
+	expected := o.settings.OperatorKeyHash
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		sum := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
 		given := hex.EncodeToString(sum[:])
-		if wanted != "" && subtle.ConstantTimeCompare([]byte(given), []byte(wanted)) != 1 {
-			writeFault(w, fault.New(fault.BadKey, fault.NotRun, "the operators' key is wrong or missing"))
+		if expected != "" && subtle.ConstantTimeCompare([]byte(given), []byte(expected)) != 1 {
+			writeFault(w, fault.New(fault.BadKey, fault.NotRun, "operator key is missing or wrong"))
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// needs asks for a role in the caller's certificate, when the operators'
-// address uses TLS.
-func (o *operators) needs(roles ...string) func(http.Handler) http.Handler {
+// requireRole requires one of the roles in the caller's certificate, if the operators' address
+// uses TLS.
+func (o *operators) requireRole(roles ...string) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.TLS != nil && !secure.HasRole(*r.TLS, roles...) {
-				writeFault(w, fault.New(fault.Forbidden, fault.NotRun, "this needs a certificate with one of the roles %s", strings.Join(roles, ", ")))
+				writeFault(w, fault.New(fault.Forbidden, fault.NotRun, "a client certificate with one of these roles is required: %s", strings.Join(roles, ", ")))
 				return
 			}
 			next.ServeHTTP(w, r)
@@ -130,12 +130,12 @@
 }
 
 func (o *operators) serveStatus(w http.ResponseWriter, _ *http.Request) {
-	routed := 0
-	if o.routed != nil {
-		routed = o.routed()
+	routedTargets := 0
+	if o.routedTargets != nil {
+		routedTargets = o.routedTargets()
 	}
 	writeJSON(w, Status{
-		RoutedTargets:  routed,
+		RoutedTargets:  routedTargets,
 		ID:             o.settings.ID,
 		Role:           o.settings.Role,
 		DataCenter:     o.settings.DataCenter,
@@ -146,7 +146,7 @@
 	})
 }
 
-// MemberRow is one member as operators see it.
+// MemberRow is one member as shown to operators.
 type MemberRow struct {
 	ID         string      `json:"id"`
 	Role       string      `json:"role"`
@@ -155,11 +155,11 @@
 	Leaving    bool        `json:"leaving"`
 	Steady     bool        `json:"steady"`
 	Targets    []TargetRow `json:"targets,omitempty"`
-	// LoadAgeMS is how old the word on load is.
+	// LoadAgeMS is the age of the last load report, in milliseconds.
 	LoadAgeMS int64 `json:"heard_ms"`
 }
 
-// TargetRow is one target as operators see it.
+// TargetRow is one target as shown to operators.
 type TargetRow struct {
 	ID       string `json:"id"`
 	Pool     string `json:"pool"`
@@ -219,13 +219,13 @@
 
 func (o *operators) serveCommand(w http.ResponseWriter, r *http.Request) {
 	var command config.Command
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&command); err != nil {
-		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the command is not readable: %v", err))
+		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "cannot read the command: %v", err))
 		return
 	}
-	result, err := o.do(r, command)
+	result, err := o.execute(r, command)
 	o.log.Info("command", "id", command.ID, "who", command.Who, "revision", result.Revision, "error", err)
 	if err != nil {
 		writeFault(w, err)
@@ -234,18 +234,18 @@
 	writeJSON(w, result)
 }
 
-// takeEffect brings an accepted command into force here; if the store does not
-// answer any more, the watchers will.
-func (o *operators) takeEffect(r *http.Request) {
+// fetchConfig applies an accepted command at this process. If the store no longer answers,
+// watching it brings the change later.
+func (o *operators) fetchConfig(r *http.Request) {
 	if err := o.node.Follower.Fetch(r.Context()); err != nil {
-		o.log.Warn("accepted configuration not read back", "error", err)
+		o.log.Warn("could not read the accepted configuration back from the store", "error", err)
 	}
 }
 
 func (o *operators) serveRepublish(w http.ResponseWriter, r *http.Request) {
 	var command config.Command
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand)).Decode(&command); err != nil || command.ID == "" {
-		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the command needs an id"))
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(&command); err != nil || command.ID == "" {
+		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the command has no id"))
 		return
 	}
 	result, err := o.editor.Republish(r.Context(), command.ID, command.Who)
@@ -253,6 +253,6 @@
 		writeFault(w, err)
 		return
 	}
-	o.takeEffect(r)
+	o.fetchConfig(r)
 	writeJSON(w, result)
 }
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process puts routers and agents together from their settings: one
-// kernel each, with its services in the order in which they start.
+// Package process assembles routers, agents and gateways from their settings: one kernel each,
+// which starts its services in the order of their registration.
 package process
 
 import (
@@ -26,25 +26,26 @@
 // Process is a router or an agent that can be started, drained and closed.
 type Process interface {
 	Start(ctx context.Context) error
-	// Drain takes no new work and waits for what is in flight.
+	// Drain stops accepting work and waits for requests in flight.
 	Drain(ctx context.Context) error
-	// Close ends everything and waits.
+	// Close stops all services and waits for them.
 	Close() error
-	// Addresses are where the process listens, by purpose.
+	// Addresses returns the addresses that the process listens on, by purpose.
 	Addresses() Addresses
 }
 
-// Addresses are IP:port; empty where the process does not listen.
+// Addresses holds the IP:port that a process listens on for each purpose; empty if it does not
+// listen.
 type Addresses struct {
 	Callers   string `json:"callers,omitempty"`
 	Operators string `json:"operators"`
 	Link      string `json:"link"`
 	Beat      string `json:"beat"`
-	// Ready is where a gateway says whether callers may come.
+	// Ready is the address of a gateway's readiness checks.
 	Ready string `json:"ready,omitempty"`
 }
 
-// New puts a process together from its settings and takes its addresses.
+// New creates a process from its settings and opens its listeners.
 func New(s *settings.Settings, logger *log.Logger) (Process, error) {
 	switch s.Role {
 	case "router":
@@ -55,7 +56,7 @@
 	return nil, fault.New(fault.BadSettings, fault.NotRun, "role %q is neither router nor agent", s.Role)
 }
 
-// NewLogger makes a logger as the settings say.
+// NewLogger creates a logger with the format and level of the settings.
 func NewLogger(out io.Writer, s settings.Log) *log.Logger {
 	options := log.Options{ReportTimestamp: true, TimeFormat: time.RFC3339Nano}
 	if s.Format == "json" {
@@ -67,7 +68,7 @@
 	return log.NewWithOptions(out, options)
 }
 
-// common is what routers and agents share.
+// common is the part that routers and agents share.
 type common struct {
 	kernel    *kernel.Kernel
 	node      *node.Node
@@ -76,14 +77,14 @@
 	log       *log.Logger
 	store     external.Store
 	operators net.Listener
-	// keys are nil without TLS.
+	// keys is nil without TLS.
 	keys      *secure.Keys
 	addresses Addresses
 }
 
-// outbound is the HTTP client for the platform and the targets. Connections
-// are kept; targets get many requests at once from one agent.
-func outbound() *http.Client {
+// newHTTPClient returns an HTTP client for the platform and the targets. It keeps many idle
+// connections for each host, since one agent sends many concurrent requests to a target.
+func newHTTPClient() *http.Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 256,
 		IdleConnTimeout:     idleTimeout,
@@ -95,33 +96,33 @@
 func newCommon(s *settings.Settings, logger *log.Logger) (*common, error) {
 	linkListener, err := net.Listen("tcp", s.Link)
 	if err != nil {
-		return nil, listenFailed("link", err)
+		return nil, listenError("link", err)
 	}
-	beatConn, err := listenUDP(s.Beat)
+	heartbeatConn, err := listenUDP(s.Beat)
 	if err != nil {
-		return nil, errors.CombineErrors(listenFailed("beat", err), linkListener.Close())
+		return nil, errors.CombineErrors(listenError("beat", err), linkListener.Close())
 	}
 	operators, err := net.Listen("tcp", s.Operators)
 	if err != nil {
-		return nil, errors.CombineErrors(listenFailed("operators", err), errors.CombineErrors(beatConn.Close(), linkListener.Close()))
+		return nil, errors.CombineErrors(listenError("operators", err), errors.CombineErrors(heartbeatConn.Close(), linkListener.Close()))
 	}
 	c := &common{
 		kernel:    kernel.New(),
 		registry:  prometheus.NewRegistry(),
 		settings:  s,
 		log:       logger.With("process", s.ID),
-		store:     &external.HTTPStore{Base: s.Store, Client: outbound()},
+		store:     &external.HTTPStore{Base: s.Store, Client: newHTTPClient()},
 		operators: operators,
 		addresses: Addresses{
 			Operators: operators.Addr().String(),
 			Link:      linkListener.Addr().String(),
-			Beat:      beatConn.LocalAddr().String(),
+			Beat:      heartbeatConn.LocalAddr().String(),
 		},
 	}
 	c.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	keys, signer, err := loadKeys(s)
 	if err != nil {
-		return nil, errors.CombineErrors(err, errors.CombineErrors(errors.CombineErrors(operators.Close(), beatConn.Close()), linkListener.Close()))
+		return nil, errors.CombineErrors(err, errors.CombineErrors(errors.CombineErrors(operators.Close(), heartbeatConn.Close()), linkListener.Close()))
 	}
 	c.keys = keys
 	if keys != nil && s.TLS.Operators {
@@ -132,7 +133,7 @@
 		Role:         s.Role,
 		DataCenter:   s.DataCenter,
 		LinkListener: linkListener,
-		BeatConn:     beatConn,
+		BeatConn:     heartbeatConn,
 		Seeds:        s.Seeds,
 		Budget:       s.Budget(),
 		Store:        c.store,
@@ -144,7 +145,7 @@
 	return c, err
 }
 
-// loadKeys reads the process's keys; nil keys if it has none.
+// loadKeys loads the process's TLS keys, nil if it has none, and its membership signer.
 func loadKeys(s *settings.Settings) (*secure.Keys, *secure.Signer, error) {
 	signer, err := secure.NewSigner(s.Membership.Key)
 	if err != nil || !s.TLS.Source().Set() {
@@ -162,19 +163,19 @@
 	return net.ListenUDP("udp", parsed)
 }
 
-// anyPortTries is how often a free port is looked for that serves both TCP and
-// UDP, when the address leaves the port to the system.
-const anyPortTries = 16
+// freePortAttempts limits the search for a port that is free for both TCP and UDP, if the address
+// leaves the port to the system.
+const freePortAttempts = 16
 
-// listenBoth takes one address for both UDP and TCP.
-func listenBoth(address string) (*net.UDPConn, net.Listener, error) {
+// listenUDPAndTCP listens on one address for both UDP and TCP.
+func listenUDPAndTCP(address string) (*net.UDPConn, net.Listener, error) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, nil, err
 	}
-	tries := 1
+	attempts := 1
 	if port == "0" {
-		tries = anyPortTries
+		attempts = freePortAttempts
 	}
 	for {
 		conn, err := listenUDP(address)
@@ -186,14 +187,14 @@
 			return conn, listener, nil
 		}
 		_ = conn.Close()
-		if tries--; tries == 0 {
+		if attempts--; attempts == 0 {
 			return nil, nil, err
 		}
 	}
 }
 
-func listenFailed(field string, err error) *fault.Error {
-	return fault.New(fault.BadSettings, fault.NotRun, "field %q: %v; choose another port or end the process that holds it", field, err)
+func listenError(field string, err error) *fault.Error {
+	return fault.New(fault.BadSettings, fault.NotRun, "field %q: %v; choose another port or stop the process that uses it", field, err)
 }
 
 // Start starts all services.
@@ -206,7 +207,7 @@
 	return c.kernel.Close()
 }
 
-// Addresses tells where the process listens.
+// Addresses returns the addresses that the process listens on.
 func (c *common) Addresses() Addresses {
 	return c.addresses
 }
--- a/internal/process/query.go
+++ b/internal/process/query.go
@@ -17,8 +17,8 @@
 	"github.com/capersaddle/capersaddle/internal/oplang"
 )
 
-// storeWait bounds what a query reads from the store.
-const storeWait = 2 * time.Second
+// storeTimeout limits a query's reads from the store.
+const storeTimeout = 2 * time.Second
 
 // QueryRequest is the body of a query.
 type QueryRequest struct {
@@ -27,8 +27,8 @@
 
 func (o *operators) serveQuery(w http.ResponseWriter, r *http.Request) {
 	var body QueryRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand)).Decode(&body); err != nil {
-		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the query is not readable: %v", err))
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(&body); err != nil {
+		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "cannot read the query: %v", err))
 		return
 	}
 	table, err := o.query(r.Context(), body.Text)
@@ -39,21 +39,21 @@
 	writeJSON(w, table)
 }
 
-// query answers from what this process holds; only slots and leases are read
-// from the store.
+// query answers from the state of this process; only slots, leases and the history are read from
+// the store.
 func (o *operators) query(ctx context.Context, text string) (oplang.Table, error) {
 	query, err := oplang.ParseQuery(text)
 	if err != nil {
 		return oplang.Table{}, err
 	}
-	table, err := o.source(ctx, query.Source)
+	table, err := o.readSource(ctx, query.Source)
 	if err != nil {
 		return oplang.Table{}, err
 	}
 	return query.Apply(table)
 }
 
-// sources are what can be asked for, by name.
+// sources returns the tables that can be queried, by name.
 func (o *operators) sources() map[string]func(context.Context) oplang.Table {
 	sources := map[string]func(context.Context) oplang.Table{
 		"members": func(context.Context) oplang.Table { return o.memberTable("") },
@@ -71,22 +71,22 @@
 	return sources
 }
 
-func (o *operators) source(ctx context.Context, name string) (oplang.Table, error) {
+func (o *operators) readSource(ctx context.Context, name string) (oplang.Table, error) {
 	sources := o.sources()
-	read, ok := sources[name]
+	readTable, ok := sources[name]
 	if !ok {
 		names := make([]string, 0, len(sources))
 		for known := range sources {
 			names = append(names, known)
 		}
 		slices.Sort(names)
-		return oplang.Table{}, fault.New(fault.BadRequest, fault.NotRun, "there is nothing called %q to ask for; there are %s", name, strings.Join(names, ", "))
+		return oplang.Table{}, fault.New(fault.BadRequest, fault.NotRun, "unknown query source %q; available sources: %s", name, strings.Join(names, ", "))
 	}
-	return read(ctx), nil
+	return readTable(ctx), nil
 }
 
-// documentTable lists documents of a kind. They are what this process acts on,
-// so their age is that of its revision.
+// documentTable lists the documents of a kind. They are the configuration that this process uses,
+// so they are as current as its revision.
 func (o *operators) documentTable(kind string) oplang.Table {
 	table := oplang.Table{Columns: []string{"name", "value", "revision", "said_by"}}
 	for _, document := range o.node.Config.Documents() {
@@ -96,15 +96,15 @@
 		}
 		value := string(document.Value)
 		if kind == config.KindWorkspace {
-			value = withoutHashes(document.Value)
+			value = redactKeyHashes(document.Value)
 		}
 		table.Rows = append(table.Rows, []string{name, value, fmt.Sprint(document.Revision), o.settings.ID})
 	}
 	return table
 }
 
-// withoutHashes shows how many keys a workspace has, not their hashes.
-func withoutHashes(value json.RawMessage) string {
+// redactKeyHashes replaces a workspace's key hashes by the number of keys.
+func redactKeyHashes(value json.RawMessage) string {
 	fields := make(map[string]any)
 	if json.Unmarshal(value, &fields) != nil {
 		return ""
@@ -112,8 +112,8 @@
 	if hashes, ok := fields["key_hashes"].([]any); ok {
 		fields["key_hashes"] = fmt.Sprintf("%d keys", len(hashes))
 	}
-	shown, _ := json.Marshal(fields)
-	return string(shown)
+	redacted, _ := json.Marshal(fields)
+	return string(redacted)
 }
 
 func (o *operators) memberTable(role string) oplang.Table {
@@ -135,7 +135,7 @@
 	return table
 }
 
-// targetTable lists targets with the age of the word on their load.
+// targetTable lists targets with the age of their load reports.
 func (o *operators) targetTable() oplang.Table {
 	table := oplang.Table{Columns: []string{"id", "pool", "agent", "data_center", "leaving", "in_flight", "limit", "age_ms", "said_by"}}
 	for _, peer := range o.node.Members.Peers() {
@@ -162,7 +162,7 @@
 // slotTable reads the slot tables from the store.
 func (o *operators) slotTable(ctx context.Context) oplang.Table {
 	table := oplang.Table{Columns: []string{"service", "slot", "owner", "witness", "epoch", "said_by"}}
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	for name := range o.node.Config.View().Services {
 		value, err := o.store.Get(ctx, agent.TableKey(name))
@@ -170,22 +170,22 @@
 			table.Missing = append(table.Missing, fmt.Sprintf("slots of %s: %v", name, err))
 			continue
 		}
-		read, err := once.ParseTable(value.Data, value.Version)
+		slots, err := once.ParseTable(value.Data, value.Version)
 		if err != nil {
 			table.Missing = append(table.Missing, fmt.Sprintf("slots of %s: %v", name, err))
 			continue
 		}
-		for number, slot := range read.Slots {
+		for number, slot := range slots.Slots {
 			table.Rows = append(table.Rows, []string{name, fmt.Sprint(number), slot.Owner.Agent, slot.Witness.Agent, fmt.Sprint(slot.Epoch), "store"})
 		}
 	}
 	return table
 }
 
-// leaseTable reads the long leases of the agents that this process knows.
+// leaseTable reads from the store the long leases of the agents that this process knows.
 func (o *operators) leaseTable(ctx context.Context) oplang.Table {
 	table := oplang.Table{Columns: []string{"agent", "until", "said_by"}}
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	for _, peer := range o.node.Members.Peers() {
 		if !slices.ContainsFunc(peer.Targets, func(t member.Target) bool { return t.Service }) {
@@ -206,16 +206,16 @@
 
 func (o *operators) historyTable(ctx context.Context) oplang.Table {
 	table := oplang.Table{Columns: []string{"revision", "at", "who", "changed", "command", "said_by"}}
-	ctx, cancel := context.WithTimeout(ctx, storeWait)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	history, err := config.NewEditor(o.store, o.node.Config).History(ctx)
 	if err != nil {
 		table.Missing = append(table.Missing, fmt.Sprintf("history: %v", err))
 	}
-	for _, accepted := range history {
+	for _, entry := range history {
 		table.Rows = append(table.Rows, []string{
-			fmt.Sprint(accepted.Revision), accepted.At.Format(time.RFC3339), accepted.Who,
-			strings.Join(accepted.Names, " "), accepted.ID, "store",
+			fmt.Sprint(entry.Revision), entry.At.Format(time.RFC3339), entry.Who,
+			strings.Join(entry.Names, " "), entry.ID, "store",
 		})
 	}
 	return table
--- a/internal/process/release.go
+++ b/internal/process/release.go
@@ -12,48 +12,48 @@
 	"github.com/capersaddle/capersaddle/internal/once"
 )
 
-// Release is the body of a call that confirms that an agent is dead.
+// Release is the body of a call by which an operator confirms that an agent is dead.
 type Release struct {
 	Agent string `json:"agent"`
 }
 
-// serveRelease ends a dead agent's long lease in the store. An agent that this
-// process still hears is refused.
+// serveRelease ends a dead agent's long lease in the store. It refuses if this process still sees
+// the agent alive.
 func (o *operators) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var release Release
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostCommand)).Decode(&release); err != nil || release.Agent == "" {
-		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "name the agent"))
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCommandBytes)).Decode(&release); err != nil || release.Agent == "" {
+		writeFault(w, fault.New(fault.BadRequest, fault.NotRun, "the request names no agent"))
 		return
 	}
 	for _, peer := range o.node.Members.Peers() {
 		if peer.ID == release.Agent && peer.Alive() {
-			writeFault(w, fault.New(fault.Conflict, fault.NotRun, "%s is seen as %s; stop it first", peer.ID, memberRow(peer).Standing))
+			writeFault(w, fault.New(fault.Conflict, fault.NotRun, "this router sees %s as %s; stop the agent first", peer.ID, memberRow(peer).Standing))
 			return
 		}
 	}
-	if err := o.release(r, release.Agent); err != nil {
+	if err := o.releaseLease(r, release.Agent); err != nil {
 		writeFault(w, err)
 		return
 	}
-	o.log.Warn("long lease ended by an operator", "agent", release.Agent)
+	o.log.Warn("operator released a long lease", "agent", release.Agent)
 	writeJSON(w, struct{}{})
 }
 
-func (o *operators) release(r *http.Request, name string) error {
-	key := agent.LeaseKey(name)
-	held, err := o.store.Get(r.Context(), key)
+func (o *operators) releaseLease(r *http.Request, agentID string) error {
+	key := agent.LeaseKey(agentID)
+	current, err := o.store.Get(r.Context(), key)
 	if errors.Is(err, external.ErrNotFound) {
-		return fault.New(fault.Conflict, fault.NotRun, "%s has no long lease; is the name right?", name)
+		return fault.New(fault.Conflict, fault.NotRun, "%s has no long lease; check the agent's name", agentID)
 	}
 	if err != nil {
 		return fault.New(fault.StoreAway, fault.NotRun, "%v", err)
 	}
 	data, err := json.Marshal(once.LongLease{Incarnation: "released"})
 	if err != nil {
-		return errors.Wrap(err, "write lease")
+		return errors.Wrap(err, "encode lease")
 	}
-	if _, err := o.store.Put(r.Context(), key, data, held.Version); err != nil {
-		return fault.New(fault.Unsettled, fault.Unknown, "%v; releasing again is safe", err)
+	if _, err := o.store.Put(r.Context(), key, data, current.Version); err != nil {
+		return fault.New(fault.Unsettled, fault.Unknown, "%v; it is safe to retry the release", err)
 	}
 	return nil
 }
--- a/internal/process/router.go
+++ b/internal/process/router.go
@@ -14,11 +14,11 @@
 	"github.com/capersaddle/capersaddle/internal/settings"
 )
 
-// unreadyFor is how long an unready router still takes requests, so that the
-// platform's balancer sees it first.
-const unreadyFor = 3 * time.Second
+// unreadyDelay is how long an unready process still accepts requests, so that the platform's load
+// balancer notices first.
+const unreadyDelay = 3 * time.Second
 
-// routerProcess is a router with all its services.
+// routerProcess runs a router and all its services.
 type routerProcess struct {
 	*common
 	router  *router.Router
@@ -28,7 +28,7 @@
 func newRouter(s *settings.Settings, logger *log.Logger) (*routerProcess, error) {
 	callers, err := net.Listen("tcp", s.Callers)
 	if err != nil {
-		return nil, listenFailed("callers", err)
+		return nil, listenError("callers", err)
 	}
 	c, err := newCommon(s, logger)
 	if err != nil {
@@ -47,7 +47,7 @@
 		MostBody: s.MostBody,
 	})
 	c.registerGauges()
-	ops := &operators{common: c, editor: config.NewEditor(c.store, c.node.Config), ready: p.router.Ready, routed: p.router.Targets}
+	ops := &operators{common: c, editor: config.NewEditor(c.store, c.node.Config), ready: p.router.Ready, routedTargets: p.router.Targets}
 	return p, errors.Join(
 		c.kernel.Register("router", p.router),
 		c.kernel.Register("operators", newHTTPService(c.operators, ops.handler())),
@@ -55,8 +55,8 @@
 	)
 }
 
-// Start starts all services; the router is ready once it holds a
-// configuration, from a peer or from the store.
+// Start starts all services; the router becomes ready once it has a configuration, from a peer or
+// from the store.
 func (p *routerProcess) Start(ctx context.Context) error {
 	if err := p.common.Start(ctx); err != nil {
 		return err
@@ -65,13 +65,13 @@
 	return nil
 }
 
-// Drain goes unready, goes on serving until the balancer has surely seen it,
-// and then waits for requests in flight.
+// Drain reports the router as not ready, keeps serving until the load balancer has noticed, and
+// then waits for requests in flight.
 func (p *routerProcess) Drain(ctx context.Context) error {
 	p.log.Info("router draining")
 	p.router.Unready()
 	p.node.Members.SetSelf(true, nil)
-	timer := time.NewTimer(unreadyFor)
+	timer := time.NewTimer(unreadyDelay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
