--- a/internal/process/evacuation_test.go
+++ b/internal/process/evacuation_test.go
@@ -11,23 +11,23 @@
 	"github.com/capersaddle/capersaddle/internal/emulator"
 )
 
-// TestEvacuationIsInForceEverywhere: at gateways that run, at one that begins
+// TestEvacuationReachesAllGateways: at gateways that run, at one that begins
 // meanwhile without the store, and until it is taken back.
-func TestEvacuationIsInForceEverywhere(t *testing.T) {
+func TestEvacuationReachesAllGateways(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 3)
 	other, err := f.platform.AddServer("plain", "other", "127.0.0.1:0", emulator.ServerOptions{ID: "p-other"})
 	is.NoErr(err)
-	knownBy := func(event string, gateways int) func() bool {
+	loggedBy := func(event string, gateways int) func() bool {
 		return func() bool { return strings.Count(f.log.String(), `"msg":"`+event+`"`) == gateways }
 	}
 	ask := func(gateway int) answer {
 		return f.call(gateway, http.MethodPost, "/ask/1", fmt.Sprintf("ask-%d-%d", gateway, len(other.Runs())), "key-1")
 	}
 	f.platform.Evacuate("zone", true)
-	eventually(t, "all gateways know of it", knownBy("data_center_evacuated", 3))
+	eventually(t, "all gateways know of it", loggedBy("data_center_evacuated", 3))
 	f.platform.Store.SetFaults(emulator.StoreFaults{Down: true})
-	f.gateways = append(f.gateways, f.gateway(t, "late", []string{f.gateways[0].Addresses().Link}))
+	f.gateways = append(f.gateways, f.startGateway(t, "late", []string{f.gateways[0].Addresses().Link}))
 	eventually(t, "the late gateway is ready", f.gateways[3].Ready)
 	for i := range f.gateways {
 		for range 6 {
@@ -40,13 +40,13 @@
 	is.Equal(len(other.Runs()), 6*len(f.gateways))
 	f.platform.Store.SetFaults(emulator.StoreFaults{})
 	f.platform.Evacuate("other", true)
-	eventually(t, "all gateways know of the other", knownBy("data_center_evacuated", 8))
+	eventually(t, "all gateways know of the other", loggedBy("data_center_evacuated", 8))
 	refused := ask(0)
 	is.Equal(refused.status, http.StatusServiceUnavailable) // at once, with a time to come back
 	is.True(refused.header.Get("Retry-After") != "")
 	is.Equal(len(other.Runs()), 6*len(f.gateways))
 	f.platform.Evacuate("zone", false)
-	eventually(t, "all gateways know that it is taken back", knownBy("data_center_returned", 4))
+	eventually(t, "all gateways know that it is taken back", loggedBy("data_center_returned", 4))
 	is.Equal(ask(0).status, http.StatusOK)
 	is.Equal(len(other.Runs()), 6*len(f.gateways))
 }
--- a/internal/process/front_test.go
+++ b/internal/process/framing_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// TestWhatAnIntermediaryMustNotMistake: cases of RFC 9112 and of headers that decide
+// TestRequestFraming: cases of RFC 9112 and of headers that decide
 // who asks for what, as bytes on a socket. Each request is followed by another one on
 // the same connection, which must not run where the end of the first is in doubt.
-func TestWhatAnIntermediaryMustNotMistake(t *testing.T) {
+func TestRequestFraming(t *testing.T) {
 	const (
 		line  = "POST /pay/1 HTTP/1.1\r\nHost: " + host + "\r\nX-Attempt-Id: %s\r\nX-Api-Key: key-1\r\n"
 		empty = "Content-Length: 0\r\n\r\n"
@@ -25,7 +25,7 @@
 		// status is the first answer's; zero where there may be none.
 		status int
 		// runs says whether the first request runs, and follows whether the second does.
-		runs, follows bool
+		firstRuns, secondRuns bool
 	}{
 		"a body with a length":          {line + "Content-Length: 2\r\n\r\nab", 200, true, true},
 		"a body in chunks":              {line + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", 200, true, false},
@@ -52,7 +52,7 @@
 	f := newFleet(t, 1)
 	f.config.Version++
 	f.config.Limits.HeaderBytes = 16384
-	f.accept(t)
+	f.applyConfig(t)
 	eventually(t, "the limit is in force", func() bool { return strings.Contains(f.log.String(), `"version":4`) })
 	number := 0
 	for name, tc := range cases {
@@ -66,24 +66,24 @@
 			_, err = fmt.Fprintf(conn, tc.first+line+empty, first, second)
 			is.NoErr(err)
 			reader := bufio.NewReader(conn)
-			response, err := readWhole(reader)
+			response, err := readResponse(reader)
 			if tc.status != 0 {
 				is.NoErr(err)
 				is.Equal(response.StatusCode, tc.status)
 			}
 			if err == nil {
-				_, _ = readWhole(reader) // the second answer, or the connection's end
+				_, _ = readResponse(reader) // the second answer, or the connection's end
 			}
-			ran := f.ran()
-			is.Equal(ran[first], tc.runs)
-			is.Equal(ran[second], tc.follows)
+			ran := f.ranIDs()
+			is.Equal(ran[first], tc.firstRuns)
+			is.Equal(ran[second], tc.secondRuns)
 			is.True(!ran["other"])
 		})
 	}
 }
 
 // ran are the ids of the requests that plain servers have run.
-func (f *fleet) ran() map[string]bool {
+func (f *fleet) ranIDs() map[string]bool {
 	ran := make(map[string]bool)
 	for _, server := range f.plain {
 		for _, run := range server.Runs() {
@@ -93,8 +93,8 @@
 	return ran
 }
 
-// readWhole reads an answer with its body.
-func readWhole(reader *bufio.Reader) (*http.Response, error) {
+// readResponse reads an answer with its body.
+func readResponse(reader *bufio.Reader) (*http.Response, error) {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		return nil, err
--- a/internal/process/gateway_quarantine_http_test.go
+++ b/internal/process/gateway_quarantine_http_test.go
@@ -24,7 +24,7 @@
 		held          bool
 		status        int
 		body          string
-		stays         bool
+		stillHeld         bool
 	}{
 		"none":                {http.MethodGet, "", false, http.StatusOK, "[]\n", false},
 		"one":                 {http.MethodGet, "", true, http.StatusOK, `{"print":"00000000000000aa","ends":3,"left_ms":`, true},
@@ -42,13 +42,13 @@
 			if tc.held {
 				table.Merge(quarantine.Record{Fingerprint: held, Instances: []quarantine.Instance{1, 2, 3}}, clock.Now())
 			}
-			observer := observe.New(NewLogger(nowhere{}, settings.Log{}), observe.NewMetrics(prometheus.NewRegistry()))
+			observer := observe.New(NewLogger(discard{}, settings.Log{}), observe.NewMetrics(prometheus.NewRegistry()))
 			crashes := gateway.NewCrashes(table, balance.New(balance.DefaultOptions()), nil, observer)
 			out := httptest.NewRecorder()
 			quarantineHandler(crashes).ServeHTTP(out, httptest.NewRequest(tc.method, PathQuarantine+tc.query, nil))
 			is.Equal(out.Code, tc.status)
 			is.True(strings.Contains(out.Body.String(), tc.body))
-			is.Equal(table.Held(held, clock.Now()), tc.stays)
+			is.Equal(table.Held(held, clock.Now()), tc.stillHeld)
 		})
 	}
 }
--- a/internal/process/gateway_begin_test.go
+++ b/internal/process/gateway_start_test.go
@@ -13,17 +13,17 @@
 	"github.com/capersaddle/capersaddle/platform"
 )
 
-// TestTargetsOfTheCheckpointWaitForTheList: found as DRAIN on trouble-2 of
+// TestCheckpointTargetsWaitForTargetList: found as DRAIN on trouble-2 of
 // mmd-cuenca. A target that has left since the checkpoint was written gets
 // nothing while the list comes in; if most of the list is missing when it is
 // known whole, the entries have lapsed and the targets serve.
-func TestTargetsOfTheCheckpointWaitForTheList(t *testing.T) {
+func TestCheckpointTargetsWaitForTargetList(t *testing.T) {
 	targetOf := func(id string) balance.Target {
 		return balance.Target{ID: id, Service: "s", Address: "10.0.0.1:80"}
 	}
 	cases := map[string]struct {
 		listed []string
-		open   bool // whether another target than those listed may get work
+		chosen   bool // whether another target than those listed may get work
 	}{
 		"the list is whole":        {[]string{"a", "b", "c"}, false},
 		"most entries have lapsed": {[]string{"a"}, true},
@@ -31,13 +31,13 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(t.Output(), settings.Log{Format: "json"}))
+			p, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(t.Output(), settings.Log{Format: "json"}))
 			is.NoErr(err)
-			t.Cleanup(func() { _ = made.kernel.Close() })
-			s := &sink{process: made, notifyPeers: func() {}}
+			t.Cleanup(func() { _ = p.kernel.Close() })
+			s := &sink{process: p, notifyPeers: func() {}}
 			data, err := checkpoint.Encode(checkpoint.Content{Targets: []balance.Target{targetOf("a"), targetOf("b"), targetOf("left")}})
 			is.NoErr(err)
-			balancer := made.gateway.Balancer
+			balancer := p.gateway.Balancer
 			s.Checkpoint(data)
 			is.Equal(len(balancer.Targets()), 0) // nothing may be sent yet
 			for _, id := range tc.listed {
@@ -47,7 +47,7 @@
 			s.Begun()
 			exclude := tc.listed
 			_, ok := balancer.Choose(balance.Query{Service: "s", Exclude: exclude}, s.process.started)
-			is.Equal(ok, tc.open)
+			is.Equal(ok, tc.chosen)
 			before := len(balancer.Targets())
 			s.Checkpoint(data) // later ones say nothing new of targets
 			is.Equal(len(balancer.Targets()), before)
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestWhoYieldsAtItsBeginning: a process that has just begun and hears of nobody
+// TestYieldsToPeersAtStart: a process that has just begun and hears of nobody
 // may be one of hundreds, unless its settings name no other gateway.
-func TestWhoYieldsAtItsBeginning(t *testing.T) {
+func TestYieldsToPeersAtStart(t *testing.T) {
 	cases := map[string]struct {
 		peers  string
 		seeds  []string
@@ -74,27 +74,27 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Peers: tc.peers, Store: "127.0.0.1:1"}
-			made, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
+			p, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
 			is.NoErr(err)
-			t.Cleanup(func() { _ = made.kernel.Close() })
+			t.Cleanup(func() { _ = p.kernel.Close() })
 			for _, seed := range tc.seeds {
 				if seed == "self" {
-					seed = made.addresses.Link
+					seed = p.addresses.Link
 				}
 				s.Seeds = append(s.Seeds, seed)
 			}
 			// Moments right at a bound would hang on the machine's speed.
-			made.started = time.Now().Add(-2 * tc.age)
-			is.Equal(made.yieldsToPeers(), tc.yields)
+			p.started = time.Now().Add(-2 * tc.age)
+			is.Equal(p.yieldsToPeers(), tc.yields)
 		})
 	}
 }
 
-// TestASmallHostYieldsToLargerOnes: both gateways that read the store for hundreds
+// TestSmallHostYieldsToLargerHosts: both gateways that read the store for hundreds
 // that had begun together were on hosts of a seventh of a core and 10 Mbit/s.
-func TestASmallHostYieldsToLargerOnes(t *testing.T) {
+func TestSmallHostYieldsToLargerHosts(t *testing.T) {
 	cases := map[string]struct {
-		beginning startupState
+		state startupState
 		yields    bool
 	}{
 		"a large host that hears nobody yet":     {startupState{discovering: true, noPeers: true, quickHost: true}, true},
@@ -108,16 +108,16 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(shouldYield(tc.beginning), tc.yields)
+			is.New(t).Equal(shouldYield(tc.state), tc.yields)
 		})
 	}
 }
 
-// TestASmallHostLeavesReadingToOthers: the first page of the store for each of 300
+// TestStoreRoleAtStart: the first page of the store for each of 300
 // gateways that began together kept its link busy for a second.
-func TestASmallHostLeavesReadingToOthers(t *testing.T) {
+func TestStoreRoleAtStart(t *testing.T) {
 	small, large := settings.Host{Share: 0.144, Cores: 1, LinkMbps: 10}, settings.Host{Share: 0.8, Cores: 1, LinkMbps: 200}
-	moment := func(patience time.Duration) time.Duration {
+	readOffset := func(patience time.Duration) time.Duration {
 		return time.Duration(float64(patience) * peer.StoreOrder("g"))
 	}
 	others := []string{"10.0.0.9:1"}
@@ -127,10 +127,10 @@
 		age   time.Duration
 		role  platform.Role
 	}{
-		"a small host before its moment":       {small, others, moment(smallReadWindow) / 4, platform.Follows},
-		"after it, and nobody was heard":       {small, others, moment(smallReadWindow), platform.AsksFirst},
+		"a small host before its moment":       {small, others, readOffset(smallReadWindow) / 4, platform.Follows},
+		"after it, and nobody was heard":       {small, others, readOffset(smallReadWindow), platform.AsksFirst},
 		"a large host before its moment":       {large, others, 0, platform.Follows},
-		"a large host's moment comes sooner":   {large, others, moment(quickReadWindow), platform.AsksFirst},
+		"a large host's moment comes sooner":   {large, others, readOffset(quickReadWindow), platform.AsksFirst},
 		"what the host has is not known":       {settings.Host{}, others, 0, platform.AsksFirst},
 		"a small host, and nobody else can be": {small, nil, 0, platform.AsksFirst},
 	}
@@ -138,23 +138,23 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Peers: "127.0.0.1:0", Store: "127.0.0.1:1", Host: tc.host, Seeds: tc.seeds}
-			made, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
+			p, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
 			is.NoErr(err)
-			t.Cleanup(func() { _ = made.kernel.Close() })
+			t.Cleanup(func() { _ = p.kernel.Close() })
 			// Moments right at a bound would hang on the machine's speed.
-			made.started = time.Now().Add(-2 * tc.age)
-			is.Equal(made.storeRole(), tc.role)
+			p.started = time.Now().Add(-2 * tc.age)
+			is.Equal(p.storeRole(), tc.role)
 		})
 	}
 }
 
-// TestWhoBeginsKeepsNoCheckpoint: until a process can have heard the others it may
+// TestNoCheckpointBeforePeerDiscovery: until a process can have heard the others it may
 // only seem to be the first of them.
-func TestWhoBeginsKeepsNoCheckpoint(t *testing.T) {
+func TestNoCheckpointBeforePeerDiscovery(t *testing.T) {
 	cases := map[string]struct {
 		peers string
 		age   time.Duration
-		keeps bool
+		writes bool
 	}{
 		"no other gateways":           {"", 0, true},
 		"others may be there":         {"127.0.0.1:0", 0, false},
@@ -164,11 +164,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Peers: tc.peers, Store: "127.0.0.1:1"}
-			made, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
+			p, err := NewGateway(s, NewLogger(t.Output(), settings.Log{Format: "json"}))
 			is.NoErr(err)
-			t.Cleanup(func() { _ = made.kernel.Close() })
-			made.started = time.Now().Add(-2 * tc.age)
-			is.Equal(made.writesCheckpoint(), tc.keeps)
+			t.Cleanup(func() { _ = p.kernel.Close() })
+			p.started = time.Now().Add(-2 * tc.age)
+			is.Equal(p.writesCheckpoint(), tc.writes)
 		})
 	}
 }
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -40,9 +40,9 @@
 	log            *syncBuffer
 }
 
-// manyRetries is a retry slack for tests that need many in a process's first seconds, of which
+// highRetrySlack is a retry slack for tests that need many in a process's first seconds, of which
 // it spends little then.
-const manyRetries = 2000
+const highRetrySlack = 2000
 
 // syncBuffer gathers what processes log.
 type syncBuffer struct {
@@ -64,12 +64,12 @@
 
 func newFleet(t *testing.T, count int) *fleet {
 	t.Helper()
-	made, err := emulator.New("127.0.0.1:0")
+	standIn, err := emulator.New("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = made.Close() })
-	f := &fleet{platform: made, log: new(syncBuffer), retrySlack: manyRetries}
+	t.Cleanup(func() { _ = standIn.Close() })
+	f := &fleet{platform: standIn, log: new(syncBuffer), retrySlack: highRetrySlack}
 	f.config = emulator.Config{
 		Version: 3,
 		Routes: []emulator.Route{
@@ -81,14 +81,14 @@
 		Tenants:  []emulator.Tenant{{Name: "clinic", Keys: []string{"key-1", "key-2"}}},
 		Limits:   emulator.Limits{BodyBytes: 1 << 20, IdleMs: 15000},
 	}
-	f.accept(t)
+	f.applyConfig(t)
 	for i := range 3 {
-		f.plain = append(f.plain, f.server(t, "plain", fmt.Sprintf("p-%d", i), 0))
-		f.engines = append(f.engines, f.server(t, "engine", fmt.Sprintf("e-%d", i), 6))
+		f.plain = append(f.plain, f.addServer(t, "plain", fmt.Sprintf("p-%d", i), 0))
+		f.engines = append(f.engines, f.addServer(t, "engine", fmt.Sprintf("e-%d", i), 6))
 	}
 	var seeds []string
 	for i := range count {
-		f.gateways = append(f.gateways, f.gateway(t, fmt.Sprintf("gateway-%d", i), seeds))
+		f.gateways = append(f.gateways, f.startGateway(t, fmt.Sprintf("gateway-%d", i), seeds))
 		seeds = append(seeds, f.gateways[i].Addresses().Link)
 	}
 	for _, gateway := range f.gateways {
@@ -97,14 +97,14 @@
 	return f
 }
 
-func (f *fleet) accept(t *testing.T) {
+func (f *fleet) applyConfig(t *testing.T) {
 	t.Helper()
 	if err := f.platform.Accept(&f.config); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *fleet) server(t *testing.T, service, id string, events int) *emulator.Server {
+func (f *fleet) addServer(t *testing.T, service, id string, events int) *emulator.Server {
 	t.Helper()
 	server, err := f.platform.AddServer(service, "zone", "127.0.0.1:0", emulator.ServerOptions{ID: id, Events: events, Gap: time.Millisecond})
 	if err != nil {
@@ -113,18 +113,18 @@
 	return server
 }
 
-func (f *fleet) gateway(t *testing.T, id string, seeds []string) *process.GatewayProcess {
+func (f *fleet) startGateway(t *testing.T, id string, seeds []string) *process.GatewayProcess {
 	t.Helper()
-	return f.gatewayAt(t, id, testsOwn+":0", seeds)
+	return f.startGatewayAt(t, id, peerHost+":0", seeds)
 }
 
-// testsOwn is an address of loopback that no other package's tests use: gateways call an
+// peerHost is an address of loopback that no other package's tests use: gateways call an
 // address at which one has ended for minutes, and would take who listens there next for one
 // of theirs.
-const testsOwn = "127.0.0.3"
+const peerHost = "127.0.0.3"
 
-// gatewayAt starts a gateway that takes other gateways at an address, IP:port.
-func (f *fleet) gatewayAt(t *testing.T, id, peers string, seeds []string) *process.GatewayProcess {
+// startGatewayAt starts a gateway that takes other gateways at an address, IP:port.
+func (f *fleet) startGatewayAt(t *testing.T, id, peers string, seeds []string) *process.GatewayProcess {
 	t.Helper()
 	s := &settings.Gateway{
 		Role: "gateway", ID: id, DataCenter: "zone",
@@ -134,18 +134,18 @@
 		Retry:   settings.RetryBudget{Ratio: 0.2, Slack: f.retrySlack, Window: settings.Duration(10 * time.Second)},
 		Rollout: settings.Rollout{Share: 0.1, Slack: 50, Rollback: settings.Duration(5 * time.Second)},
 	}
-	made, err := process.NewGateway(s, process.NewLogger(f.log, settings.Log{Format: "json"}))
+	started, err := process.NewGateway(s, process.NewLogger(f.log, settings.Log{Format: "json"}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := made.Start(t.Context()); err != nil {
+	if err := started.Start(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = made.Close() })
-	return made
+	t.Cleanup(func() { _ = started.Close() })
+	return started
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
@@ -155,7 +155,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("waited in vain until %s", condition)
 		}
 	}
 }
@@ -183,15 +183,15 @@
 	return f.send(gateway, http.MethodPost, path, id, "key-1", "aa:100,bb:200,"+id+":10", body)
 }
 
-// callersOf is where a gateway takes callers.
-func (f *fleet) callersOf(gateway int) string {
+// callerAddress is where a gateway takes callers.
+func (f *fleet) callerAddress(gateway int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.gateways[gateway].Addresses().Callers
 }
 
 func (f *fleet) send(gateway int, method, path, id, key, prompt, body string) answer {
-	request, err := http.NewRequest(method, "http://"+f.callersOf(gateway)+path, strings.NewReader(body))
+	request, err := http.NewRequest(method, "http://"+f.callerAddress(gateway)+path, strings.NewReader(body))
 	if err != nil {
 		return answer{err: err}
 	}
@@ -210,7 +210,7 @@
 	return answer{response.StatusCode, string(got), response.Header, err}
 }
 
-func wholeStream(events int) string {
+func fullStream(events int) string {
 	var text strings.Builder
 	for number := 1; number <= events; number++ {
 		text.WriteString(emulator.Event(number))
@@ -218,7 +218,7 @@
 	return text.String()
 }
 
-func TestTheWholeWay(t *testing.T) {
+func TestRequestsEndToEnd(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
 	paid := f.call(0, http.MethodPost, "/pay/1", "r1", "key-1")
@@ -228,7 +228,7 @@
 	is.True(strings.HasSuffix(paid.header.Get("X-Server-Stamp"), ".r1"))
 	chat := f.call(1, http.MethodPost, "/chat/1", "r2", "key-2")
 	is.NoErr(chat.err)
-	is.Equal(chat.body, wholeStream(6))
+	is.Equal(chat.body, fullStream(6))
 	var run emulator.Run
 	for _, server := range f.plain {
 		for _, got := range server.Runs() {
@@ -242,9 +242,9 @@
 	is.True(!strings.Contains(f.log.String(), "key-1")) // nor to the log
 }
 
-// TestFaultsOfServers: what may be repeated is, what may not runs once, and
+// TestServerFaults: what may be repeated is, what may not runs once, and
 // no answer looks whole that isn't.
-func TestFaultsOfServers(t *testing.T) {
+func TestServerFaults(t *testing.T) {
 	f := newFleet(t, 1)
 	cases := map[string]struct {
 		mode    emulator.Mode
@@ -279,19 +279,19 @@
 			f.misbehaveOnce(tc.mode, all, id)
 			got := f.call(0, http.MethodPost, tc.path, id, "key-1")
 			is.Equal(got.status, tc.status)
-			ran := 0
+			runs := 0
 			for _, server := range all {
 				server.Misbehave(emulator.Sound, 0)
 				for _, run := range server.Runs() {
 					if run.ID == id && run.Ran {
-						ran++
+						runs++
 					}
 				}
 			}
-			is.Equal(ran, tc.runs)
+			is.Equal(runs, tc.runs)
 			if tc.status == 200 && tc.streams {
 				is.NoErr(got.err)
-				is.Equal(got.body, wholeStream(6)) // every event once and in order
+				is.Equal(got.body, fullStream(6)) // every event once and in order
 			}
 		})
 		// A misbehaving server is left out for a while; the next case starts
@@ -308,12 +308,12 @@
 	}
 }
 
-func TestAConfigurationIsInForceEverywhere(t *testing.T) {
+func TestConfigurationReachesAllGateways(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 4)
 	f.config.Version = 9
 	f.config.Tenants[0].Keys = []string{"key-2"}
-	f.accept(t)
+	f.applyConfig(t)
 	for i := range f.gateways {
 		eventually(t, "the key is gone", func() bool {
 			return f.call(i, http.MethodPost, "/pay/1", fmt.Sprintf("gone%d-%d", i, time.Now().UnixNano()), "key-1").status == http.StatusUnauthorized
@@ -322,22 +322,22 @@
 	}
 }
 
-// TestTheStoreIsAwayForNewGateways: a gateway that starts while the store is
+// TestGatewayStartWithoutStore: a gateway that starts while the store is
 // away gets the store.s content from its peers.
-func TestTheStoreIsAwayForNewGateways(t *testing.T) {
+func TestGatewayStartWithoutStore(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2)
 	f.platform.Store.SetFaults(emulator.StoreFaults{Down: true})
-	late := f.gateway(t, "late", []string{f.gateways[0].Addresses().Link})
-	eventually(t, "the late gateway is ready", late.Ready)
-	f.gateways = append(f.gateways, late)
+	newGateway := f.startGateway(t, "late", []string{f.gateways[0].Addresses().Link})
+	eventually(t, "the late gateway is ready", newGateway.Ready)
+	f.gateways = append(f.gateways, newGateway)
 	got := f.call(2, http.MethodPost, "/pay/1", "late1", "key-1")
 	is.True(got.status == 200 || got.status == http.StatusServiceUnavailable) // by a peer's proof, as long as that is fresh
 }
 
-// TestADrainCutsNothing: a stream in flight ends whole, a resting connection
+// TestDrainCompletesRequestsInFlight: a stream in flight ends whole, a resting connection
 // is closed with notice, and the process is not ready meanwhile.
-func TestADrainCutsNothing(t *testing.T) {
+func TestDrainCompletesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
 	slow, err := f.platform.AddServer("engine", "zone", "127.0.0.1:0", emulator.ServerOptions{ID: "slow", Events: 40, Gap: 20 * time.Millisecond})
@@ -358,7 +358,7 @@
 	is.Equal(during.status, 200) // who still comes is served
 	got := <-done
 	is.NoErr(got.err)
-	is.Equal(got.body, wholeStream(40))
+	is.Equal(got.body, fullStream(40))
 	is.NoErr(<-drained)
 }
 
@@ -384,7 +384,7 @@
 	}
 }
 
-func TestMetricsAreServed(t *testing.T) {
+func TestMetricsEndpoint(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1)
 	is.Equal(f.call(0, http.MethodPost, "/pay/1", "r1", "key-1").status, 200)
@@ -398,9 +398,9 @@
 	}
 }
 
-// TestManyGatewaysFindAPrompt: what one of many gateways has placed, another one
+// TestPromptFoundThroughDirectory: what one of many gateways has placed, another one
 // finds by the directory: its request goes to the same engine.
-func TestManyGatewaysFindAPrompt(t *testing.T) {
+func TestPromptFoundThroughDirectory(t *testing.T) {
 	is := is.New(t)
 	const gateways = 11 // more than are told everything in beats
 	f := newFleet(t, gateways)
@@ -414,14 +414,14 @@
 		eventually(t, "the answer has reached its end in the log", func() bool {
 			return strings.Contains(f.log.String(), fmt.Sprintf(`"id":"first%d"`, i))
 		})
-		again := f.callWithPrompt((i+5)%gateways, http.MethodPost, "/chat/1", fmt.Sprintf("again%d", i), "key-1", prompt)
-		is.Equal(again.status, 200)
-		firstRun, againRun := f.run(fmt.Sprintf("first%d", i)), f.run(fmt.Sprintf("again%d", i))
+		repeated := f.callWithPrompt((i+5)%gateways, http.MethodPost, "/chat/1", fmt.Sprintf("again%d", i), "key-1", prompt)
+		is.Equal(repeated.status, 200)
+		firstRun, repeatedRun := f.engineRunOf(fmt.Sprintf("first%d", i)), f.engineRunOf(fmt.Sprintf("again%d", i))
 		// At the same engine, or where that is busy by what is reported, with its
 		// memory as the source.
 		is.True(firstRun.address != "")
-		same := firstRun.address == againRun.address
-		is.True(same || againRun.header.Get("Kv-Fetch") == firstRun.address)
+		same := firstRun.address == repeatedRun.address
+		is.True(same || repeatedRun.header.Get("Kv-Fetch") == firstRun.address)
 	}
 	is.True(strings.Contains(f.log.String(), `"found":"answered"`))
 }
@@ -433,7 +433,7 @@
 }
 
 // run finds the request that some engine ran.
-func (f *fleet) run(id string) engineRun {
+func (f *fleet) engineRunOf(id string) engineRun {
 	for _, engine := range f.engines {
 		for _, run := range engine.Runs() {
 			if run.ID == id && run.Ran {
--- a/internal/process/budget_test.go
+++ b/internal/process/options_test.go
@@ -17,12 +17,12 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// TestTheSlackIsSharedByAllGateways: found as BUDGET on vmt-grid-grown
+// TestRetrySlackSharedByGateways: found as BUDGET on vmt-grid-grown
 // scale-1, where thirty gateways each took an eighth of the slack.
-func TestTheSlackIsSharedByAllGateways(t *testing.T) {
+func TestRetrySlackSharedByGateways(t *testing.T) {
 	cases := map[string]struct {
 		peers   int
-		running time.Duration
+		uptime time.Duration
 	}{
 		"alone and new":      {0, 0},
 		"four":               {3, time.Minute},
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &settings.Gateway{Retry: settings.RetryBudget{Ratio: 0.2, Slack: 100, Window: settings.Duration(10 * time.Second)}}
-			p := &GatewayProcess{settings: s, started: time.Now().Add(-tc.running)}
+			p := &GatewayProcess{settings: s, started: time.Now().Add(-tc.uptime)}
 			p.gateway = &gateway.Gateway{Balancer: balance.New(balance.DefaultOptions()), Budgets: retrybudget.New(retryOptions(s))}
 			p.applyCensus(peer.Census{Live: tc.peers, Known: tc.peers})
 			if name == "thirty, then alone" {
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestNotReadyWithoutAProof: found by .ci/run, where a request with a key came
+// TestNotReadyWithoutProof: found by .ci/run, where a request with a key came
 // between the reading of the configuration and the noting of its proof.
-func TestNotReadyWithoutAProof(t *testing.T) {
+func TestNotReadyWithoutProof(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Gateway{Role: "gateway", ID: "g", DataCenter: "dc", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}
 	p, err := NewGateway(s, log.New(io.Discard))
@@ -64,15 +64,15 @@
 	is.True(p.Ready())
 }
 
-// TestTheWordOfALeavingTargetIsUrgent: found as DRAIN on hunt-f5dd-7 of
+// TestTargetLeaveNotifiesPeers: found as DRAIN on hunt-f5dd-7 of
 // vmt-grid-grown: the removal of a target's entry waited its turn among loads
 // for up to 2 s, and a target may get new work for 3 s only.
-func TestTheWordOfALeavingTargetIsUrgent(t *testing.T) {
+func TestTargetLeaveNotifiesPeers(t *testing.T) {
 	ready := balance.Target{ID: "t", Service: "s", Address: "a"}
 	leaving := ready
 	leaving.Leaving = true
 	cases := map[string]struct {
-		tell func(s *sink)
+		change func(s *sink)
 		want int
 	}{
 		"added":          {func(s *sink) { s.Target(balance.Target{ID: "u", Service: "s"}) }, 0},
@@ -87,18 +87,18 @@
 			p, err := NewGateway(settings, log.New(io.Discard))
 			is := is.New(t)
 			is.NoErr(err)
-			urged := 0
-			taker := &sink{process: p, notifyPeers: func() { urged++ }}
-			taker.Target(ready)
-			tc.tell(taker)
-			is.Equal(urged, tc.want)
+			notified := 0
+			s := &sink{process: p, notifyPeers: func() { notified++ }}
+			s.Target(ready)
+			tc.change(s)
+			is.Equal(notified, tc.want)
 		})
 	}
 }
 
-// TestTheDeploymentsBoundsHold: bounds of other deployments than those at
+// TestOptionsFollowDeploymentBounds: bounds of other deployments than those at
 // hand; the load bound used to be read and not used.
-func TestTheDeploymentsBoundsHold(t *testing.T) {
+func TestOptionsFollowDeploymentBounds(t *testing.T) {
 	cases := map[string]struct {
 		load                   settings.LoadBound
 		apply, leave, evacuate time.Duration
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestTimeIsLeftForWhatIsInFlight: also where the grace time is short.
-func TestTimeIsLeftForWhatIsInFlight(t *testing.T) {
+// TestGatewayUnreadyDelay: also where the grace time is short.
+func TestGatewayUnreadyDelay(t *testing.T) {
 	is := is.New(t)
 	is.Equal(gatewayUnreadyDelay(8*time.Second), unreadyDelay)
 	is.Equal(gatewayUnreadyDelay(20*time.Second), unreadyDelay)
--- a/internal/process/quarantine_test.go
+++ b/internal/process/quarantine_test.go
@@ -42,28 +42,28 @@
 	// soundWork is how long a target works on a sound request.
 	soundWork = 20 * time.Millisecond
 	// lifeless is how long a target is away after its end.
-	lifeless = 1500 * time.Millisecond
-	// enoughCrashes is after how many ends a request must be stopped, learning how long
-	// the gateways have to learn of that, and mostLater how often it may be sent after.
-	enoughCrashes = 3
-	learning      = 3 * time.Second
-	mostLater     = 3
-	// mostHeldSound is how many sound requests may be held back in a test: those of the
+	restartDelay = 1500 * time.Millisecond
+	// crashLimit is after how many ends a request must be stopped, learning how long
+	// the gateways have to learn of that, and maxLateSends how often it may be sent after.
+	crashLimit = 3
+	learnTime      = 3 * time.Second
+	maxLateSends     = 3
+	// maxHeldSound is how many sound requests may be held back in a test: those of the
 	// moment until the gateways learn that one which many send alike was answered.
-	mostHeldSound = 5
+	maxHeldSound = 5
 )
 
 // fatalFleet is some gateways before targets that end under a request.
 func fatalFleet(t *testing.T, gateways int, fatal emulator.Fatal, keepsID bool) *fleet {
 	t.Helper()
-	f := fatalTargetsOnly(t, fatal, keepsID)
+	f := startFatalTargets(t, fatal, keepsID)
 	f.startGateways(t, gateways)
 	return f
 }
 
-// tellCrashes logs, where a test has failed, what gateways found of requests under which targets
+// logCrashes logs, where a test has failed, what gateways found of requests under which targets
 // ended, and when fatal ones were sent.
-func (f *fleet) tellCrashes(t *testing.T, service string) {
+func (f *fleet) logCrashes(t *testing.T, service string) {
 	t.Helper()
 	if !t.Failed() {
 		return
@@ -85,20 +85,20 @@
 	t.Helper()
 	var seeds []string
 	for i := range count {
-		f.gateways = append(f.gateways, f.gateway(t, gatewayName(i), seeds))
+		f.gateways = append(f.gateways, f.startGateway(t, gatewayName(i), seeds))
 		seeds = append(seeds, f.gateways[i].Addresses().Link)
 	}
 	f.awaitReady(t)
 }
 
-// fatalTargetsOnly are targets that end under a request, and no gateways yet.
-func fatalTargetsOnly(t *testing.T, fatal emulator.Fatal, keepsID bool) *fleet {
+// startFatalTargets are targets that end under a request, and no gateways yet.
+func startFatalTargets(t *testing.T, fatal emulator.Fatal, keepsID bool) *fleet {
 	t.Helper()
-	return fatalTargetsWorking(t, soundWork, fatal, keepsID)
+	return startFatalTargetsWithWork(t, soundWork, fatal, keepsID)
 }
 
-// fatalTargetsWorking are such targets that need some time for a sound request.
-func fatalTargetsWorking(t *testing.T, work time.Duration, fatal emulator.Fatal, keepsID bool) *fleet {
+// startFatalTargetsWithWork are such targets that need some time for a sound request.
+func startFatalTargetsWithWork(t *testing.T, work time.Duration, fatal emulator.Fatal, keepsID bool) *fleet {
 	t.Helper()
 	f := newFleet(t, 0)
 	for _, server := range append(f.engines, f.plain...) {
@@ -133,68 +133,68 @@
 	// heldSound counts the sound requests that were refused as if they ended targets.
 	heldSound atomic.Int64
 	// unserved are the sound ones that were not served: how each was answered, and when.
-	unserved unserved
+	failures failureCounts
 	// last is the last answer to the fatal request.
-	last   atomic.Pointer[answer]
+	lastAnswer   atomic.Pointer[answer]
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 }
 
 // unserved counts answers that are no success by what they were and by half seconds since
 // the first.
-type unserved struct {
+type failureCounts struct {
 	mu    sync.Mutex
-	began time.Time
-	count map[string]int
+	start time.Time
+	counts map[string]int
 }
 
-func (u *unserved) note(got answer) {
+func (u *failureCounts) record(got answer) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.count == nil {
-		u.began, u.count = time.Now(), make(map[string]int)
+	if u.counts == nil {
+		u.start, u.counts = time.Now(), make(map[string]int)
 	}
-	what := fmt.Sprint(got.status)
+	result := fmt.Sprint(got.status)
 	if got.err != nil {
-		what = got.err.Error()
+		result = got.err.Error()
 	}
-	since := time.Since(u.began).Truncate(500 * time.Millisecond)
-	u.count[fmt.Sprintf("%5.1f s: %s", since.Seconds(), what)]++
+	since := time.Since(u.start).Truncate(500 * time.Millisecond)
+	u.counts[fmt.Sprintf("%5.1f s: %s", since.Seconds(), result)]++
 }
 
 // String lists them.
-func (u *unserved) String() string {
+func (u *failureCounts) String() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var text strings.Builder
-	for _, what := range slices.Sorted(maps.Keys(u.count)) {
-		fmt.Fprintf(&text, "\n%s, %d times", what, u.count[what])
+	for _, result := range slices.Sorted(maps.Keys(u.counts)) {
+		fmt.Fprintf(&text, "\n%s, %d times", result, u.counts[result])
 	}
 	return text.String()
 }
 
 const (
-	fatalEvery = 120 * time.Millisecond
-	soundEvery = 15 * time.Millisecond
+	fatalInterval = 120 * time.Millisecond
+	soundInterval = 15 * time.Millisecond
 )
 
 func (f *fleet) startFatalCallers(t *testing.T, path string, fatals int) *fatalCallers {
 	t.Helper()
-	return f.startFatalCallersEvery(t, fatalEvery, path, fatals)
+	return f.startFatalCallersAt(t, fatalInterval, path, fatals)
 }
 
-// startFatalCallersEvery is that with so long between two sendings of each fatal request.
-func (f *fleet) startFatalCallersEvery(t *testing.T, every time.Duration, path string, fatals int) *fatalCallers {
+// startFatalCallersAt is that with so long between two sendings of each fatal request.
+func (f *fleet) startFatalCallersAt(t *testing.T, every time.Duration, path string, fatals int) *fatalCallers {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &fatalCallers{cancel: cancel}
 	for fatal := range fatals {
 		repeat(ctx, &c.wait, every, func(number int) {
-			got := f.callWithBody(number%len(f.gateways), path, fmt.Sprintf("fatal-%d-%d", fatal, number), fatalNumber(fatal))
-			c.last.Store(&got)
+			got := f.callWithBody(number%len(f.gateways), path, fmt.Sprintf("fatal-%d-%d", fatal, number), fatalRequestBody(fatal))
+			c.lastAnswer.Store(&got)
 		})
 	}
-	repeat(ctx, &c.wait, soundEvery, func(number int) {
+	repeat(ctx, &c.wait, soundInterval, func(number int) {
 		body := "alike"
 		if number%2 == 0 {
 			body = fmt.Sprintf("sound %d", number)
@@ -204,7 +204,7 @@
 		if got.err == nil && got.status == http.StatusOK {
 			c.served.Add(1)
 		} else {
-			c.unserved.note(got)
+			c.failures.record(got)
 		}
 		if got.err == nil && got.status == http.StatusBadRequest {
 			c.heldSound.Add(1)
@@ -214,8 +214,8 @@
 	return c
 }
 
-// fatalNumber is the body of one of several fatal requests.
-func fatalNumber(number int) string {
+// fatalRequestBody is the body of one of several fatal requests.
+func fatalRequestBody(number int) string {
 	return fmt.Sprintf("%s, number %d", fatalBody, number)
 }
 
@@ -248,18 +248,18 @@
 	return runs
 }
 
-// sentLater counts the sendings of a fatal request later than the gateways had to learn
+// lateSends counts the sendings of a fatal request later than the gateways had to learn
 // that three targets had ended under it. Each sending ends its target, unless another one
 // just has.
-func (f *fleet) sentLater(service, body string) int {
+func (f *fleet) lateSends(service, body string) int {
 	runs := f.fatalRuns(service, body)
 	var ended []string
 	for i, run := range runs {
-		if life := run.Server; !slices.Contains(ended, life) {
-			ended = append(ended, life)
+		if server := run.Server; !slices.Contains(ended, server) {
+			ended = append(ended, server)
 		}
-		if len(ended) == enoughCrashes {
-			return len(slices.DeleteFunc(runs[i:], func(later emulator.Run) bool { return later.At.Before(run.At.Add(learning)) }))
+		if len(ended) == crashLimit {
+			return len(slices.DeleteFunc(runs[i:], func(later emulator.Run) bool { return later.At.Before(run.At.Add(learnTime)) }))
 		}
 	}
 	return 0
@@ -267,34 +267,34 @@
 
 // awaitStopped waits until enough targets have ended and the time to learn of it is over,
 // and some more, in which a request that is not stopped would end many others.
-func (f *fleet) awaitStopped(t *testing.T, service string, more time.Duration) {
+func (f *fleet) awaitStopped(t *testing.T, service string, margin time.Duration) {
 	t.Helper()
-	eventually(t, "three targets have ended", func() bool { return len(f.platform.Crashes(service)) >= enoughCrashes })
-	stopped := f.platform.Crashes(service)[enoughCrashes-1].Add(learning)
-	eventually(t, "a request that goes on would have shown", func() bool { return time.Now().After(stopped.Add(more)) })
+	eventually(t, "three targets have ended", func() bool { return len(f.platform.Crashes(service)) >= crashLimit })
+	stopped := f.platform.Crashes(service)[crashLimit-1].Add(learnTime)
+	eventually(t, "a request that goes on would have shown", func() bool { return time.Now().After(stopped.Add(margin)) })
 }
 
 // checkStopped checks that no fatal request was sent on, and says how the others did.
 func (f *fleet) checkStopped(t *testing.T, c *fatalCallers, service string, fatals int) {
 	t.Helper()
 	is := is.New(t)
-	later := 0
+	total := 0
 	for fatal := range fatals {
-		sent := f.sentLater(service, fatalNumber(fatal))
-		is.True(sent <= mostLater)
-		later += sent
+		sent := f.lateSends(service, fatalRequestBody(fatal))
+		is.True(sent <= maxLateSends)
+		total += sent
 	}
 	t.Logf("%d fatal requests sent %d times later, %d targets ended in all; %d of %d sound requests served, %d held back; not served:%s",
-		fatals, later, len(f.platform.Crashes(service)), c.served.Load(), c.sound.Load(), c.heldSound.Load(), &c.unserved)
-	is.True(c.heldSound.Load() <= mostHeldSound)
+		fatals, total, len(f.platform.Crashes(service)), c.served.Load(), c.sound.Load(), c.heldSound.Load(), &c.failures)
+	is.True(c.heldSound.Load() <= maxHeldSound)
 }
 
-// TestARequestThatEndsItsTargets: it is sent no more once three targets have ended under
+// TestFatalRequestIsHeldBack: it is sent no more once three targets have ended under
 // it, whichever gateways it came to, and other requests are served on, those that are alike
 // among them.
-func TestARequestThatEndsItsTargets(t *testing.T) {
-	early := emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: lifeless}
-	midway := emulator.Fatal{Body: fatalBody, After: 45 * time.Millisecond, Back: lifeless}
+func TestFatalRequestIsHeldBack(t *testing.T) {
+	early := emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: restartDelay}
+	midway := emulator.Fatal{Body: fatalBody, After: 45 * time.Millisecond, Back: restartDelay}
 	cases := map[string]struct {
 		path, service string
 		fatal         emulator.Fatal
@@ -315,8 +315,8 @@
 			f.awaitStopped(t, test.service, 3*time.Second)
 			c.stop()
 			f.checkStopped(t, c, test.service, 1)
-			is.True(len(f.platform.Crashes(test.service)) >= enoughCrashes)
-			last := c.last.Load()
+			is.True(len(f.platform.Crashes(test.service)) >= crashLimit)
+			last := c.lastAnswer.Load()
 			is.Equal(last.status, http.StatusBadRequest) // a final answer
 			is.Equal(last.header.Get("Retry-After"), "")
 			is.True(strings.Contains(last.body, `"kind":"quarantined","message":`))
@@ -336,22 +336,22 @@
 	before, other := f.gateways[number], f.gateways[(number+1)%len(f.gateways)]
 	f.mu.Unlock()
 	_ = before.Close()
-	made := f.gatewayAt(t, gatewayName(number), before.Addresses().Link, []string{other.Addresses().Link})
-	eventually(t, "the new gateway is ready", made.Ready)
+	replacement := f.startGatewayAt(t, gatewayName(number), before.Addresses().Link, []string{other.Addresses().Link})
+	eventually(t, "the new gateway is ready", replacement.Ready)
 	f.mu.Lock()
-	f.gateways[number] = made
+	f.gateways[number] = replacement
 	f.mu.Unlock()
 	at := time.Now().Add(replacePause)
 	eventually(t, "the fatal request has come", func() bool { return time.Now().After(at) })
 }
 
-// TestFatalRequestsInTrouble: whatever else goes on, each is stopped after the third end.
-func TestFatalRequestsInTrouble(t *testing.T) {
+// TestFatalRequestsDuringOutages: whatever else goes on, each is stopped after the third end.
+func TestFatalRequestsDuringOutages(t *testing.T) {
 	nothing := func(*testing.T, *fleet) {}
 	cases := map[string]struct {
 		fatals, gateways int
 		// trouble goes on beside the requests.
-		trouble func(t *testing.T, f *fleet)
+		disrupt func(t *testing.T, f *fleet)
 	}{
 		"the store is away": {1, 4, func(_ *testing.T, f *fleet) {
 			f.platform.Store.SetFaults(emulator.StoreFaults{Silent: true})
@@ -374,9 +374,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := fatalFleet(t, test.gateways, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: lifeless}, false)
+			f := fatalFleet(t, test.gateways, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: restartDelay}, false)
 			c := f.startFatalCallers(t, "/ask/1", test.fatals)
-			test.trouble(t, f)
+			test.disrupt(t, f)
 			f.awaitStopped(t, "plain", 6*time.Second)
 			c.stop()
 			f.checkStopped(t, c, "plain", test.fatals)
@@ -404,10 +404,10 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fatal := emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: lifeless}
-			f := fatalTargetsWorking(t, test.work, fatal, false)
+			fatal := emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: restartDelay}
+			f := startFatalTargetsWithWork(t, test.work, fatal, false)
 			f.startGateways(t, test.gateways)
-			defer f.tellCrashes(t, "plain")
+			defer f.logCrashes(t, "plain")
 			c := f.startFatalCallers(t, "/ask/1", test.fatals)
 			f.awaitStopped(t, "plain", 6*time.Second)
 			c.stop()
@@ -421,12 +421,12 @@
 	}
 }
 
-// TestAllBegunAnew: when all gateways lose power, they hold back what they held back before,
+// TestQuarantineAfterFullRestart: when all gateways lose power, they hold back what they held back before,
 // by what the store has kept.
-func TestAllBegunAnew(t *testing.T) {
+func TestQuarantineAfterFullRestart(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := fatalFleet(t, 2, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: lifeless}, false)
+	f := fatalFleet(t, 2, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: restartDelay}, false)
 	c := f.startFatalCallers(t, "/ask/1", 1)
 	f.awaitStopped(t, "plain", 0)
 	c.stop()
@@ -442,40 +442,40 @@
 		_ = gateway.Close()
 	}
 	f.gateways = nil
-	f.gateways = append(f.gateways, f.gateway(t, "anew", nil))
+	f.gateways = append(f.gateways, f.startGateway(t, "anew", nil))
 	eventually(t, "the new gateway is ready", f.gateways[0].Ready)
-	before := len(f.fatalRuns("plain", fatalNumber(0)))
-	is.Equal(f.callWithBody(0, "/ask/1", "again", fatalNumber(0)).status, http.StatusBadRequest)
-	is.Equal(len(f.fatalRuns("plain", fatalNumber(0))), before)
+	before := len(f.fatalRuns("plain", fatalRequestBody(0)))
+	is.Equal(f.callWithBody(0, "/ask/1", "again", fatalRequestBody(0)).status, http.StatusBadRequest)
+	is.Equal(len(f.fatalRuns("plain", fatalRequestBody(0))), before)
 	is.Equal(f.callWithBody(0, "/ask/1", "other", "sound").status, http.StatusOK)
 }
 
-// TestAnOperatorLifts: the list names what is held back, and a lift has it sent again, at
+// TestOperatorLiftsQuarantine: the list names what is held back, and a lift has it sent again, at
 // another gateway too.
-func TestAnOperatorLifts(t *testing.T) {
+func TestOperatorLiftsQuarantine(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := fatalFleet(t, 2, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: lifeless}, false)
+	f := fatalFleet(t, 2, emulator.Fatal{Body: fatalBody, After: 10 * time.Millisecond, Back: restartDelay}, false)
 	c := f.startFatalCallers(t, "/ask/1", 1)
 	f.awaitStopped(t, "plain", 0)
 	c.stop()
 	f.platform.Mend()
-	at := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
-	response, err := http.Get(at)
+	url := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
+	response, err := http.Get(url)
 	is.NoErr(err)
 	var listed []process.HeldRequest
 	is.NoErr(json.NewDecoder(response.Body).Decode(&listed))
 	is.NoErr(response.Body.Close())
 	is.Equal(len(listed), 1)
-	is.True(listed[0].Crashes >= enoughCrashes)
-	is.Equal(f.callWithBody(1, "/ask/1", "held", fatalNumber(0)).status, http.StatusBadRequest)
-	request, err := http.NewRequest(http.MethodDelete, at+"?"+process.QueryQuarantine+"="+listed[0].Fingerprint, nil)
+	is.True(listed[0].Crashes >= crashLimit)
+	is.Equal(f.callWithBody(1, "/ask/1", "held", fatalRequestBody(0)).status, http.StatusBadRequest)
+	request, err := http.NewRequest(http.MethodDelete, url+"?"+process.QueryQuarantine+"="+listed[0].Fingerprint, nil)
 	is.NoErr(err)
 	lifted, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	is.NoErr(lifted.Body.Close())
 	is.Equal(lifted.StatusCode, http.StatusNoContent)
 	eventually(t, "the other gateway sends it", func() bool {
-		return f.callWithBody(1, "/ask/1", "lifted", fatalNumber(0)).status == http.StatusOK
+		return f.callWithBody(1, "/ask/1", "lifted", fatalRequestBody(0)).status == http.StatusOK
 	})
 }
--- a/internal/process/reference_test.go
+++ b/internal/process/reference_test.go
@@ -44,7 +44,7 @@
 }
 
 // documented lists the names in the first column of a page's tables.
-func documented(t *testing.T, page string) []string {
+func documentedNames(t *testing.T, page string) []string {
 	text, err := os.ReadFile("../../docs/" + page)
 	is.New(t).NoErr(err)
 	var names []string
@@ -55,8 +55,8 @@
 	return names
 }
 
-func same(t *testing.T, page string, inCode []string) {
-	inPage := documented(t, page)
+func comparePage(t *testing.T, page string, inCode []string) {
+	inPage := documentedNames(t, page)
 	for _, name := range inCode {
 		if !slices.Contains(inPage, name) {
 			t.Errorf("docs/%s does not name %s", page, name)
@@ -70,11 +70,11 @@
 }
 
 func TestSettingsPageIsComplete(t *testing.T) {
-	same(t, "SETTINGS.md", fieldNames(reflect.TypeFor[settings.Settings](), ""))
+	comparePage(t, "SETTINGS.md", fieldNames(reflect.TypeFor[settings.Settings](), ""))
 }
 
 func TestGatewaySettingsPageIsComplete(t *testing.T) {
-	same(t, "GATEWAY.md", fieldNames(reflect.TypeFor[settings.Gateway](), ""))
+	comparePage(t, "GATEWAY.md", fieldNames(reflect.TypeFor[settings.Gateway](), ""))
 }
 
 // TestLogsPageIsComplete holds the closed list of events against the page.
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestTheRequestLineHasItsFields fails if the line of a request lacks a field
+// TestRequestLogFields fails if the line of a request lacks a field
 // that the page names.
-func TestTheRequestLineHasItsFields(t *testing.T) {
+func TestRequestLogFields(t *testing.T) {
 	var out strings.Builder
 	observer := observe.New(NewLogger(&out, settings.Log{Format: "json"}), observe.NewMetrics(prometheus.NewRegistry()))
 	observer.Request(&gateway.RequestRecord{ID: "r", Ending: gateway.EndingAnswered, Attempts: []gateway.AttemptRecord{{Target: "t", Outcome: "answered", Ejected: true}}})
@@ -125,7 +125,7 @@
 	for _, family := range families {
 		inCode = append(inCode, family.GetName())
 	}
-	same(t, "METRICS-GATEWAY.md", inCode)
+	comparePage(t, "METRICS-GATEWAY.md", inCode)
 }
 
 func testSettings(role string) *settings.Settings {
@@ -169,7 +169,7 @@
 		}
 	}
 	slices.Sort(inCode)
-	same(t, "METRICS.md", slices.Compact(inCode))
+	comparePage(t, "METRICS.md", slices.Compact(inCode))
 }
 
 // The operators' key is needed where the settings name one.
@@ -237,7 +237,7 @@
 }
 
 // While the store is away, queries are answered and changes plainly refused.
-func TestOperatorsWithoutTheStore(t *testing.T) {
+func TestOperatorsWithoutStore(t *testing.T) {
 	is := is.New(t)
 	p := startProcess(t, testSettings("router"))
 	post := func(path string, body any) (int, string) {
--- a/internal/process/rest_test.go
+++ b/internal/process/rest_test.go
@@ -26,7 +26,7 @@
 // nothing but the answers asks for rest.
 
 // rest has servers turn away a share of what comes, and ask for rest.
-func rest(retryAfter string, share float64, servers ...*emulator.Server) {
+func requestRest(retryAfter string, share float64, servers ...*emulator.Server) {
 	for _, server := range servers {
 		server.Say(emulator.Says{RetryAfter: retryAfter})
 		server.TurnBad(&emulator.Bad{Share: share, Fails: emulator.Shed})
@@ -48,7 +48,7 @@
 	cases := map[string]struct {
 		retryAfter string
 		share      float64
-		trouble    func(t *testing.T, f *fleet)
+		disrupt    func(t *testing.T, f *fleet)
 	}{
 		"they turn all away":        {"3", 1, nothing},
 		"they turn half of it away": {"2.5", 0.5, nothing},
@@ -66,39 +66,39 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := sayingFleet(t, 4)
+			f := steadyFleet(t, 4)
 			c := f.startSteadyCallers(t)
-			goOn(t, 500*time.Millisecond)
+			keepRunning(t, 500*time.Millisecond)
 			resting := []*emulator.Server{f.engines[0], f.engines[1], f.engines[2], f.plain[0]}
-			rest(test.retryAfter, test.share, resting...)
-			goOn(t, 300*time.Millisecond)
-			test.trouble(t, f)
-			goOn(t, 2500*time.Millisecond)
+			requestRest(test.retryAfter, test.share, resting...)
+			keepRunning(t, 300*time.Millisecond)
+			test.disrupt(t, f)
+			keepRunning(t, 2500*time.Millisecond)
 			resume(resting...)
 			before := len(f.plain[0].Runs())
 			eventually(t, "it has its share again", func() bool { return len(f.plain[0].Runs()) > before+10 })
 			c.stop()
-			f.checkHeeded(t, resting...)
-			logServed(t, c)
+			f.checkNoticesHeeded(t, resting...)
+			logSuccessRates(t, c)
 		})
 	}
 }
 
-// TestAllTargetsOfAServiceRest: callers are refused at once and truthfully, told when somebody
+// TestAllTargetsRest: callers are refused at once and truthfully, told when somebody
 // is back, and served then.
-func TestAllTargetsOfAServiceRest(t *testing.T) {
+func TestAllTargetsRest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := sayingFleet(t, 4)
+	f := steadyFleet(t, 4)
 	c := f.startSteadyCallers(t)
-	goOn(t, 500*time.Millisecond)
-	rest("3", 1, f.plain...)
-	goOn(t, time.Second)
-	began := time.Now()
+	keepRunning(t, 500*time.Millisecond)
+	requestRest("3", 1, f.plain...)
+	keepRunning(t, time.Second)
+	start := time.Now()
 	refused := f.callWithBody(0, "/pay/1", "0-refused", "body")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(refused.body, `"run_state":"not_run"`))
-	is.True(time.Since(began) < time.Second) // not at the end of its time
+	is.True(time.Since(start) < time.Second) // not at the end of its time
 	wait, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 	is.NoErr(err)
 	is.True(wait > 0.5 && wait < 4) // when somebody is back
@@ -107,46 +107,46 @@
 		return f.callWithBody(0, "/pay/1", "0-served", "body").status == http.StatusOK
 	})
 	c.stop()
-	f.checkHeeded(t, f.plain...)
-	logServed(t, c)
+	f.checkNoticesHeeded(t, f.plain...)
+	logSuccessRates(t, c)
 }
 
-// TestATargetThatRestsBeginsAgain: its next life gets requests at once.
-func TestATargetThatRestsBeginsAgain(t *testing.T) {
+// TestTargetRestartDuringRest: its next life gets requests at once.
+func TestTargetRestartDuringRest(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := sayingFleet(t, 2)
+	f := steadyFleet(t, 2)
 	c := f.startSteadyCallers(t)
-	goOn(t, 300*time.Millisecond)
+	keepRunning(t, 300*time.Millisecond)
 	resting := f.plain[0]
-	rest("3600", 1, resting)
-	goOn(t, time.Second)
-	rested := len(resting.Runs())
-	goOn(t, time.Second)
-	is.Equal(len(resting.Runs()), rested)
-	next, err := f.platform.BeginAgain(resting)
+	requestRest("3600", 1, resting)
+	keepRunning(t, time.Second)
+	runs := len(resting.Runs())
+	keepRunning(t, time.Second)
+	is.Equal(len(resting.Runs()), runs)
+	restarted, err := f.platform.BeginAgain(resting)
 	is.NoErr(err)
-	eventually(t, "the next life gets requests", func() bool { return len(next.Runs()) > 0 })
+	eventually(t, "the next life gets requests", func() bool { return len(restarted.Runs()) > 0 })
 	c.stop()
-	f.checkHeeded(t, resting)
+	f.checkNoticesHeeded(t, resting)
 }
 
-// TestWhatIsNoRestIsNone: targets that turn requests away and say nothing that can be read get
+// TestInvalidRetryAfterIsIgnored: targets that turn requests away and say nothing that can be read get
 // requests on, as those that say nothing.
-func TestWhatIsNoRestIsNone(t *testing.T) {
+func TestInvalidRetryAfterIsIgnored(t *testing.T) {
 	for name, retryAfter := range map[string]string{"a word": "soon", "negative": "-5", "an exponent": "1e99", "none": "0"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := sayingFleet(t, 2)
+			f := steadyFleet(t, 2)
 			c := f.startSteadyCallers(t)
-			rest(retryAfter, 0.5, f.plain[0])
-			goOn(t, 1500*time.Millisecond)
+			requestRest(retryAfter, 0.5, f.plain[0])
+			keepRunning(t, 1500*time.Millisecond)
 			before := len(f.plain[0].Runs())
-			goOn(t, time.Second)
+			keepRunning(t, time.Second)
 			c.stop()
-			came := len(f.plain[0].Runs()) - before
-			t.Logf("%d requests in a second", came)
-			is.New(t).True(came > 5)
+			received := len(f.plain[0].Runs()) - before
+			t.Logf("%d requests in a second", received)
+			is.New(t).True(received > 5)
 		})
 	}
 }
--- a/internal/process/rollouts_loss_test.go
+++ b/internal/process/rollouts_loss_test.go
@@ -10,11 +10,11 @@
 	"github.com/capersaddle/capersaddle/internal/observe"
 )
 
-// TestARolloutOutlivesAGateway: a good version is completed although a gateway is lost when
+// TestRolloutSurvivesGatewayLoss: a good version is completed although a gateway is lost when
 // half of the order's time is over, whether that one decides or not, and whether it stays away
 // or begins anew.
-func TestARolloutOutlivesAGateway(t *testing.T) {
-	cases := map[string]struct{ decider, anew bool }{
+func TestRolloutSurvivesGatewayLoss(t *testing.T) {
+	cases := map[string]struct{ decider, restart bool }{
 		"the one that decides":              {true, false},
 		"another one":                       {false, false},
 		"the one that decides, begun again": {true, true},
@@ -24,27 +24,27 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			o := orderTrial(t, nil)
-			decides := o.awaitStage(t, "canary")
-			halfway := o.at.Add(orderTime / 2)
+			o := startOrderedRollout(t, nil)
+			decider := o.awaitStage(t, "canary")
+			halfway := o.orderedAt.Add(rolloutDuration / 2)
 			eventually(t, "half of the time is over", func() bool { return time.Now().After(halfway) })
-			lost := decides
-			for number := 0; !test.decider && lost == decides; number++ {
+			lost := decider
+			for number := 0; !test.decider && lost == decider; number++ {
 				lost = gatewayName(number)
 			}
-			if test.anew {
+			if test.restart {
 				o.replaceGateway(t, gatewayNumber(lost))
 			} else {
 				o.closeGateway(t, lost)
 			}
 			eventually(t, "all others have the end", func() bool {
-				others := o.processesOf(t, func(found entry) bool { return found.ended() && found.Process != lost })
-				return len(others) == trialSize-1
+				others := o.processesWith(t, func(line rolloutLogLine) bool { return line.hasRecordedEnd() && line.Process != lost })
+				return len(others) == rolloutGateways-1
 			})
 			o.callers.stop()
-			t.Logf("%s decided, %s was lost\n%s", decides, lost, o.linesOf(observe.RolloutEvents))
-			o.checkBounds(t)
-			states, _ := o.endings.get()
+			t.Logf("%s decided, %s was lost\n%s", decider, lost, o.logLinesOf(observe.RolloutEvents))
+			o.checkRolloutBounds(t)
+			states, _ := o.finalStates.get()
 			is.Equal(states, []string{emulator.StateCompleted})
 		})
 	}
@@ -52,7 +52,7 @@
 
 // gatewayNumber is the number of the gateway with a name.
 func gatewayNumber(name string) int {
-	for number := range trialSize {
+	for number := range rolloutGateways {
 		if gatewayName(number) == name {
 			return number
 		}
--- a/internal/process/rollouts_test.go
+++ b/internal/process/rollouts_test.go
@@ -17,16 +17,16 @@
 
 const (
 	oldVersion, newVersion = "v1", "v2"
-	// orderTime is the operators' time for a roll-out, trialRate the requests a second of
+	// rolloutDuration is the operators' time for a roll-out, callerRate the requests a second of
 	// all callers.
-	orderTime = 12 * time.Second
-	trialRate = 160
-	// perVersion is how many targets of each version there are.
-	perVersion = 8
+	rolloutDuration = 12 * time.Second
+	callerRate = 160
+	// targetsPerVersion is how many targets of each version there are.
+	targetsPerVersion = 8
 )
 
-// trialFleet is some gateways before plain targets of an old version.
-func trialFleet(t *testing.T, gateways int) *fleet {
+// rolloutFleet is some gateways before plain targets of an old version.
+func rolloutFleet(t *testing.T, gateways int) *fleet {
 	t.Helper()
 	f := newFleet(t, 0)
 	for _, server := range f.plain {
@@ -35,7 +35,7 @@
 	f.versionServers = f.addVersion(t, oldVersion, nil)
 	var seeds []string
 	for i := range gateways {
-		f.gateways = append(f.gateways, f.gateway(t, gatewayName(i), seeds))
+		f.gateways = append(f.gateways, f.startGateway(t, gatewayName(i), seeds))
 		seeds = append(seeds, f.gateways[i].Addresses().Link)
 	}
 	for _, gateway := range f.gateways {
@@ -52,7 +52,7 @@
 func (f *fleet) addVersion(t *testing.T, version string, bad *emulator.Bad) []*emulator.Server {
 	t.Helper()
 	var servers []*emulator.Server
-	for i := range perVersion {
+	for i := range targetsPerVersion {
 		options := emulator.ServerOptions{ID: fmt.Sprintf("%s-%d", version, i), Version: version, Work: 15 * time.Millisecond, Bad: bad}
 		server, err := f.platform.AddServer("plain", "zone", "127.0.0.1:0", options)
 		if err != nil {
@@ -75,7 +75,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &callers{cancel: cancel}
 	c.wait.Go(func() {
-		ticker := time.NewTicker(time.Second / trialRate)
+		ticker := time.NewTicker(time.Second / callerRate)
 		defer ticker.Stop()
 		for number := 0; ; number++ {
 			select {
@@ -108,8 +108,8 @@
 	c.wait.Wait()
 }
 
-// linesOf are the log's lines of events whose names begin so.
-func (f *fleet) linesOf(prefix string) string {
+// logLinesOf are the log's lines of events whose names begin so.
+func (f *fleet) logLinesOf(prefix string) string {
 	var lines []string
 	for line := range strings.Lines(f.log.String()) {
 		if strings.Contains(line, `"msg":"`+prefix) {
@@ -119,8 +119,8 @@
 	return strings.Join(lines, "")
 }
 
-// runsAt counts the requests that have reached servers.
-func runsAt(servers []*emulator.Server) int {
+// countRuns counts the requests that have reached servers.
+func countRuns(servers []*emulator.Server) int {
 	total := 0
 	for _, server := range servers {
 		total += len(server.Runs())
@@ -146,28 +146,28 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			f := trialFleet(t, 4)
+			f := rolloutFleet(t, 4)
 			c := f.startCallers(t)
-			eventually(t, "callers are served", func() bool { return c.sent.Load() > 2*trialRate })
+			eventually(t, "callers are served", func() bool { return c.sent.Load() > 2*callerRate })
 			before := c.sent.Load()
 			servers := f.addVersion(t, newVersion, test.bad)
 			ended := ""
 			exposed, requests := 0, int64(0)
 			_, err := f.platform.Play(t.Context(), emulator.Rollout{
-				Service: "plain", Version: newVersion, Duration: orderTime,
+				Service: "plain", Version: newVersion, Duration: rolloutDuration,
 				Ended: func(state string) {
-					ended, exposed, requests = state, runsAt(servers), c.sent.Load()-before
+					ended, exposed, requests = state, countRuns(servers), c.sent.Load()-before
 				},
 			})
 			t.Logf("%s after %d requests, %d of them at the version, %d failed", ended, requests, exposed, c.failed.Load())
 			is.NoErr(err)
-			t.Log(f.linesOf("rollout_"))
+			t.Log(f.logLinesOf("rollout_"))
 			is.Equal(ended, test.state)
 			if test.state == emulator.StateRolledBack {
 				is.True(float64(exposed) <= 0.1*float64(requests)+10)
 			}
 			c.stop()
-			t.Logf("at the end %d at the version", runsAt(servers))
+			t.Logf("at the end %d at the version", countRuns(servers))
 		})
 	}
 }
--- a/internal/process/start_bench_test.go
+++ b/internal/process/start_bench_test.go
@@ -24,7 +24,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(nowhere{}, settings.Log{Format: "json", Level: "info"}))
+		made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(discard{}, settings.Log{Format: "json", Level: "info"}))
 		is.NoErr(err)
 		page := from.Page(made.feed.Pull())
 		b.StartTimer()
@@ -37,7 +37,7 @@
 }
 
 // nowhere takes log lines as a file would.
-type nowhere struct{}
+type discard struct{}
 
 // Write takes a line.
-func (nowhere) Write(line []byte) (int, error) { return len(line), nil }
+func (discard) Write(line []byte) (int, error) { return len(line), nil }
--- a/internal/process/notices_test.go
+++ b/internal/process/steady_callers_test.go
@@ -17,42 +17,42 @@
 )
 
 const (
-	// usualRetries is a retry slack as deployments have it: resting targets must not use it up.
-	usualRetries = 54
-	// sayingEngines and sayingPlain are how many targets there are of each service.
-	sayingEngines = 10
-	sayingPlain   = 3
-	// sayingEvery is the time between two callers, who come to each gateway in turn.
-	sayingEvery = 7 * time.Millisecond
-	// sayingPrompts is how many prompts the callers have between them.
-	sayingPrompts = 40
+	// usualRetrySlack is a retry slack as deployments have it: resting targets must not use it up.
+	usualRetrySlack = 54
+	// steadyEngines and steadyPlainTargets are how many targets there are of each service.
+	steadyEngines = 10
+	steadyPlainTargets   = 3
+	// steadyInterval is the time between two callers, who come to each gateway in turn.
+	steadyInterval = 7 * time.Millisecond
+	// steadyPrompts is how many prompts the callers have between them.
+	steadyPrompts = 40
 )
 
-// sayingFleet is some gateways before engines and plain targets that work for a moment.
-func sayingFleet(t *testing.T, gateways int) *fleet {
+// steadyFleet is some gateways before engines and plain targets that work for a moment.
+func steadyFleet(t *testing.T, gateways int) *fleet {
 	t.Helper()
 	f := newFleet(t, 0)
-	f.leave, f.retrySlack = 2*time.Second, usualRetries
+	f.leave, f.retrySlack = 2*time.Second, usualRetrySlack
 	for _, server := range append(f.engines, f.plain...) {
 		f.platform.Leave(server)
 	}
 	f.engines, f.plain = nil, nil
-	for i := range sayingEngines {
-		f.engines = append(f.engines, f.sayingServer(t, "engine", fmt.Sprintf("engine-%d", i)))
+	for i := range steadyEngines {
+		f.engines = append(f.engines, f.steadyServer(t, "engine", fmt.Sprintf("engine-%d", i)))
 	}
-	for i := range sayingPlain {
-		f.plain = append(f.plain, f.sayingServer(t, "plain", fmt.Sprintf("plain-%d", i)))
+	for i := range steadyPlainTargets {
+		f.plain = append(f.plain, f.steadyServer(t, "plain", fmt.Sprintf("plain-%d", i)))
 	}
 	var seeds []string
 	for i := range gateways {
-		f.gateways = append(f.gateways, f.gateway(t, gatewayName(i), seeds))
+		f.gateways = append(f.gateways, f.startGateway(t, gatewayName(i), seeds))
 		seeds = append(seeds, f.gateways[i].Addresses().Link)
 	}
 	f.awaitReady(t)
 	return f
 }
 
-func (f *fleet) sayingServer(t *testing.T, service, id string) *emulator.Server {
+func (f *fleet) steadyServer(t *testing.T, service, id string) *emulator.Server {
 	t.Helper()
 	// Long enough that requests overlap, and no target has them all for being the fastest.
 	options := emulator.ServerOptions{ID: id, Work: 60 * time.Millisecond, KeepsID: true}
@@ -66,8 +66,8 @@
 	return server
 }
 
-// gatewayOf is the life of the gateway to which the caller of a request sent it.
-func gatewayOf(request string) string {
+// gatewayInRequestID is the life of the gateway to which the caller of a request sent it.
+func gatewayInRequestID(request string) string {
 	gateway, _, _ := strings.Cut(request, "-")
 	return gateway
 }
@@ -75,29 +75,29 @@
 // steadyCallers send requests of all kinds to each gateway in turn.
 type steadyCallers struct {
 	// engines and plain count those of the engines' and of the plain targets' routes.
-	engines, plain served
+	engines, plain requestCounts
 	cancel         context.CancelFunc
 	wait           sync.WaitGroup
 }
 
 // served counts requests and those that were answered with success.
-type served struct {
-	sent, good atomic.Int64
-	unserved   unserved
+type requestCounts struct {
+	sent, succeeded atomic.Int64
+	failures   failureCounts
 }
 
-func (s *served) note(got answer) {
+func (s *requestCounts) record(got answer) {
 	s.sent.Add(1)
 	if got.err == nil && got.status == http.StatusOK {
-		s.good.Add(1)
+		s.succeeded.Add(1)
 		return
 	}
-	s.unserved.note(got)
+	s.failures.record(got)
 }
 
 // share is the share of them that was served.
-func (s *served) share() float64 {
-	return float64(s.good.Load()) / float64(max(s.sent.Load(), 1))
+func (s *requestCounts) successRate() float64 {
+	return float64(s.succeeded.Load()) / float64(max(s.sent.Load(), 1))
 }
 
 func (f *fleet) startSteadyCallers(t *testing.T) *steadyCallers {
@@ -105,7 +105,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &steadyCallers{cancel: cancel}
 	paths := []string{"/chat/1", "/ask/1", "/chat/2", "/pay/1"}
-	repeat(ctx, &c.wait, sayingEvery, func(number int) {
+	repeat(ctx, &c.wait, steadyInterval, func(number int) {
 		// Another gateway for the same path in the next round.
 		gateway := (number + number/len(paths)) % len(f.gateways)
 		c.ask(f, gateway, paths[number%len(paths)], number)
@@ -115,14 +115,14 @@
 }
 
 func (c *steadyCallers) ask(f *fleet, gateway int, path string, number int) {
-	_, port, _ := net.SplitHostPort(f.callersOf(gateway))
+	_, port, _ := net.SplitHostPort(f.callerAddress(gateway))
 	id := fmt.Sprintf("%s-%d", port, number)
-	got := f.callWithPrompt(gateway, http.MethodPost, path, id, "key-1", fmt.Sprintf("aa:100,p%d:600,%s:10", number%sayingPrompts, id))
+	got := f.callWithPrompt(gateway, http.MethodPost, path, id, "key-1", fmt.Sprintf("aa:100,p%d:600,%s:10", number%steadyPrompts, id))
 	if strings.HasPrefix(path, "/chat") {
-		c.engines.note(got)
+		c.engines.record(got)
 		return
 	}
-	c.plain.note(got)
+	c.plain.record(got)
 }
 
 func (c *steadyCallers) stop() {
@@ -130,30 +130,30 @@
 	c.wait.Wait()
 }
 
-// goOn lets the callers go on for a while.
-func goOn(t *testing.T, length time.Duration) {
+// keepRunning lets the callers go on for a while.
+func keepRunning(t *testing.T, length time.Duration) {
 	t.Helper()
 	until := time.Now().Add(length)
 	eventually(t, "the callers have gone on", func() bool { return time.Now().After(until) })
 }
 
-// checkHeeded checks that no gateway went on as if a target had said nothing.
-func (f *fleet) checkHeeded(t *testing.T, servers ...*emulator.Server) {
+// checkNoticesHeeded checks that no gateway went on as if a target had said nothing.
+func (f *fleet) checkNoticesHeeded(t *testing.T, servers ...*emulator.Server) {
 	t.Helper()
 	said := 0
 	for _, server := range servers {
 		said += len(server.Said())
-		for _, wrong := range server.Disregarded(gatewayOf) {
+		for _, wrong := range server.Disregarded(gatewayInRequestID) {
 			t.Error(wrong)
 		}
 	}
 	is.New(t).True(said > 0) // nothing was said
 }
 
-// logServed says how callers were served. How many are depends on what else the machine does;
+// logSuccessRates says how callers were served. How many are depends on what else the machine does;
 // that all are is checked in virtual time (gateway.TestRestingTargetGetsOneProbe,
 // TestServiceDuringTargetLeave).
-func logServed(t *testing.T, c *steadyCallers) {
+func logSuccessRates(t *testing.T, c *steadyCallers) {
 	t.Helper()
-	t.Logf("served: %.3f of %d at engines, %.3f of %d at plain targets; not served:%s%s", c.engines.share(), c.engines.sent.Load(), c.plain.share(), c.plain.sent.Load(), &c.engines.unserved, &c.plain.unserved)
+	t.Logf("served: %.3f of %d at engines, %.3f of %d at plain targets; not served:%s%s", c.engines.successRate(), c.engines.sent.Load(), c.plain.successRate(), c.plain.sent.Load(), &c.engines.failures, &c.plain.failures)
 }
--- a/internal/process/leaving_test.go
+++ b/internal/process/target_leave_test.go
@@ -22,10 +22,10 @@
 // store had taken the entry, with nine targets open and no wait at each choice before; and by
 // these tests, in which nothing but the answers says it.
 
-// TestTargetsThatLeaveSayItInAnswers: a gateway sends nothing more to a target that has told
+// TestTargetsLeaveByAnswer: a gateway sends nothing more to a target that has told
 // it so, whatever the target's entry says, and whatever else goes on.
-func TestTargetsThatLeaveSayItInAnswers(t *testing.T) {
-	enterAgain := func(t *testing.T, f *fleet, leaving ...*emulator.Server) {
+func TestTargetsLeaveByAnswer(t *testing.T) {
+	registerAgain := func(t *testing.T, f *fleet, leaving ...*emulator.Server) {
 		t.Helper()
 		for _, server := range leaving {
 			service, _, _ := strings.Cut(server.ID(), "-")
@@ -35,100 +35,100 @@
 		}
 	}
 	cases := map[string]struct {
-		trouble func(t *testing.T, f *fleet, leaving ...*emulator.Server)
+		disrupt func(t *testing.T, f *fleet, leaving ...*emulator.Server)
 	}{
 		"entries go on saying that it takes work": {func(t *testing.T, f *fleet, leaving ...*emulator.Server) {
 			for range 5 {
-				goOn(t, 600*time.Millisecond)
-				enterAgain(t, f, leaving...)
+				keepRunning(t, 600*time.Millisecond)
+				registerAgain(t, f, leaving...)
 			}
 		}},
 		"the store is away": {func(t *testing.T, f *fleet, _ ...*emulator.Server) {
 			f.platform.Store.SetFaults(emulator.StoreFaults{Silent: true})
-			goOn(t, 3*time.Second)
+			keepRunning(t, 3*time.Second)
 		}},
 		"a gateway is killed and begins anew": {func(t *testing.T, f *fleet, _ ...*emulator.Server) {
 			f.replaceGateway(t, 1)
-			goOn(t, 3*time.Second)
+			keepRunning(t, 3*time.Second)
 		}},
 		"entries lapse and come back": {func(t *testing.T, f *fleet, leaving ...*emulator.Server) {
 			for _, server := range leaving {
 				f.platform.Leave(server)
 			}
-			goOn(t, 2500*time.Millisecond)
-			enterAgain(t, f, leaving...)
-			goOn(t, 2*time.Second)
+			keepRunning(t, 2500*time.Millisecond)
+			registerAgain(t, f, leaving...)
+			keepRunning(t, 2*time.Second)
 		}},
 		"all entries lapse and come back": {func(t *testing.T, f *fleet, leaving ...*emulator.Server) {
 			for _, server := range append(f.engines, f.plain...) {
 				f.platform.Leave(server)
 			}
-			goOn(t, time.Second)
-			enterAgain(t, f, append(f.engines, f.plain...)...)
-			goOn(t, 2500*time.Millisecond)
+			keepRunning(t, time.Second)
+			registerAgain(t, f, append(f.engines, f.plain...)...)
+			keepRunning(t, 2500*time.Millisecond)
 		}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := sayingFleet(t, 4)
+			f := steadyFleet(t, 4)
 			c := f.startSteadyCallers(t)
-			goOn(t, 500*time.Millisecond)
+			keepRunning(t, 500*time.Millisecond)
 			leaving := []*emulator.Server{f.engines[0], f.engines[1], f.plain[0]}
 			for _, server := range leaving {
 				server.Say(emulator.Says{Leaving: true})
 			}
-			goOn(t, 300*time.Millisecond)
-			test.trouble(t, f, leaving...)
+			keepRunning(t, 300*time.Millisecond)
+			test.disrupt(t, f, leaving...)
 			c.stop()
-			f.checkHeeded(t, leaving...)
-			logServed(t, c)
+			f.checkNoticesHeeded(t, leaving...)
+			logSuccessRates(t, c)
 		})
 	}
 }
 
-// TestAllTargetsOfAServiceLeave: callers are refused at once and truthfully, and served as
+// TestAllTargetsLeave: callers are refused at once and truthfully, and served as
 // soon as a target joins.
-func TestAllTargetsOfAServiceLeave(t *testing.T) {
+func TestAllTargetsLeave(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	f := sayingFleet(t, 4)
+	f := steadyFleet(t, 4)
 	c := f.startSteadyCallers(t)
-	goOn(t, 300*time.Millisecond)
+	keepRunning(t, 300*time.Millisecond)
 	for _, server := range f.plain {
 		server.Say(emulator.Says{Leaving: true})
 	}
-	goOn(t, 2500*time.Millisecond)
-	began := time.Now()
+	keepRunning(t, 2500*time.Millisecond)
+	start := time.Now()
 	refused := f.callWithBody(0, "/pay/1", "0-refused", "body")
 	is.Equal(refused.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(refused.body, `"run_state":"not_run"`))
 	is.True(refused.header.Get("Retry-After") != "")
-	is.True(time.Since(began) < time.Second) // not at the end of its time
-	joined := f.sayingServer(t, "plain", "plain-joined")
+	is.True(time.Since(start) < time.Second) // not at the end of its time
+	joined := f.steadyServer(t, "plain", "plain-joined")
 	eventually(t, "the target that joined serves", func() bool {
 		return f.callWithBody(0, "/pay/1", "0-served", "body").status == http.StatusOK
 	})
-	goOn(t, 300*time.Millisecond)
+	keepRunning(t, 300*time.Millisecond)
 	c.stop()
 	is.True(len(joined.Runs()) > 1)
-	f.checkHeeded(t, f.plain...)
-	logServed(t, c)
+	f.checkNoticesHeeded(t, f.plain...)
+	logSuccessRates(t, c)
 }
 
-// TestATargetThatLeftBeginsAgain: its next life gets requests, though the one before had said
+// TestTargetRestartAfterLeave: its next life gets requests, though the one before had said
 // that it leaves.
-func TestATargetThatLeftBeginsAgain(t *testing.T) {
+func TestTargetRestartAfterLeave(t *testing.T) {
 	t.Parallel()
-	f := sayingFleet(t, 2)
+	f := steadyFleet(t, 2)
 	c := f.startSteadyCallers(t)
-	goOn(t, 300*time.Millisecond)
+	keepRunning(t, 300*time.Millisecond)
 	left := f.plain[0]
 	left.Say(emulator.Says{Leaving: true})
-	goOn(t, 2500*time.Millisecond)
-	next, err := f.platform.BeginAgain(left)
+	keepRunning(t, 2500*time.Millisecond)
+	restarted, err := f.platform.BeginAgain(left)
 	is.New(t).NoErr(err)
-	eventually(t, "the next life gets requests", func() bool { return len(next.Runs()) > 0 })
+	eventually(t, "the next life gets requests", func() bool { return len(restarted.Runs()) > 0 })
 	c.stop()
-	f.checkHeeded(t, left)
+	f.checkNoticesHeeded(t, left)
 }
