--- a/internal/process/exec.go
+++ b/internal/process/exec.go
@@ -151,7 +151,7 @@
 func (o *operators) laggingRouters(ctx context.Context, executed *ExecResult) []string {
 	var mu sync.Mutex
 	var missing []string
-	var pending sync.WaitGroup
+	var requests sync.WaitGroup
 	executed.Routers = 0
 	for _, peer := range o.node.Members.Peers() {
 		if peer.Role != member.RoleRouter || !peer.Alive() {
@@ -161,7 +161,7 @@
 		if peer.ID == o.settings.ID {
 			continue
 		}
-		pending.Go(func() {
+		requests.Go(func() {
 			delta, err := o.node.Pull(ctx, peer.LinkAddress, executed.Revision)
 			if err == nil && delta.GetTo() >= executed.Revision {
 				return
@@ -171,7 +171,7 @@
 			missing = append(missing, peer.ID)
 		})
 	}
-	pending.Wait()
+	requests.Wait()
 	slices.SortFunc(missing, strings.Compare)
 	executed.InForce = executed.Routers - len(missing)
 	return missing
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -115,12 +115,12 @@
 // checkLag reports whether this process should accept no new callers because it lacks processor
 // time and a peer does not. While so, answers ask callers to use another connection.
 func (p *GatewayProcess) checkLag() bool {
-	late, othersInTime := p.lag.Late(), p.peersOnTime()
+	late, peerOnTime := p.lag.Late(), p.peersOnTime()
 	if p.loggedLate.Swap(late) != late {
-		p.observer.Lateness(late, othersInTime, p.lag.Lag())
+		p.observer.Lateness(late, peerOnTime, p.lag.Lag())
 	}
-	p.front.MoveConnections(late && othersInTime)
-	return late && othersInTime
+	p.front.MoveConnections(late && peerOnTime)
+	return late && peerOnTime
 }
 
 // staleAfter is the age of the proof at which a gateway asks the store itself, early enough that
@@ -180,11 +180,11 @@
 
 // shouldYield reports whether a starting process leaves it to others to read the whole store
 // first. A process on a small host may still discover one on a larger host.
-func shouldYield(b startupState) bool {
-	if b.discovering && (b.noPeers || !b.quickHost) {
+func shouldYield(state startupState) bool {
+	if state.discovering && (state.noPeers || !state.quickHost) {
 		return true
 	}
-	return !b.noPeers && !b.firstInOrder
+	return !state.noPeers && !state.firstInOrder
 }
 
 // hostClass returns the peer class of a host, by its share of processor cores and its link.
--- a/internal/process/gateway_quarantine_http_test.go
+++ b/internal/process/gateway_quarantine_http_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestQuarantineHandler(t *testing.T) {
-	held := quarantine.Fingerprint(0xaa)
+	fingerprint := quarantine.Fingerprint(0xaa)
 	cases := map[string]struct {
 		method, query string
 		held          bool
@@ -40,7 +40,7 @@
 			is := is.New(t)
 			table := quarantine.New()
 			if tc.held {
-				table.Merge(quarantine.Record{Fingerprint: held, Instances: []quarantine.Instance{1, 2, 3}}, clock.Now())
+				table.Merge(quarantine.Record{Fingerprint: fingerprint, Instances: []quarantine.Instance{1, 2, 3}}, clock.Now())
 			}
 			observer := observe.New(NewLogger(discard{}, settings.Log{}), observe.NewMetrics(prometheus.NewRegistry()))
 			crashes := gateway.NewCrashes(table, balance.New(balance.DefaultOptions()), nil, observer)
@@ -48,7 +48,7 @@
 			quarantineHandler(crashes).ServeHTTP(out, httptest.NewRequest(tc.method, PathQuarantine+tc.query, nil))
 			is.Equal(out.Code, tc.status)
 			is.True(strings.Contains(out.Body.String(), tc.body))
-			is.Equal(table.Held(held, clock.Now()), tc.stillHeld)
+			is.Equal(table.Held(fingerprint, clock.Now()), tc.stillHeld)
 		})
 	}
 }
--- a/internal/process/gateway_start_test.go
+++ b/internal/process/gateway_start_test.go
@@ -21,8 +21,8 @@
 		return balance.Target{ID: id, Service: "s", Address: "10.0.0.1:80"}
 	}
 	cases := map[string]struct {
-		listed []string
-		chosen bool // whether a target that is not listed may get work
+		registered []string
+		chosen     bool // whether a target that is not listed may get work
 	}{
 		"complete list":       {[]string{"a", "b", "c"}, false},
 		"most entries lapsed": {[]string{"a"}, true},
@@ -39,12 +39,12 @@
 			balancer := p.gateway.Balancer
 			s.Checkpoint(data)
 			is.Equal(len(balancer.Targets()), 0) // no requests may be sent yet
-			for _, id := range tc.listed {
+			for _, id := range tc.registered {
 				s.Target(targetOf(id))
 			}
-			is.Equal(len(balancer.Targets()), len(tc.listed))
+			is.Equal(len(balancer.Targets()), len(tc.registered))
 			s.Begun()
-			exclude := tc.listed
+			exclude := tc.registered
 			_, ok := balancer.Choose(balance.Query{Service: "s", Exclude: exclude}, s.process.started)
 			is.Equal(ok, tc.chosen)
 			before := len(balancer.Targets())
@@ -120,18 +120,18 @@
 	readOffset := func(patience time.Duration) time.Duration {
 		return time.Duration(float64(patience) * peer.StoreOrder("g"))
 	}
-	others := []string{"10.0.0.9:1"}
+	seeds := []string{"10.0.0.9:1"}
 	cases := map[string]struct {
 		host  settings.Host
 		seeds []string
 		age   time.Duration
 		role  platform.Role
 	}{
-		"small host before its offset":          {small, others, readOffset(smallReadWindow) / 4, platform.Follows},
-		"small host after its offset, no peers": {small, others, readOffset(smallReadWindow), platform.AsksFirst},
-		"large host before its offset":          {large, others, 0, platform.Follows},
-		"large host after its shorter offset":   {large, others, readOffset(quickReadWindow), platform.AsksFirst},
-		"unknown host resources":                {settings.Host{}, others, 0, platform.AsksFirst},
+		"small host before its offset":          {small, seeds, readOffset(smallReadWindow) / 4, platform.Follows},
+		"small host after its offset, no peers": {small, seeds, readOffset(smallReadWindow), platform.AsksFirst},
+		"large host before its offset":          {large, seeds, 0, platform.Follows},
+		"large host after its shorter offset":   {large, seeds, readOffset(quickReadWindow), platform.AsksFirst},
+		"unknown host resources":                {settings.Host{}, seeds, 0, platform.AsksFirst},
 		"small host without seeds":              {small, nil, 0, platform.AsksFirst},
 	}
 	for name, tc := range cases {
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -230,8 +230,8 @@
 	is.Equal(chat.body, fullStream(6))
 	var run emulator.Run
 	for _, server := range f.plain {
-		for _, got := range server.Runs() {
-			run = got
+		for _, last := range server.Runs() {
+			run = last
 		}
 	}
 	is.Equal(run.Header.Get("X-Tenant"), "clinic")
--- a/internal/process/quarantine_test.go
+++ b/internal/process/quarantine_test.go
@@ -344,7 +344,7 @@
 // TestFatalRequestsDuringOutages checks that each fatal request is held back after its third
 // crash during outages, and if several arrive or there are many gateways.
 func TestFatalRequestsDuringOutages(t *testing.T) {
-	nothing := func(*testing.T, *fleet) {}
+	noDisruption := func(*testing.T, *fleet) {}
 	cases := map[string]struct {
 		fatals, gateways int
 		// disrupt runs while the requests are sent.
@@ -364,9 +364,9 @@
 				f.replaceGateway(t, number)
 			}
 		}},
-		"several requests":                {4, 4, nothing},
-		"many gateways":                   {1, 11, nothing},
-		"several requests, many gateways": {3, 11, nothing},
+		"several requests":                {4, 4, noDisruption},
+		"many gateways":                   {1, 11, noDisruption},
+		"several requests, many gateways": {3, 11, noDisruption},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -427,11 +427,11 @@
 	f.awaitStopped(t, "plain", 0)
 	c.stop()
 	eventually(t, "the store has the held request", func() bool {
-		kept, ok := f.platform.Store.Get("capersaddle/placements")
+		item, ok := f.platform.Store.Get("capersaddle/placements")
 		if !ok {
 			return false
 		}
-		content, err := checkpoint.Decode(kept.Value)
+		content, err := checkpoint.Decode(item.Value)
 		return err == nil && len(content.HeldBack) == 1
 	})
 	for _, gateway := range f.gateways {
@@ -459,18 +459,18 @@
 	url := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
 	response, err := http.Get(url)
 	is.NoErr(err)
-	var listed []process.HeldRequest
-	is.NoErr(json.NewDecoder(response.Body).Decode(&listed))
+	var held []process.HeldRequest
+	is.NoErr(json.NewDecoder(response.Body).Decode(&held))
 	is.NoErr(response.Body.Close())
-	is.Equal(len(listed), 1)
-	is.True(listed[0].Crashes >= crashLimit)
+	is.Equal(len(held), 1)
+	is.True(held[0].Crashes >= crashLimit)
 	is.Equal(f.callWithBody(1, "/ask/1", "held", fatalRequestBody(0)).status, http.StatusBadRequest)
-	request, err := http.NewRequest(http.MethodDelete, url+"?"+process.QueryQuarantine+"="+listed[0].Fingerprint, nil)
+	request, err := http.NewRequest(http.MethodDelete, url+"?"+process.QueryQuarantine+"="+held[0].Fingerprint, nil)
 	is.NoErr(err)
-	lifted, err := http.DefaultClient.Do(request)
+	deleted, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
-	is.NoErr(lifted.Body.Close())
-	is.Equal(lifted.StatusCode, http.StatusNoContent)
+	is.NoErr(deleted.Body.Close())
+	is.Equal(deleted.StatusCode, http.StatusNoContent)
 	eventually(t, "the other gateway sends the request", func() bool {
 		return f.callWithBody(1, "/ask/1", "lifted", fatalRequestBody(0)).status == http.StatusOK
 	})
--- a/internal/process/query.go
+++ b/internal/process/query.go
@@ -76,8 +76,8 @@
 	readTable, ok := sources[name]
 	if !ok {
 		names := make([]string, 0, len(sources))
-		for known := range sources {
-			names = append(names, known)
+		for source := range sources {
+			names = append(names, source)
 		}
 		slices.Sort(names)
 		return oplang.Table{}, fault.New(fault.BadRequest, fault.NotRun, "unknown query source %q; available sources: %s", name, strings.Join(names, ", "))
--- a/internal/process/reference_test.go
+++ b/internal/process/reference_test.go
@@ -202,9 +202,9 @@
 	s.TLS = settings.TLS{CA: own.CA, Cert: own.Cert, Key: own.Key, Operators: true}
 	p := startProcess(t, s)
 	tests := map[string]struct {
-		role  string
-		path  string
-		wants int
+		role   string
+		path   string
+		status int
 	}{
 		"reader may query":            {secure.RoleRead, "/query", http.StatusOK},
 		"reader may not execute":      {secure.RoleRead, "/exec", http.StatusForbidden},
@@ -230,7 +230,7 @@
 				status = response.StatusCode
 				_ = response.Body.Close()
 			}
-			is.Equal(status, tt.wants)
+			is.Equal(status, tt.status)
 		})
 	}
 }
--- a/internal/process/rest_test.go
+++ b/internal/process/rest_test.go
@@ -40,15 +40,15 @@
 // rejected a request until its rest is over, serves its callers elsewhere, and then gives the
 // target its share again.
 func TestTargetsThatAskForRestGetIt(t *testing.T) {
-	nothing := func(*testing.T, *fleet) {}
+	noDisruption := func(*testing.T, *fleet) {}
 	cases := map[string]struct {
 		retryAfter string
 		share      float64
 		disrupt    func(t *testing.T, f *fleet)
 	}{
-		"they turn all away":        {"3", 1, nothing},
-		"they turn half of it away": {"2.5", 0.5, nothing},
-		"for less than a second":    {"0.8", 1, nothing},
+		"they turn all away":        {"3", 1, noDisruption},
+		"they turn half of it away": {"2.5", 0.5, noDisruption},
+		"for less than a second":    {"0.8", 1, noDisruption},
 		"the store is away": {"3", 1, func(_ *testing.T, f *fleet) {
 			f.platform.Store.SetFaults(emulator.StoreFaults{Silent: true})
 		}},
--- a/internal/process/rollouts_decider_test.go
+++ b/internal/process/rollouts_decider_test.go
@@ -39,15 +39,15 @@
 // rolloutLogLines returns the log lines about rollouts so far.
 func (f *fleet) rolloutLogLines(t *testing.T) []rolloutLogLine {
 	t.Helper()
-	var found []rolloutLogLine
+	var lines []rolloutLogLine
 	for line := range strings.Lines(f.logLinesOf(observe.RolloutEvents)) {
-		var read rolloutLogLine
-		if err := json.Unmarshal([]byte(line), &read); err != nil {
+		var parsed rolloutLogLine
+		if err := json.Unmarshal([]byte(line), &parsed); err != nil {
 			t.Fatal(err)
 		}
-		found = append(found, read)
+		lines = append(lines, parsed)
 	}
-	return found
+	return lines
 }
 
 // hasRecordedEnd reports whether the line shows that a process knows the end of the rollout from
@@ -133,10 +133,10 @@
 // orderedRollout is a rollout in progress on a fleet of gateways.
 type orderedRollout struct {
 	*fleet
-	callers     *callers
-	old, new    []*emulator.Server
-	finalStates *finalStates
-	orderedAt   time.Time
+	callers                *callers
+	oldServers, newServers []*emulator.Server
+	finalStates            *finalStates
+	orderedAt              time.Time
 }
 
 // startOrderedRollout starts a fleet and its callers and orders a new version.
@@ -148,11 +148,11 @@
 			t.Log(f.logLinesOf(observe.RolloutEvents), f.logLinesOf(observe.EventLate), f.logLinesOf(observe.EventPeerLost))
 		}
 	})
-	o := &orderedRollout{fleet: f, finalStates: new(finalStates), old: f.versionServers}
+	o := &orderedRollout{fleet: f, finalStates: new(finalStates), oldServers: f.versionServers}
 	f.platform.Store.Observe(o.finalStates.observe)
 	o.callers = f.startCallers(t)
 	eventually(t, "callers are served", func() bool { return o.callers.sent.Load() > callerRate })
-	o.new = f.addVersion(t, newVersion, bad)
+	o.newServers = f.addVersion(t, newVersion, bad)
 	o.orderedAt = time.Now()
 	if _, err := f.platform.Order("plain", newVersion, rolloutDuration); err != nil {
 		t.Fatal(err)
@@ -180,12 +180,12 @@
 	is := is.New(t)
 	states, at := o.finalStates.get()
 	is.Equal(len(states), 1)
-	exposed := countRunsBetween(o.new, o.orderedAt, at)
-	requests := exposed + countRunsBetween(o.old, o.orderedAt, at)
-	late := countRunsBetween(o.new, at.Add(fleetRollback), time.Now())
-	t.Logf("%s %v after the order: %d of %d requests at the new version, %d after the rollback limit", states[0], at.Sub(o.orderedAt), exposed, requests, late)
+	exposed := countRunsBetween(o.newServers, o.orderedAt, at)
+	requests := exposed + countRunsBetween(o.oldServers, o.orderedAt, at)
+	lateRuns := countRunsBetween(o.newServers, at.Add(fleetRollback), time.Now())
+	t.Logf("%s %v after the order: %d of %d requests at the new version, %d after the rollback limit", states[0], at.Sub(o.orderedAt), exposed, requests, lateRuns)
 	is.True(float64(exposed) <= fleetShare*float64(requests)+fleetSlack+maxInFlight)
-	is.True(states[0] == emulator.StateCompleted || late == 0)
+	is.True(states[0] == emulator.StateCompleted || lateRuns == 0)
 }
 
 // TestRolloutSurvivesDeciderLoss closes the gateway that decides and checks that another one
@@ -210,8 +210,8 @@
 			decider := o.awaitStage(t, test.stage)
 			o.closeGateway(t, decider)
 			eventually(t, "all other gateways have recorded the end", func() bool {
-				others := o.processesWith(t, func(line rolloutLogLine) bool { return line.hasRecordedEnd() && line.Process != decider })
-				return len(others) == rolloutGateways-1
+				finished := o.processesWith(t, func(line rolloutLogLine) bool { return line.hasRecordedEnd() && line.Process != decider })
+				return len(finished) == rolloutGateways-1
 			})
 			o.callers.stop()
 			t.Logf("%s decided\n%s", decider, o.logLinesOf(observe.RolloutEvents))
--- a/internal/process/rollouts_loss_test.go
+++ b/internal/process/rollouts_loss_test.go
@@ -38,8 +38,8 @@
 				o.closeGateway(t, lost)
 			}
 			eventually(t, "all other gateways have recorded the end", func() bool {
-				others := o.processesWith(t, func(line rolloutLogLine) bool { return line.hasRecordedEnd() && line.Process != lost })
-				return len(others) == rolloutGateways-1
+				finished := o.processesWith(t, func(line rolloutLogLine) bool { return line.hasRecordedEnd() && line.Process != lost })
+				return len(finished) == rolloutGateways-1
 			})
 			o.callers.stop()
 			t.Logf("%s decided, %s was lost\n%s", decider, lost, o.logLinesOf(observe.RolloutEvents))
--- a/internal/process/start_bench_test.go
+++ b/internal/process/start_bench_test.go
@@ -24,14 +24,14 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(discard{}, settings.Log{Format: "json", Level: "info"}))
+		p, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(discard{}, settings.Log{Format: "json", Level: "info"}))
 		is.NoErr(err)
-		page := from.Page(made.feed.Pull())
+		page := from.Page(p.feed.Pull())
 		b.StartTimer()
-		is.NoErr(made.feed.Absorb(page))
+		is.NoErr(p.feed.Absorb(page))
 		b.StopTimer()
-		is.Equal(len(made.gateway.Balancer.Targets()), targets)
-		is.NoErr(made.kernel.Close())
+		is.Equal(len(p.gateway.Balancer.Targets()), targets)
+		is.NoErr(p.kernel.Close())
 		b.StartTimer()
 	}
 }
--- a/internal/process/steady_callers_test.go
+++ b/internal/process/steady_callers_test.go
@@ -142,14 +142,14 @@
 // checkNoticesHeeded checks that no gateway disregarded the notices of the servers.
 func (f *fleet) checkNoticesHeeded(t *testing.T, servers ...*emulator.Server) {
 	t.Helper()
-	said := 0
+	notices := 0
 	for _, server := range servers {
-		said += len(server.Said())
-		for _, wrong := range server.Disregarded(gatewayInRequestID) {
-			t.Error(wrong)
+		notices += len(server.Said())
+		for _, violation := range server.Disregarded(gatewayInRequestID) {
+			t.Error(violation)
 		}
 	}
-	is.New(t).True(said > 0) // fails if the servers sent no notice
+	is.New(t).True(notices > 0) // fails if the servers sent no notice
 }
 
 // logSuccessRates logs the success rates. They depend on the load of the machine, so they are not
