--- a/internal/process/budget_test.go
+++ b/internal/process/options_test.go
@@ -17,42 +17,42 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// TestTheSlackIsSharedByAllGateways: found as BUDGET on vmt-grid-grown
-// scale-1, where thirty gateways each took an eighth of the slack.
-func TestTheSlackIsSharedByAllGateways(t *testing.T) {
+// TestRetrySlackSharedByGateways guards against a fixed share of the retry slack: thirty gateways
+// that each took an eighth of it broke the retry budget together.
+func TestRetrySlackSharedByGateways(t *testing.T) {
 	cases := map[string]struct {
-		peers   int
-		running time.Duration
+		peers  int
+		uptime time.Duration
 	}{
-		"alone and new":      {0, 0},
-		"four":               {3, time.Minute},
-		"thirty":             {29, time.Minute},
-		"thirty and new":     {29, 0},
-		"three hundred":      {299, time.Minute},
-		"thirty, then alone": {29, time.Minute},
+		"alone and new":          {0, 0},
+		"four":                   {3, time.Minute},
+		"thirty":                 {29, time.Minute},
+		"thirty and new":         {29, 0},
+		"three hundred":          {299, time.Minute},
+		"thirty, then none live": {29, time.Minute},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &settings.Gateway{Retry: settings.RetryBudget{Ratio: 0.2, Slack: 100, Window: settings.Duration(10 * time.Second)}}
-			p := &GatewayProcess{settings: s, started: time.Now().Add(-tc.running)}
+			p := &GatewayProcess{settings: s, started: time.Now().Add(-tc.uptime)}
 			p.gateway = &gateway.Gateway{Balancer: balance.New(balance.DefaultOptions()), Budgets: retrybudget.New(retryOptions(s))}
-			p.countPeers(peer.Census{Live: tc.peers, Known: tc.peers})
-			if name == "thirty, then alone" {
-				p.countPeers(peer.Census{}) // cut off, the others go on spending
+			p.applyCensus(peer.Census{Live: tc.peers, Known: tc.peers})
+			if name == "thirty, then none live" {
+				p.applyCensus(peer.Census{}) // partitioned, but the others keep spending
 			}
 			spent := 0
 			for p.gateway.Budgets.Spend("s", time.Now()) {
 				spent++
 			}
-			is.True(spent*(tc.peers+1) <= 100) // all together stay inside the slack
+			is.True(spent*(tc.peers+1) <= 100) // the total stays within the slack
 		})
 	}
 }
 
-// TestNotReadyWithoutAProof: found by .ci/run, where a request with a key came
-// between the reading of the configuration and the noting of its proof.
-func TestNotReadyWithoutAProof(t *testing.T) {
+// TestNotReadyWithoutProof guards against serving a request with a key between loading the
+// configuration and recording its freshness proof.
+func TestNotReadyWithoutProof(t *testing.T) {
 	is := is.New(t)
 	s := &settings.Gateway{Role: "gateway", ID: "g", DataCenter: "dc", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}
 	p, err := NewGateway(s, log.New(io.Discard))
@@ -64,16 +64,16 @@
 	is.True(p.Ready())
 }
 
-// TestTheWordOfALeavingTargetIsUrgent: found as DRAIN on hunt-f5dd-7 of
-// vmt-grid-grown: the removal of a target's entry waited its turn among loads
-// for up to 2 s, and a target may get new work for 3 s only.
-func TestTheWordOfALeavingTargetIsUrgent(t *testing.T) {
+// TestTargetLeaveNotifiesPeers guards against a delayed notice of a target's leave: the removal
+// of its entry used to be queued behind load reports for up to 2 s, while a leaving target may
+// get new work for 3 s only.
+func TestTargetLeaveNotifiesPeers(t *testing.T) {
 	ready := balance.Target{ID: "t", Service: "s", Address: "a"}
 	leaving := ready
 	leaving.Leaving = true
 	cases := map[string]struct {
-		tell func(s *sink)
-		want int
+		change func(s *sink)
+		want   int
 	}{
 		"added":          {func(s *sink) { s.Target(balance.Target{ID: "u", Service: "s"}) }, 0},
 		"leaving":        {func(s *sink) { s.Target(leaving) }, 1},
@@ -87,18 +87,18 @@
 			p, err := NewGateway(settings, log.New(io.Discard))
 			is := is.New(t)
 			is.NoErr(err)
-			urged := 0
-			taker := &sink{process: p, urge: func() { urged++ }}
-			taker.Target(ready)
-			tc.tell(taker)
-			is.Equal(urged, tc.want)
+			notified := 0
+			s := &sink{process: p, notifyPeers: func() { notified++ }}
+			s.Target(ready)
+			tc.change(s)
+			is.Equal(notified, tc.want)
 		})
 	}
 }
 
-// TestTheDeploymentsBoundsHold: bounds of other deployments than those at
-// hand; the load bound used to be read and not used.
-func TestTheDeploymentsBoundsHold(t *testing.T) {
+// TestOptionsFollowDeploymentBounds checks the options derived from the bounds of different
+// deployments. It guards against bounds that are read but not used, as the load bound once was.
+func TestOptionsFollowDeploymentBounds(t *testing.T) {
 	cases := map[string]struct {
 		load                   settings.LoadBound
 		apply, leave, evacuate time.Duration
@@ -125,10 +125,11 @@
 	}
 }
 
-// TestTimeIsLeftForWhatIsInFlight: also where the grace time is short.
-func TestTimeIsLeftForWhatIsInFlight(t *testing.T) {
+// TestGatewayUnreadyDelay checks that time is left for requests in flight, even if the grace
+// period is short.
+func TestGatewayUnreadyDelay(t *testing.T) {
 	is := is.New(t)
-	is.Equal(unreadyOf(8*time.Second), unreadyFor)
-	is.Equal(unreadyOf(20*time.Second), unreadyFor)
-	is.Equal(unreadyOf(3*time.Second), 1200*time.Millisecond)
+	is.Equal(gatewayUnreadyDelay(8*time.Second), unreadyDelay)
+	is.Equal(gatewayUnreadyDelay(20*time.Second), unreadyDelay)
+	is.Equal(gatewayUnreadyDelay(3*time.Second), 1200*time.Millisecond)
 }
--- a/internal/process/reference_test.go
+++ b/internal/process/reference_test.go
@@ -24,7 +24,7 @@
 	"github.com/capersaddle/capersaddle/internal/settings"
 )
 
-// fieldNames lists the JSON names of all settings, those inside with dots.
+// fieldNames lists the JSON names of all settings; names of nested fields are joined with dots.
 func fieldNames(t reflect.Type, prefix string) []string {
 	var names []string
 	for i := range t.NumField() {
@@ -43,8 +43,8 @@
 	return names
 }
 
-// documented lists the names in the first column of a page's tables.
-func documented(t *testing.T, page string) []string {
+// documentedNames lists the names in the first column of a page's tables.
+func documentedNames(t *testing.T, page string) []string {
 	text, err := os.ReadFile("../../docs/" + page)
 	is.New(t).NoErr(err)
 	var names []string
@@ -55,8 +55,8 @@
 	return names
 }
 
-func same(t *testing.T, page string, inCode []string) {
-	inPage := documented(t, page)
+func comparePage(t *testing.T, page string, inCode []string) {
+	inPage := documentedNames(t, page)
 	for _, name := range inCode {
 		if !slices.Contains(inPage, name) {
 			t.Errorf("docs/%s does not name %s", page, name)
@@ -70,14 +70,14 @@
 }
 
 func TestSettingsPageIsComplete(t *testing.T) {
-	same(t, "SETTINGS.md", fieldNames(reflect.TypeFor[settings.Settings](), ""))
+	comparePage(t, "SETTINGS.md", fieldNames(reflect.TypeFor[settings.Settings](), ""))
 }
 
 func TestGatewaySettingsPageIsComplete(t *testing.T) {
-	same(t, "GATEWAY.md", fieldNames(reflect.TypeFor[settings.Gateway](), ""))
+	comparePage(t, "GATEWAY.md", fieldNames(reflect.TypeFor[settings.Gateway](), ""))
 }
 
-// TestLogsPageIsComplete holds the closed list of events against the page.
+// TestLogsPageIsComplete checks that the page names each event of the closed list.
 func TestLogsPageIsComplete(t *testing.T) {
 	text, err := os.ReadFile("../../docs/LOGS.md")
 	is.New(t).NoErr(err)
@@ -88,9 +88,8 @@
 	}
 }
 
-// TestTheRequestLineHasItsFields fails if the line of a request lacks a field
-// that the page names.
-func TestTheRequestLineHasItsFields(t *testing.T) {
+// TestRequestLogFields fails if the log line of a request lacks a field that the page names.
+func TestRequestLogFields(t *testing.T) {
 	var out strings.Builder
 	observer := observe.New(NewLogger(&out, settings.Log{Format: "json"}), observe.NewMetrics(prometheus.NewRegistry()))
 	observer.Request(&gateway.RequestRecord{ID: "r", Ending: gateway.EndingAnswered, Attempts: []gateway.AttemptRecord{{Target: "t", Outcome: "answered", Ejected: true}}})
@@ -100,7 +99,7 @@
 	is.New(t).NoErr(json.Unmarshal([]byte(lines[1]), &fields))
 	for _, name := range []string{"time", "level", "msg", "id", "ending", "status", "route", "kind", "workspace", "service", "session", "print", "config", "proof_ms", "first_ms", "took_ms", "attempts"} {
 		if _, ok := fields[name]; !ok {
-			t.Errorf("the line of a request lacks %s", name)
+			t.Errorf("the log line of a request lacks %s", name)
 		}
 	}
 }
@@ -113,7 +112,7 @@
 	observe.RegisterRollouts(registry, func() []rollout.Status {
 		return []rollout.Status{{Service: "s", Version: "v2", State: rollout.Running}}
 	})
-	// A series shows only once it has been used.
+	// A series is exported only once it has been used.
 	observer := observe.New(log.New(io.Discard), metrics)
 	observer.Request(&gateway.RequestRecord{TimeToHead: 1, HolderLookup: balance.Answered, Attempts: []gateway.AttemptRecord{{Source: balance.SourceHeld, Version: "v2"}}})
 	observer.Notice(&gateway.NoticeRecord{News: balance.NoticeChange{Leaving: true}})
@@ -125,7 +124,7 @@
 	for _, family := range families {
 		inCode = append(inCode, family.GetName())
 	}
-	same(t, "METRICS-GATEWAY.md", inCode)
+	comparePage(t, "METRICS-GATEWAY.md", inCode)
 }
 
 func testSettings(role string) *settings.Settings {
@@ -154,7 +153,7 @@
 	for _, role := range []string{"router", "agent"} {
 		p := startProcess(t, testSettings(role))
 		if r, ok := p.(*routerProcess); ok {
-			// A series shows only once it has been used.
+			// A series is exported only once it has been used.
 			m := r.metrics
 			m.Request("w", "urgent", "overloaded", 1)
 			m.First("w", "urgent", 1)
@@ -169,10 +168,10 @@
 		}
 	}
 	slices.Sort(inCode)
-	same(t, "METRICS.md", slices.Compact(inCode))
+	comparePage(t, "METRICS.md", slices.Compact(inCode))
 }
 
-// The operators' key is needed where the settings name one.
+// TestOperatorsKey checks that the operators' key is required if the settings name one.
 func TestOperatorsKey(t *testing.T) {
 	is := is.New(t)
 	s := testSettings("router")
@@ -192,8 +191,8 @@
 	is.Equal(status(""), http.StatusUnauthorized)
 }
 
-// With TLS on the operators' address, what a caller may do is in its
-// certificate.
+// TestOperatorsRoles checks that, with TLS on the operators' address, the certificate determines
+// what a caller may do.
 func TestOperatorsRoles(t *testing.T) {
 	authority, err := secure.NewAuthority()
 	is.New(t).NoErr(err)
@@ -203,16 +202,16 @@
 	s.TLS = settings.TLS{CA: own.CA, Cert: own.Cert, Key: own.Key, Operators: true}
 	p := startProcess(t, s)
 	tests := map[string]struct {
-		role  string
-		path  string
-		wants int
+		role   string
+		path   string
+		status int
 	}{
-		"a reader may ask":                     {secure.RoleRead, "/query", http.StatusOK},
-		"a reader may not change":              {secure.RoleRead, "/exec", http.StatusForbidden},
-		"an operator may change":               {secure.RoleOperate, "/exec", http.StatusServiceUnavailable},
-		"an operator may not republish":        {secure.RoleOperate, "/republish", http.StatusForbidden},
-		"an administrator may republish":       {secure.RoleAdminister, "/republish", http.StatusServiceUnavailable},
-		"another process is not let in at all": {secure.RoleAgent, "/query", 0},
+		"reader may query":            {secure.RoleRead, "/query", http.StatusOK},
+		"reader may not execute":      {secure.RoleRead, "/exec", http.StatusForbidden},
+		"operator may execute":        {secure.RoleOperate, "/exec", http.StatusServiceUnavailable},
+		"operator may not republish":  {secure.RoleOperate, "/republish", http.StatusForbidden},
+		"administrator may republish": {secure.RoleAdminister, "/republish", http.StatusServiceUnavailable},
+		"other process is rejected":   {secure.RoleAgent, "/query", 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -231,13 +230,14 @@
 				status = response.StatusCode
 				_ = response.Body.Close()
 			}
-			is.Equal(status, tt.wants)
+			is.Equal(status, tt.status)
 		})
 	}
 }
 
-// While the store is away, queries are answered and changes plainly refused.
-func TestOperatorsWithoutTheStore(t *testing.T) {
+// TestOperatorsWithoutStore checks that queries are answered and changes refused while the store
+// is down.
+func TestOperatorsWithoutStore(t *testing.T) {
 	is := is.New(t)
 	p := startProcess(t, testSettings("router"))
 	post := func(path string, body any) (int, string) {
@@ -248,10 +248,10 @@
 		_ = response.Body.Close()
 		return response.StatusCode, string(text)
 	}
-	status, text := post("/query", Text{Text: "routers"})
+	status, text := post("/query", QueryRequest{Text: "routers"})
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(text, "router-0"))
-	status, text = post("/query", Text{Text: "history"})
+	status, text = post("/query", QueryRequest{Text: "history"})
 	is.Equal(status, http.StatusOK)
 	is.True(strings.Contains(text, "missing"))
 	status, text = post("/exec", Script{ID: "a", Text: "create model m"})
--- a/internal/process/start_bench_test.go
+++ b/internal/process/start_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/capersaddle/capersaddle/internal/settings"
 )
 
-// BenchmarkFirstCopy takes another gateway's whole copy of 3,000 targets.
+// BenchmarkFirstCopy measures loading another gateway's complete copy of 3,000 targets.
 func BenchmarkFirstCopy(b *testing.B) {
 	is := is.New(b)
 	const targets = 3000
@@ -24,20 +24,21 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		made, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(nowhere{}, settings.Log{Format: "json", Level: "info"}))
+		p, err := NewGateway(&settings.Gateway{ID: "g", DataCenter: "z", Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Store: "127.0.0.1:1"}, NewLogger(discard{}, settings.Log{Format: "json", Level: "info"}))
 		is.NoErr(err)
-		page := from.Page(made.feed.Pull())
+		page := from.Page(p.feed.Pull())
 		b.StartTimer()
-		is.NoErr(made.feed.Absorb(page))
+		is.NoErr(p.feed.Absorb(page))
 		b.StopTimer()
-		is.Equal(len(made.gateway.Balancer.Targets()), targets)
-		is.NoErr(made.kernel.Close())
+		is.Equal(len(p.gateway.Balancer.Targets()), targets)
+		is.NoErr(p.kernel.Close())
 		b.StartTimer()
 	}
 }
 
-// nowhere takes log lines as a file would.
-type nowhere struct{}
+// discard drops log lines. Unlike io.Discard, it is not special-cased by the logger, which
+// formats the lines as for a file.
+type discard struct{}
 
-// Write takes a line.
-func (nowhere) Write(line []byte) (int, error) { return len(line), nil }
+// Write reports the line as written.
+func (discard) Write(line []byte) (int, error) { return len(line), nil }
--- /dev/null
+++ b/internal/process/steady_callers_test.go
@@ -0,0 +1,161 @@
+package process_test
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/capersaddle/capersaddle/internal/emulator"
+)
+
+const (
+	// usualRetrySlack is a retry slack as used in deployments, which resting targets must not use
+	// up.
+	usualRetrySlack = 54
+	// steadyEngines and steadyPlainTargets are the numbers of targets of each service.
+	steadyEngines      = 10
+	steadyPlainTargets = 3
+	// steadyInterval is the time between two requests, which go to each gateway in turn.
+	steadyInterval = 7 * time.Millisecond
+	// steadyPrompts is the number of distinct prompts of all callers.
+	steadyPrompts = 40
+)
+
+// steadyFleet starts gateways in front of engines and plain targets with a short working time.
+func steadyFleet(t *testing.T, gateways int) *fleet {
+	t.Helper()
+	f := newFleet(t, 0)
+	f.leave, f.retrySlack = 2*time.Second, usualRetrySlack
+	for _, server := range append(f.engines, f.plain...) {
+		f.platform.Leave(server)
+	}
+	f.engines, f.plain = nil, nil
+	for i := range steadyEngines {
+		f.engines = append(f.engines, f.steadyServer(t, "engine", fmt.Sprintf("engine-%d", i)))
+	}
+	for i := range steadyPlainTargets {
+		f.plain = append(f.plain, f.steadyServer(t, "plain", fmt.Sprintf("plain-%d", i)))
+	}
+	var seeds []string
+	for i := range gateways {
+		f.gateways = append(f.gateways, f.startGateway(t, gatewayName(i), seeds))
+		seeds = append(seeds, f.gateways[i].Addresses().Link)
+	}
+	f.awaitReady(t)
+	return f
+}
+
+func (f *fleet) steadyServer(t *testing.T, service, id string) *emulator.Server {
+	t.Helper()
+	// The work takes long enough that requests overlap; otherwise the fastest target would get
+	// all of them.
+	options := emulator.ServerOptions{ID: id, Work: 60 * time.Millisecond, KeepsID: true}
+	if service == "engine" {
+		options.Work, options.Events, options.Gap = 10*time.Millisecond, 6, 10*time.Millisecond
+	}
+	server, err := f.platform.AddServer(service, "zone", "127.0.0.1:0", options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return server
+}
+
+// gatewayInRequestID returns the gateway instance, by its port, that a request was first sent to.
+func gatewayInRequestID(request string) string {
+	gateway, _, _ := strings.Cut(request, "-")
+	return gateway
+}
+
+// steadyCallers sends requests of all kinds to each gateway in turn.
+type steadyCallers struct {
+	// engines and plain count the requests on the routes to engines and to plain targets.
+	engines, plain requestCounts
+	cancel         context.CancelFunc
+	wait           sync.WaitGroup
+}
+
+// requestCounts counts requests sent and those that succeeded.
+type requestCounts struct {
+	sent, succeeded atomic.Int64
+	failures        failureCounts
+}
+
+func (s *requestCounts) record(got answer) {
+	s.sent.Add(1)
+	if got.err == nil && got.status == http.StatusOK {
+		s.succeeded.Add(1)
+		return
+	}
+	s.failures.record(got)
+}
+
+// successRate returns the fraction of requests that succeeded.
+func (s *requestCounts) successRate() float64 {
+	return float64(s.succeeded.Load()) / float64(max(s.sent.Load(), 1))
+}
+
+func (f *fleet) startSteadyCallers(t *testing.T) *steadyCallers {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	c := &steadyCallers{cancel: cancel}
+	paths := []string{"/chat/1", "/ask/1", "/chat/2", "/pay/1"}
+	repeat(ctx, &c.wait, steadyInterval, func(number int) {
+		// Shift the gateway by one after each round of paths.
+		gateway := (number + number/len(paths)) % len(f.gateways)
+		c.ask(f, gateway, paths[number%len(paths)], number)
+	})
+	t.Cleanup(c.stop)
+	return c
+}
+
+func (c *steadyCallers) ask(f *fleet, gateway int, path string, number int) {
+	_, port, _ := net.SplitHostPort(f.callerAddress(gateway))
+	id := fmt.Sprintf("%s-%d", port, number)
+	got := f.callWithPrompt(gateway, http.MethodPost, path, id, "key-1", fmt.Sprintf("aa:100,p%d:600,%s:10", number%steadyPrompts, id))
+	if strings.HasPrefix(path, "/chat") {
+		c.engines.record(got)
+		return
+	}
+	c.plain.record(got)
+}
+
+func (c *steadyCallers) stop() {
+	c.cancel()
+	c.wait.Wait()
+}
+
+// keepRunning waits while the callers continue.
+func keepRunning(t *testing.T, length time.Duration) {
+	t.Helper()
+	until := time.Now().Add(length)
+	eventually(t, "the time is over", func() bool { return time.Now().After(until) })
+}
+
+// checkNoticesHeeded checks that no gateway disregarded the notices of the servers.
+func (f *fleet) checkNoticesHeeded(t *testing.T, servers ...*emulator.Server) {
+	t.Helper()
+	notices := 0
+	for _, server := range servers {
+		notices += len(server.Said())
+		for _, violation := range server.Disregarded(gatewayInRequestID) {
+			t.Error(violation)
+		}
+	}
+	is.New(t).True(notices > 0) // fails if the servers sent no notice
+}
+
+// logSuccessRates logs the success rates. They depend on the load of the machine, so they are not
+// checked here; tests in virtual time check that all requests are served
+// (gateway.TestRestingTargetGetsOneProbe, TestServiceDuringTargetLeave).
+func logSuccessRates(t *testing.T, c *steadyCallers) {
+	t.Helper()
+	t.Logf("served: %.3f of %d at engines, %.3f of %d at plain targets; failures:%s%s", c.engines.successRate(), c.engines.sent.Load(), c.plain.successRate(), c.plain.sent.Load(), &c.engines.failures, &c.plain.failures)
+}
