--- a/cmd/capersaddle/main_test.go
+++ b/cmd/capersaddle/main_test.go
@@ -36,8 +36,8 @@
 		"unknown flag":      {[]string{"query", "routers", "--colour"}, fault.ExitUsage},
 		"missing argument":  {[]string{"query"}, fault.ExitUsage},
 		"bad settings":      {[]string{"config", "check", "no-such-file"}, fault.ExitUsage},
-		"router away, ask":  {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitAway},
-		"gateway away":      {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitAway},
+		"router away, ask":  {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitUnavailable},
+		"gateway away":      {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitUnavailable},
 		"no gateway named":  {[]string{"rollouts"}, fault.ExitUsage},
 		"router away, tell": {[]string{"exec", "mark target a", "--router", "127.0.0.1:1"}, fault.ExitUnsettled},
 	}
--- a/internal/agent/chat.go
+++ b/internal/agent/chat.go
@@ -64,7 +64,7 @@
 		Prefix:    work.GetPrefix(),
 		Priority:  priority,
 	})
-	p.heedRest(target.RestOf(err), err)
+	p.heedRest(target.RetryAfterOf(err), err)
 	if err != nil {
 		answer.refuse(engineRefusal(err))
 		return
@@ -79,7 +79,7 @@
 
 // engineRefusal tells an engine that took nothing from one that failed.
 func engineRefusal(err error) *fault.Error {
-	if rest := target.RestOf(err); rest > 0 {
+	if rest := target.RetryAfterOf(err); rest > 0 {
 		return fault.New(fault.Overloaded, fault.NotRun, "the engine has asked for rest: %v", err).After(rest)
 	}
 	if errors.Is(err, target.ErrRefused) {
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -43,7 +43,7 @@
 		return
 	}
 	response, err := p.Service.Do(ctx, serviceRequest(work))
-	p.heedRest(response.Rest, err)
+	p.heedRest(response.RetryAfter, err)
 	if err != nil {
 		answer.refuse(serviceRefusal(err))
 		return
@@ -168,7 +168,7 @@
 	}
 	defer admitted.Release()
 	response, err := p.Service.Do(ctx, serviceRequest(work))
-	p.heedRest(response.Rest, err)
+	p.heedRest(response.RetryAfter, err)
 	if errors.Is(err, target.ErrRefused) {
 		k.reopen(record, serviceRefusal(err))
 		return
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -41,8 +41,8 @@
 	target string
 	// wrote says that bytes of the current request may have left.
 	wrote atomic.Bool
-	// IdleFor is how long the target keeps the connection while it rests.
-	IdleFor time.Duration
+	// IdleTimeout is how long the target keeps the connection while it rests.
+	IdleTimeout time.Duration
 	// restedAt is when it was given back; zero for a new one.
 	restedAt time.Time
 	// rested is how long it had rested before the current request.
@@ -97,23 +97,23 @@
 		}
 		conn.Abort()
 	}
-	return p.Make(ctx, target, address)
+	return p.Dial(ctx, target, address)
 }
 
 // Make gives a new connection, whatever rests.
-func (p *Pool) Make(ctx context.Context, target, address string) (*Conn, error) {
+func (p *Pool) Dial(ctx context.Context, target, address string) (*Conn, error) {
 	made, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{Conn: made, Reader: bufio.NewReaderSize(made, readBuffer), target: target, IdleFor: idleDefault}, nil
+	return &Conn{Conn: made, Reader: bufio.NewReaderSize(made, readBuffer), target: target, IdleTimeout: idleDefault}, nil
 }
 
 // longestRest is how long a connection may have rested to be used. Targets may
 // forget a resting connection without notice; requests that may be repeated
 // find that out for those that may not.
 func (p *Pool) longestRest(conn *Conn, reuse bool) time.Duration {
-	longest := time.Duration(idleShare * float64(conn.IdleFor))
+	longest := time.Duration(idleShare * float64(conn.IdleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if reuse || p.forgotten == 0 {
@@ -122,9 +122,9 @@
 	return min(longest, time.Duration(forgottenShare*float64(p.forgotten)))
 }
 
-// NoteForgotten notes that a connection was found dead when it was used after
+// NoteStale notes that a connection was found dead when it was used after
 // a rest.
-func (p *Pool) NoteForgotten(conn *Conn) {
+func (p *Pool) NoteStale(conn *Conn) {
 	if conn.rested < leastRest {
 		return
 	}
@@ -135,9 +135,9 @@
 	}
 }
 
-// NoteSilent notes that nothing came on a connection. If it had rested, the other
+// NoteUnresponsive notes that nothing came on a connection. If it had rested, the other
 // resting ones of its target are likely to be as silent, and are closed.
-func (p *Pool) NoteSilent(conn *Conn) {
+func (p *Pool) NoteUnresponsive(conn *Conn) {
 	if conn.restedAt.IsZero() {
 		return
 	}
@@ -151,7 +151,7 @@
 
 // usable says whether a rested connection may carry another request.
 func (c *Conn) usable(longest time.Duration) bool {
-	return c.rested <= longest && c.Reader.Buffered() == 0 && socket.Look(c.Conn) == socket.Nothing
+	return c.rested <= longest && c.Reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Nothing
 }
 
 // take gives the connection that rested last, the likeliest to be open.
@@ -190,7 +190,7 @@
 	for target, idle := range p.idle {
 		kept := idle[:0]
 		for _, conn := range idle {
-			if now.Sub(conn.restedAt) > time.Duration(idleShare*float64(conn.IdleFor)) {
+			if now.Sub(conn.restedAt) > time.Duration(idleShare*float64(conn.IdleTimeout)) {
 				conn.Abort()
 				continue
 			}
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -14,11 +14,11 @@
 func TestForgottenConnections(t *testing.T) {
 	is := is.New(t)
 	p := New(nil)
-	conn := &Conn{IdleFor: 8 * time.Second}
+	conn := &Conn{IdleTimeout: 8 * time.Second}
 	is.Equal(p.longestRest(conn, false), 6*time.Second)
-	p.NoteForgotten(&Conn{rested: 100 * time.Millisecond}) // the target itself has failed
+	p.NoteStale(&Conn{rested: 100 * time.Millisecond}) // the target itself has failed
 	is.Equal(p.longestRest(conn, false), 6*time.Second)
-	p.NoteForgotten(&Conn{rested: 2 * time.Second})
+	p.NoteStale(&Conn{rested: 2 * time.Second})
 	is.Equal(p.longestRest(conn, false), time.Second)
 	is.Equal(p.longestRest(conn, true), 6*time.Second)
 }
@@ -40,8 +40,8 @@
 			p := New(nil)
 			one, other := net.Pipe()
 			defer func() { _ = other.Close() }()
-			p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleFor: 4 * time.Second})
-			p.NoteSilent(tc.silent)
+			p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleTimeout: 4 * time.Second})
+			p.NoteUnresponsive(tc.silent)
 			is.Equal(len(p.idle["s"]), tc.left)
 		})
 	}
@@ -52,7 +52,7 @@
 	p := New(nil)
 	one, other := net.Pipe()
 	defer func() { _ = other.Close() }()
-	p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleFor: 4 * time.Second})
+	p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleTimeout: 4 * time.Second})
 	p.Sweep(time.Now())
 	is.Equal(len(p.idle["s"]), 1)
 	p.Sweep(time.Now().Add(4 * time.Second))
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -85,11 +85,11 @@
 
 // Exit codes of the commands; docs/OPERATING.md lists them.
 const (
-	ExitFailed    = 1
-	ExitUsage     = 2
-	ExitRefused   = 3
-	ExitUnsettled = 4
-	ExitAway      = 5
+	ExitFailed      = 1
+	ExitUsage       = 2
+	ExitRefused     = 3
+	ExitUnsettled   = 4
+	ExitUnavailable = 5
 )
 
 var answers = map[Kind]Answer{
@@ -109,21 +109,21 @@
 	Leaving:        {http.StatusServiceUnavailable, ExitRefused, true, typeServer},
 	NotHeld:        {http.StatusServiceUnavailable, ExitRefused, true, typeServer},
 	NotOwner:       {http.StatusServiceUnavailable, ExitRefused, true, typeServer},
-	NoOwner:        {http.StatusServiceUnavailable, ExitAway, true, typeServer},
-	NoTarget:       {http.StatusServiceUnavailable, ExitAway, true, typeServer},
+	NoOwner:        {http.StatusServiceUnavailable, ExitUnavailable, true, typeServer},
+	NoTarget:       {http.StatusServiceUnavailable, ExitUnavailable, true, typeServer},
 	Deadline:       {http.StatusGatewayTimeout, ExitFailed, true, typeServer},
 	Canceled:       {499, ExitFailed, true, typeServer},
 	TargetFailed:   {http.StatusBadGateway, ExitFailed, true, typeServer},
 	Cut:            {http.StatusBadGateway, ExitFailed, true, typeServer},
 	LinkFailed:     {http.StatusBadGateway, ExitFailed, true, typeServer},
-	StoreAway:      {http.StatusServiceUnavailable, ExitAway, true, typeServer},
+	StoreAway:      {http.StatusServiceUnavailable, ExitUnavailable, true, typeServer},
 	Conflict:       {http.StatusConflict, ExitRefused, false, typeInvalid},
 	StoreBehind:    {http.StatusConflict, ExitRefused, false, typeServer},
 	Unsettled:      {http.StatusAccepted, ExitUnsettled, true, typeServer},
 	BadSettings:    {http.StatusBadRequest, ExitUsage, false, typeInvalid},
 	Quarantined:    {http.StatusBadRequest, ExitRefused, false, typeInvalid},
-	Suspected:      {http.StatusServiceUnavailable, ExitAway, true, typeServer},
-	NotReady:       {http.StatusServiceUnavailable, ExitAway, true, typeServer},
+	Suspected:      {http.StatusServiceUnavailable, ExitUnavailable, true, typeServer},
+	NotReady:       {http.StatusServiceUnavailable, ExitUnavailable, true, typeServer},
 	Internal:       {http.StatusInternalServerError, ExitFailed, false, typeServer},
 }
 
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -44,7 +44,7 @@
 	}{
 		"nothing":         {nil, Internal, 0},
 		"a known error":   {New(Overloaded, NotRun, "full"), Overloaded, ExitRefused},
-		"a wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitAway},
+		"a wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitUnavailable},
 		"any other error": {errors.New("what"), Internal, ExitFailed},
 	}
 	for name, tt := range tests {
--- a/internal/inbound/inbound.go
+++ b/internal/inbound/inbound.go
@@ -172,7 +172,7 @@
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idle || c.closed || socket.Look(c.Conn) == socket.Bytes {
+	if !c.idle || c.closed || socket.Peek(c.Conn) == socket.Bytes {
 		return
 	}
 	c.closed = true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,10 +22,10 @@
 
 // Names of the services on the kernel.
 const (
-	ServiceLinks   = "links"
-	ServiceMembers = "members"
-	ServiceConfig  = "config"
-	ServiceUrge    = "urge"
+	ServiceLinks          = "links"
+	ServiceMembers        = "members"
+	ServiceConfig         = "config"
+	ServiceConfigNotifier = "urge"
 )
 
 // Options are what a node is made of.
@@ -33,9 +33,9 @@
 	ID         string
 	Role       string
 	DataCenter string
-	// LinkListener and BeatConn are owned by the node.
-	LinkListener net.Listener
-	BeatConn     *net.UDPConn
+	// LinkListener and HeartbeatConn are owned by the node.
+	LinkListener  net.Listener
+	HeartbeatConn *net.UDPConn
 	// Seeds are beat addresses of other processes.
 	Seeds []string
 	// Budget is the most bytes a second that membership may send.
@@ -67,14 +67,14 @@
 
 // Node holds the common parts of one process.
 type Node struct {
-	Session  string
-	Pool     *link.Pool
-	Members  *member.List
-	Beats    *member.Service
-	Config   *config.State
-	Follower *config.Follower
-	server   *link.Server
-	options  Options
+	Session    string
+	Pool       *link.Pool
+	Members    *member.List
+	Heartbeats *member.Service
+	Config     *config.State
+	Follower   *config.Follower
+	server     *link.Server
+	options    Options
 	// handler serves the exchanges that are the role's own.
 	handler link.Handler
 }
@@ -95,11 +95,11 @@
 		Role:        options.Role,
 		DataCenter:  options.DataCenter,
 		LinkAddress: options.LinkListener.Addr().String(),
-		BeatAddress: options.BeatConn.LocalAddr().String(),
+		BeatAddress: options.HeartbeatConn.LocalAddr().String(),
 		Incarnation: newIncarnation(),
 		Session:     session,
 	})
-	n.Beats = member.NewService(n.Members, options.BeatConn, member.ServiceOptions{
+	n.Heartbeats = member.NewService(n.Members, options.HeartbeatConn, member.ServiceOptions{
 		Seeds:          options.Seeds,
 		BytesPerSecond: options.Budget,
 		Signer:         options.Signer,
@@ -113,9 +113,9 @@
 func (n *Node) register(k *kernel.Kernel, hello *wire.Hello) error {
 	return errors.Join(
 		k.Register(ServiceLinks, &links{node: n, hello: hello}),
-		k.Register(ServiceMembers, n.Beats),
+		k.Register(ServiceMembers, n.Heartbeats),
 		k.Register(ServiceConfig, n.Follower),
-		k.Register(ServiceUrge, newUrger(n.Config, n.Beats)),
+		k.Register(ServiceConfigNotifier, newUrger(n.Config, n.Heartbeats)),
 	)
 }
 
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -110,11 +110,11 @@
 		return float64(c.node.Members.Suspicions())
 	})
 	metric.Gauge(c.registry, "member_bytes_sent", "Bytes of membership datagrams sent.", func() float64 {
-		sent, _ := c.node.Beats.Traffic()
+		sent, _ := c.node.Heartbeats.Traffic()
 		return float64(sent)
 	})
 	metric.Gauge(c.registry, "member_bytes_received", "Bytes of membership datagrams received.", func() float64 {
-		_, received := c.node.Beats.Traffic()
+		_, received := c.node.Heartbeats.Traffic()
 		return float64(received)
 	})
 	metric.Gauge(c.registry, "link_sessions", "Link sessions open to other processes.", func() float64 {
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -128,18 +128,18 @@
 		c.operators = tls.NewListener(operators, keys.Server(secure.RoleRead, secure.RoleOperate, secure.RoleAdminister))
 	}
 	c.node, err = node.New(c.kernel, node.Options{
-		ID:           s.ID,
-		Role:         s.Role,
-		DataCenter:   s.DataCenter,
-		LinkListener: linkListener,
-		BeatConn:     beatConn,
-		Seeds:        s.Seeds,
-		Budget:       s.Budget(),
-		Store:        c.store,
-		Log:          c.log,
-		Members:      s.MemberOptions(),
-		Keys:         keys,
-		Signer:       signer,
+		ID:            s.ID,
+		Role:          s.Role,
+		DataCenter:    s.DataCenter,
+		LinkListener:  linkListener,
+		HeartbeatConn: beatConn,
+		Seeds:         s.Seeds,
+		Budget:        s.Budget(),
+		Store:         c.store,
+		Log:           c.log,
+		Members:       s.MemberOptions(),
+		Keys:          keys,
+		Signer:        signer,
 	})
 	return c, err
 }
--- a/internal/process/router.go
+++ b/internal/process/router.go
@@ -44,7 +44,7 @@
 		Log:      c.log,
 		Metrics:  p.metrics,
 		Timeout:  time.Duration(s.Timeout),
-		MostBody: s.MostBody,
+		MostBody: s.MaxBody,
 	})
 	c.registerGauges()
 	ops := &operators{common: c, editor: config.NewEditor(c.store, c.node.Config), ready: p.router.Ready, routed: p.router.Targets}
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -170,14 +170,14 @@
 	if s.Admission.Factor != 0 && s.Admission.Factor < 1 {
 		c.say("admission.factor", fmt.Sprint(s.Admission.Factor), "found %v; want 1 or more: no target can stay below the mean", s.Admission.Factor)
 	}
-	if s.Admission.Floor < 0 || s.Admission.Most < 0 || s.Admission.QueueCount < 0 || s.Admission.QueueBytes < 0 {
+	if s.Admission.Floor < 0 || s.Admission.MaxInFlight < 0 || s.Admission.QueueCount < 0 || s.Admission.QueueBytes < 0 {
 		c.say("admission", "", "its numbers must not be negative")
 	}
 	if s.Membership.BytesPerSecond < 0 || s.Membership.BytesPerSecond > 0 && s.Membership.BytesPerSecond < leastBudget {
 		c.say("membership.bytes_per_second", fmt.Sprint(s.Membership.BytesPerSecond), "found %d; want at least %d: one beat a second", s.Membership.BytesPerSecond, leastBudget)
 	}
-	if s.MostBody < 0 {
-		c.say("most_body", fmt.Sprint(s.MostBody), "found %d; want a number of bytes", s.MostBody)
+	if s.MaxBody < 0 {
+		c.say("most_body", fmt.Sprint(s.MaxBody), "found %d; want a number of bytes", s.MaxBody)
 	}
 	const hashLength = 64
 	if s.OperatorKeyHash != "" && len(s.OperatorKeyHash) != hashLength {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,8 +49,8 @@
 	Membership      Membership `json:"membership"`
 	// Timeout bounds a request at a router.
 	Timeout Duration `json:"timeout,omitempty"`
-	// MostBody bounds a request's body, in bytes.
-	MostBody int64 `json:"most_body,omitempty"`
+	// MaxBody bounds a request's body, in bytes.
+	MaxBody int64 `json:"most_body,omitempty"`
 }
 
 // Target is one back end beside an agent.
@@ -91,12 +91,12 @@
 
 // Admission are the gate's bounds; zero takes the default.
 type Admission struct {
-	Factor     float64  `json:"factor,omitempty"`
-	Floor      int      `json:"floor,omitempty"`
-	Most       int      `json:"most,omitempty"`
-	QueueCount int      `json:"queue_count,omitempty"`
-	QueueBytes int64    `json:"queue_bytes,omitempty"`
-	Patience   Duration `json:"patience,omitempty"`
+	Factor      float64  `json:"factor,omitempty"`
+	Floor       int      `json:"floor,omitempty"`
+	MaxInFlight int      `json:"most,omitempty"`
+	QueueCount  int      `json:"queue_count,omitempty"`
+	QueueBytes  int64    `json:"queue_bytes,omitempty"`
+	Patience    Duration `json:"patience,omitempty"`
 }
 
 // Cache describes the engines' prefix caches to their agent; zero takes the
@@ -152,7 +152,7 @@
 	options := admission.DefaultOptions()
 	options.Factor = or(s.Admission.Factor, options.Factor)
 	options.Floor = or(s.Admission.Floor, options.Floor)
-	options.MaxInFlight = or(s.Admission.Most, options.MaxInFlight)
+	options.MaxInFlight = or(s.Admission.MaxInFlight, options.MaxInFlight)
 	options.QueueCount = or(s.Admission.QueueCount, options.QueueCount)
 	options.QueueBytes = or(s.Admission.QueueBytes, options.QueueBytes)
 	options.Patience = orTime(s.Admission.Patience, options.Patience)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -41,7 +41,7 @@
 )
 
 // Look says what has been received on a connection, without reading it.
-func Look(conn net.Conn) Received {
+func Peek(conn net.Conn) Received {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
 		return Unknown
@@ -51,14 +51,14 @@
 		return Unknown
 	}
 	found := Unknown
-	err = control.Control(func(fd uintptr) { found = peek(int(fd)) })
+	err = control.Control(func(fd uintptr) { found = peekFD(int(fd)) })
 	if err != nil {
 		return End
 	}
 	return found
 }
 
-func peek(fd int) Received {
+func peekFD(fd int) Received {
 	var buffer [1]byte
 	n, _, err := unix.Recvfrom(fd, buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	switch {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -30,9 +30,9 @@
 
 // await looks until something has been received.
 func await(conn net.Conn) socket.Received {
-	found := socket.Look(conn)
+	found := socket.Peek(conn)
 	for found == socket.Nothing {
-		found = socket.Look(conn)
+		found = socket.Peek(conn)
 	}
 	return found
 }
@@ -40,7 +40,7 @@
 func TestLook(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := pair(t)
-	is.Equal(socket.Look(ours), socket.Nothing)
+	is.Equal(socket.Peek(ours), socket.Nothing)
 	_, err := theirs.Write([]byte("x"))
 	is.NoErr(err)
 	is.Equal(await(ours), socket.Bytes)
@@ -51,13 +51,13 @@
 	is.NoErr(theirs.Close())
 	is.Equal(await(ours), socket.End)
 	is.NoErr(ours.Close())
-	is.Equal(socket.Look(ours), socket.End)
+	is.Equal(socket.Peek(ours), socket.End)
 }
 
 func TestLookAtNoSocket(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _, _ = ours.Close(), theirs.Close() }()
-	is.New(t).Equal(socket.Look(ours), socket.Unknown)
+	is.New(t).Equal(socket.Peek(ours), socket.Unknown)
 }
 
 func TestUserTimeout(t *testing.T) {
--- a/internal/target/httpengine.go
+++ b/internal/target/httpengine.go
@@ -141,7 +141,7 @@
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
 	refusal := errors.Wrapf(ErrRefused, "engine answered %d: %s", response.StatusCode, text)
 	if rest := restIn(response); rest > 0 {
-		return nil, &RestError{Rest: rest, Err: refusal}
+		return nil, &RetryAfterError{RetryAfter: rest, Err: refusal}
 	}
 	return nil, refusal
 }
--- a/internal/target/httpservice.go
+++ b/internal/target/httpservice.go
@@ -50,7 +50,7 @@
 		}
 		return ServiceResponse{}, errors.Wrap(err, "call service")
 	}
-	return ServiceResponse{Status: response.StatusCode, Header: response.Header, Body: response.Body, Rest: restIn(response)}, nil
+	return ServiceResponse{Status: response.StatusCode, Header: response.Header, Body: response.Body, RetryAfter: restIn(response)}, nil
 }
 
 // restIn is for how long a target wants nothing that has answered so. What is no time asks
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -18,24 +18,24 @@
 // ErrRefused says that the target took nothing of the request.
 var ErrRefused = errors.New("target refused the request")
 
-// RestError is a refusal of a target that wants nothing for a while.
-type RestError struct {
+// RetryAfterError is a refusal of a target that wants nothing for a while.
+type RetryAfterError struct {
 	// Rest is for how long.
-	Rest time.Duration
-	Err  error
+	RetryAfter time.Duration
+	Err        error
 }
 
 // Error gives the cause.
-func (e *RestError) Error() string { return e.Err.Error() }
+func (e *RetryAfterError) Error() string { return e.Err.Error() }
 
 // Unwrap gives the cause.
-func (e *RestError) Unwrap() error { return e.Err }
+func (e *RetryAfterError) Unwrap() error { return e.Err }
 
-// RestOf is for how long the target wants nothing that failed with an error; zero is not said.
-func RestOf(err error) time.Duration {
-	var resting *RestError
+// RetryAfterOf is for how long the target wants nothing that failed with an error; zero is not said.
+func RetryAfterOf(err error) time.Duration {
+	var resting *RetryAfterError
 	if errors.As(err, &resting) {
-		return resting.Rest
+		return resting.RetryAfter
 	}
 	return 0
 }
@@ -138,7 +138,7 @@
 	Body   io.ReadCloser
 	// Rest is for how long the server wants nothing, if it has turned the call away; zero is
 	// not said.
-	Rest time.Duration
+	RetryAfter time.Duration
 }
 
 // Service is one server of a plain service.
