--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the closed list of error kinds and the one table that
-// says how each kind is answered: HTTP status, exit code and retry advice.
+// Package fault defines the closed list of error kinds and the table that maps each kind to an
+// HTTP status, an exit code and retry advice.
 package fault
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind names one sort of failure. The list is closed: a kind without a row in
-// the table is answered as Internal.
+// Kind is the kind of a failure. The list is closed: a kind without a row in the table is
+// answered as Internal.
 type Kind string
 
-// The closed list of kinds.
+// All kinds of failure.
 const (
 	BadRequest     Kind = "bad_request"
 	BadKey         Kind = "bad_api_key"
@@ -45,35 +45,36 @@
 	Unsettled      Kind = "unsettled"
 	BadSettings    Kind = "bad_settings"
 	NotReady       Kind = "not_ready"
-	// Quarantined: targets ended while they ran the request.
+	// Quarantined marks a request that is refused since several targets crashed while they ran
+	// it.
 	Quarantined Kind = "quarantined"
-	// Suspected: targets ended while they ran the request and others, and which of them is to
-	// blame is not known yet.
+	// Suspected marks a request that is refused since targets crashed while they ran it
+	// together with others, and which of the requests is the cause is not known yet.
 	Suspected Kind = "suspected"
 	Internal  Kind = "internal"
 )
 
-// RunState says whether the refused request ran at its target.
+// RunState tells whether the target has run the refused request.
 type RunState string
 
 // The run states that a refusal may carry.
 const (
-	// NotRun may be said only by a process that has made it impossible for
-	// the request to run later.
+	// NotRun may be reported only by a process that has made it impossible for the request to
+	// run later.
 	NotRun  RunState = "not_run"
 	Ran     RunState = "ran"
 	Unknown RunState = "unknown"
 )
 
-// Answer is how one kind is shown outside.
+// Answer describes how a kind is reported to callers and operators.
 type Answer struct {
 	// Status is the HTTP status.
 	Status int
 	// Exit is the exit code of a command that ends with this kind.
 	Exit int
-	// Retry says that the same request may be tried again later.
+	// Retry reports whether the same request may be tried again later.
 	Retry bool
-	// Type is the error type of the OpenAI error shape.
+	// Type is the error type in the OpenAI error format.
 	Type string
 }
 
@@ -127,7 +128,7 @@
 	Internal:       {http.StatusInternalServerError, ExitFailed, false, typeServer},
 }
 
-// AnswerOf returns the row of a kind, or that of Internal.
+// AnswerOf returns the row of a kind; that of Internal for an unknown kind.
 func AnswerOf(kind Kind) Answer {
 	answer, ok := answers[kind]
 	if !ok {
@@ -136,7 +137,7 @@
 	return answer
 }
 
-// Kinds lists every kind that has a row.
+// Kinds returns every kind that has a row in the table.
 func Kinds() []Kind {
 	kinds := make([]Kind, 0, len(answers))
 	for kind := range answers {
@@ -148,33 +149,33 @@
 // Error is a failure of a known kind.
 type Error struct {
 	Kind Kind
-	// State is never NotRun unless the request can no longer run.
+	// State is NotRun only if the request can no longer run.
 	State RunState
 	// Message is shown to the caller.
 	Message string
-	// RetryAfter is when to come back; zero when there is no point.
+	// RetryAfter is the delay before a retry; zero if a retry is of no use.
 	RetryAfter time.Duration
 }
 
-// Error gives kind and message.
+// Error returns the kind and the message.
 func (e *Error) Error() string {
 	return string(e.Kind) + ": " + e.Message
 }
 
-// New returns an Error with a formatted message. It takes no stack trace: under
-// overload most requests end here.
+// New returns an Error with a formatted message. It captures no stack trace, since most
+// requests end here under overload.
 func New(kind Kind, state RunState, format string, args ...any) *Error {
 	return &Error{Kind: kind, State: state, Message: fmt.Sprintf(format, args...)}
 }
 
-// After sets when to come back and returns the error itself.
+// After sets the delay before a retry and returns the error itself.
 func (e *Error) After(wait time.Duration) *Error {
 	e.RetryAfter = wait
 	return e
 }
 
-// From finds the Error in a chain; any other error becomes Internal with an
-// unknown run state.
+// From returns the Error in an error chain; any other error becomes Internal with an unknown
+// run state.
 func From(err error) *Error {
 	var known *Error
 	if errors.As(err, &known) {
@@ -188,7 +189,7 @@
 	return From(err).Kind
 }
 
-// ExitCode maps an error to the exit code of a command.
+// ExitCode returns the exit code of a command that ends with an error.
 func ExitCode(err error) int {
 	if err == nil {
 		return 0
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// Every kind that the source declares has a row in the table.
+// TestEveryKindHasAnAnswer checks that every kind declared in the source has a row in the
+// table.
 func TestEveryKindHasAnAnswer(t *testing.T) {
 	is := is.New(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "fault.go", nil, 0)
@@ -58,7 +59,8 @@
 	}
 }
 
-// An error of no known kind never claims that nothing ran.
-func TestUnknownErrorsDoNotSayNotRun(t *testing.T) {
+// TestUnknownErrorsHaveUnknownRunState checks that an error of no known kind never claims that
+// the request did not run.
+func TestUnknownErrorsHaveUnknownRunState(t *testing.T) {
 	is.New(t).Equal(From(errors.New("what")).State, Unknown)
 }
--- a/internal/oplang/command.go
+++ b/internal/oplang/command.go
@@ -8,8 +8,8 @@
 	"github.com/capersaddle/capersaddle/internal/config"
 )
 
-// Command turns a script into the changes of one configuration command; the
-// caller sets the rest of it.
+// Command converts a script into the changes of one configuration command; the caller sets the
+// remaining fields.
 func (s *Script) Command() (config.Command, error) {
 	var command config.Command
 	if s.IfRevision != nil {
@@ -28,13 +28,13 @@
 func (s *Statement) change() (config.Change, error) {
 	switch {
 	case s.Create != nil:
-		value, err := s.Create.value()
-		return config.Change{Name: s.Create.full(), Value: value, Need: config.NeedAbsent}, err
+		value, err := s.Create.fieldsJSON()
+		return config.Change{Name: s.Create.documentName(), Value: value, Need: config.NeedAbsent}, err
 	case s.Change != nil:
-		value, err := s.Change.value()
-		return config.Change{Name: s.Change.full(), Value: value, Need: config.NeedPresent, Merge: true}, err
+		value, err := s.Change.fieldsJSON()
+		return config.Change{Name: s.Change.documentName(), Value: value, Need: config.NeedPresent, Merge: true}, err
 	case s.Remove != nil:
-		return config.Change{Name: s.Remove.full(), Need: config.NeedPresent}, nil
+		return config.Change{Name: s.Remove.documentName(), Need: config.NeedPresent}, nil
 	case s.Mark != nil:
 		value, err := json.Marshal(config.Mark{Leaving: true})
 		return config.Change{Name: config.KindMark + "/" + *s.Mark, Value: value}, errors.Wrap(err, "write mark")
@@ -44,24 +44,24 @@
 	return config.Change{}, errors.New("empty statement")
 }
 
-func (n *Named) full() string {
+func (n *Named) documentName() string {
 	return n.Kind + "/" + n.Name
 }
 
-func (c *Create) value() (json.RawMessage, error) {
+func (c *Create) fieldsJSON() (json.RawMessage, error) {
 	fields := make(map[string]any, len(c.Fields))
 	for _, field := range c.Fields {
-		if _, twice := fields[field.Name]; twice {
+		if _, duplicate := fields[field.Name]; duplicate {
 			return nil, errors.Newf("field %q is given twice", field.Name)
 		}
-		fields[field.Name] = field.Value.plain()
+		fields[field.Name] = field.Value.jsonValue()
 	}
 	data, err := json.Marshal(fields)
 	return data, errors.Wrap(err, "write fields")
 }
 
-// plain is the value as it is written in JSON.
-func (v *Value) plain() any {
+// jsonValue returns the value in a form that encoding/json can encode.
+func (v *Value) jsonValue() any {
 	switch {
 	case v.Number != nil:
 		return *v.Number
@@ -74,7 +74,7 @@
 	}
 	list := make([]any, 0, len(v.List))
 	for _, item := range v.List {
-		list = append(list, item.plain())
+		list = append(list, item.jsonValue())
 	}
 	return list
 }
--- a/internal/oplang/grammar.go
+++ b/internal/oplang/grammar.go
@@ -1,6 +1,6 @@
-// Package oplang is the operators' language: queries that ask what holds now
-// and commands that take effect or are plainly refused. docs/LANGUAGE.md has
-// the grammar on one page; the parser is participle's.
+// Package oplang implements the operators' language: queries of the current state, and commands
+// that either take effect or are refused. docs/LANGUAGE.md has the grammar on one page; the
+// parser is built with participle.
 package oplang
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// Query asks for rows of one source.
+// Query selects rows of one source.
 type Query struct {
 	Source string       `parser:"@Word"`
 	Where  []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
@@ -20,7 +20,7 @@
 	Limit  *int         `parser:"( 'limit' @Number )?"`
 }
 
-// Condition keeps rows whose column compares with a value.
+// Condition selects rows by comparing a column with a value.
 type Condition struct {
 	Column   string `parser:"@Word"`
 	Operator string `parser:"@( '=' | '!=' | '<=' | '>=' | '<' | '>' | '~' )"`
@@ -48,25 +48,25 @@
 	Unmark *string `parser:"| 'unmark' 'target' @( Word | String )"`
 }
 
-// Named names a document.
+// Named identifies a document.
 type Named struct {
 	Kind string `parser:"@Word"`
 	Name string `parser:"@( Word | String )"`
 }
 
-// Create names a document and gives values to its fields.
+// Create identifies a document and assigns values to its fields.
 type Create struct {
 	Named
 	Fields []*Field `parser:"( 'with' @@ ( ',' @@ )* )?"`
 }
 
-// Field gives one field a value.
+// Field assigns a value to one field.
 type Field struct {
 	Name  string `parser:"@Word '='"`
 	Value *Value `parser:"@@"`
 }
 
-// Value is a text, a number, a truth value or a list of these.
+// Value is a string, a number, a boolean or a list of these.
 type Value struct {
 	Number *float64 `parser:"  @Number"`
 	True   bool     `parser:"| @'true'"`
@@ -93,12 +93,12 @@
 	)
 )
 
-// mostText bounds a query or a script, in bytes.
-const mostText = 64 << 10
+// maxTextBytes limits a query or a script, in bytes.
+const maxTextBytes = 64 << 10
 
-func parse[T any](parser *participle.Parser[T], what, text string) (*T, error) {
-	if len(text) > mostText {
-		return nil, fault.New(fault.BadRequest, fault.NotRun, "%s is longer than %d bytes", what, mostText)
+func parse[T any](parser *participle.Parser[T], subject, text string) (*T, error) {
+	if len(text) > maxTextBytes {
+		return nil, fault.New(fault.BadRequest, fault.NotRun, "%s is longer than %d bytes", subject, maxTextBytes)
 	}
 	parsed, err := parser.ParseString("", text)
 	if err == nil {
@@ -106,18 +106,18 @@
 	}
 	var located participle.Error
 	if errors.As(err, &located) {
-		at := located.Position()
-		return nil, fault.New(fault.BadRequest, fault.NotRun, "%s, line %d, column %d: %s", what, at.Line, at.Column, located.Message())
+		position := located.Position()
+		return nil, fault.New(fault.BadRequest, fault.NotRun, "%s, line %d, column %d: %s", subject, position.Line, position.Column, located.Message())
 	}
-	return nil, fault.New(fault.BadRequest, fault.NotRun, "%s: %v", what, err)
+	return nil, fault.New(fault.BadRequest, fault.NotRun, "%s: %v", subject, err)
 }
 
-// ParseQuery reads a query; errors name the position and what was expected.
+// ParseQuery parses a query; errors name the position and what was expected there.
 func ParseQuery(text string) (*Query, error) {
 	return parse(queryParser, "query", text)
 }
 
-// ParseScript reads a script.
+// ParseScript parses a script; errors are as those of ParseQuery.
 func ParseScript(text string) (*Script, error) {
 	return parse(scriptParser, "command", text)
 }
--- a/internal/oplang/oplang_test.go
+++ b/internal/oplang/oplang_test.go
@@ -86,8 +86,8 @@
 	is.Equal(command.IfRevision, uint64(41))
 }
 
-// Mistakes name where they are and what was expected.
-func TestMistakes(t *testing.T) {
+// TestSyntaxErrors checks that errors name their position and what was expected there.
+func TestSyntaxErrors(t *testing.T) {
 	tests := map[string]struct {
 		text string
 		want []string
--- a/internal/oplang/table.go
+++ b/internal/oplang/table.go
@@ -9,22 +9,22 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
-	// Missing names what could not be asked, and why.
+	// Missing lists the sources that could not be asked, with the reason.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Apply filters, sorts, cuts and chooses columns as a query says.
+// Apply filters, sorts and limits the rows, and selects the columns that the query names.
 func (q *Query) Apply(table Table) (Table, error) {
 	for _, condition := range q.Where {
-		column, err := table.column(condition.Column)
+		column, err := table.columnIndex(condition.Column)
 		if err != nil {
 			return Table{}, err
 		}
-		table.Rows = slices.DeleteFunc(table.Rows, func(row []string) bool { return !condition.holds(row[column]) })
+		table.Rows = slices.DeleteFunc(table.Rows, func(row []string) bool { return !condition.matches(row[column]) })
 	}
 	if q.Sort != nil {
 		if err := table.sort(q.Sort); err != nil {
@@ -34,18 +34,18 @@
 	if q.Limit != nil {
 		table.Rows = table.Rows[:min(*q.Limit, len(table.Rows))]
 	}
-	return table.choose(q.Show)
+	return table.selectColumns(q.Show)
 }
 
-func (t *Table) column(name string) (int, error) {
+func (t *Table) columnIndex(name string) (int, error) {
 	index := slices.Index(t.Columns, name)
 	if index < 0 {
-		return 0, fault.New(fault.BadRequest, fault.NotRun, "there is no column %q here; there are %s", name, strings.Join(t.Columns, ", "))
+		return 0, fault.New(fault.BadRequest, fault.NotRun, "unknown column %q; known columns are %s", name, strings.Join(t.Columns, ", "))
 	}
 	return index, nil
 }
 
-// compare orders two cells, as numbers if both are.
+// compare orders two cells, numerically if both are numbers.
 func compare(a, b string) int {
 	left, errLeft := strconv.ParseFloat(a, 64)
 	right, errRight := strconv.ParseFloat(b, 64)
@@ -55,7 +55,7 @@
 	return cmp.Compare(a, b)
 }
 
-func (c *Condition) holds(cell string) bool {
+func (c *Condition) matches(cell string) bool {
 	order := compare(cell, c.Value)
 	switch c.Operator {
 	case "=":
@@ -75,7 +75,7 @@
 }
 
 func (t *Table) sort(by *Sort) error {
-	column, err := t.column(by.Column)
+	column, err := t.columnIndex(by.Column)
 	if err != nil {
 		return err
 	}
@@ -89,13 +89,13 @@
 	return nil
 }
 
-func (t *Table) choose(names []string) (Table, error) {
+func (t *Table) selectColumns(names []string) (Table, error) {
 	if len(names) == 0 {
 		return *t, nil
 	}
 	chosen := Table{Columns: names, Missing: t.Missing, Rows: make([][]string, len(t.Rows))}
 	for _, name := range names {
-		column, err := t.column(name)
+		column, err := t.columnIndex(name)
 		if err != nil {
 			return Table{}, err
 		}
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -11,100 +11,102 @@
 // roleGateway is the role of gateways.
 const roleGateway = "gateway"
 
-// Gateway are the settings of a gateway process.
+// Gateway holds the settings of a gateway process.
 type Gateway struct {
-	// Role is "gateway".
+	// Role must be "gateway".
 	Role       string `json:"role"`
 	ID         string `json:"id"`
 	DataCenter string `json:"data_center"`
-	// Callers is the address for callers, IP:port.
+	// Callers is the address on which the gateway serves callers, IP:port.
 	Callers string `json:"callers"`
-	// Ready is the address that says whether callers may come, IP:port.
+	// Ready is the address of the readiness check, which reports whether the gateway accepts
+	// callers, IP:port.
 	Ready string `json:"ready"`
-	// Metrics serves metrics, IP:port; empty for none.
+	// Metrics is the address on which metrics are served, IP:port; empty disables them.
 	Metrics string `json:"metrics,omitempty"`
-	// Peers is the UDP address for other gateways, IP:port; empty for none.
+	// Peers is the UDP address for messages from other gateways, IP:port; empty disables them.
 	Peers string `json:"peers,omitempty"`
 	// Seeds are peer addresses of other gateways, IP:port.
 	Seeds []string `json:"seeds,omitempty"`
-	// Store is the platform's store, IP:port.
+	// Store is the address of the platform's store, IP:port.
 	Store string `json:"store"`
-	// Revocation is how long after its removal was accepted a key may still
-	// be served; zero sets no bound.
+	// Revocation limits how long a key may still be served after its removal was accepted; zero
+	// sets no limit.
 	Revocation Duration `json:"revocation,omitempty"`
-	// Apply is how long after its acceptance a configuration must be in force.
+	// Apply limits the time from the acceptance of a configuration until it is in force.
 	Apply Duration `json:"apply,omitempty"`
-	// Leave is how long after its word a leaving target may get new work.
+	// Leave limits how long a target that has announced its stop may still get new work.
 	Leave Duration `json:"leave,omitempty"`
-	// Evacuate is how long after the operators have asked for it the targets of a
-	// data centre may still get requests.
+	// Evacuate limits how long the targets of a data centre may still get requests after the
+	// operators have ordered its evacuation.
 	Evacuate Duration `json:"evacuate,omitempty"`
-	// Pass is within which time of its making callers want each event of a stream; zero is
-	// at once.
+	// Pass limits the delay between the creation of a stream's event and its delivery to the
+	// caller; zero means that events are passed on at once.
 	Pass Duration `json:"pass,omitempty"`
-	// Host is what the process's host has.
+	// Host describes the resources of the process's host.
 	Host Host `json:"host"`
-	// Grace is the time between SIGTERM and the end.
+	// Grace is the time between SIGTERM and the forced end of the process.
 	Grace Duration    `json:"grace,omitempty"`
 	Load  LoadBound   `json:"load"`
 	Cold  ColdBound   `json:"cold"`
 	Retry RetryBudget `json:"retry"`
-	// Rollout bounds what a version of targets gets before it has proved good.
+	// Rollout limits the requests to a version of targets that is not yet proven good.
 	Rollout Rollout `json:"rollout"`
 	Log     Log     `json:"log"`
 }
 
-// Rollout bounds the roll-outs of new versions.
+// Rollout limits the exposure of requests to new versions during roll-outs.
 type Rollout struct {
-	// Share of the requests to a service that a version on trial may get, over all
+	// Share is the share of a service's requests that a version on trial may get, over all
 	// gateways; above 0, and 1 at most.
 	Share float64 `json:"share,omitempty"`
-	// Slack is how many it may get besides.
+	// Slack is the number of requests allowed in addition to Share.
 	Slack float64 `json:"slack,omitempty"`
-	// Rollback is how long after its failures have shown it may still get requests.
+	// Rollback limits how long a version may still get requests after its failures have shown.
 	Rollback Duration `json:"rollback,omitempty"`
 }
 
-// Host is what a gateway's host has for it; zero is not known, and counts as the
+// Host describes the resources of a gateway's host. Zero means unknown, which counts as the
 // smallest.
 type Host struct {
-	// Share of a core that the process may use.
+	// Share is the share of a core that the process may use.
 	Share float64 `json:"share,omitempty"`
-	// Cores is how many times as fast as a usual one that core is; 1 if not set.
+	// Cores is the speed of that core as a multiple of a usual one's; 1 if not set.
 	Cores float64 `json:"cores,omitempty"`
-	// LinkMbps is what the host's link carries, in Mbit/s.
+	// LinkMbps is the bandwidth of the host's link, in Mbit/s.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 	// MemoryMB is the memory that the process may use, in MB.
 	MemoryMB float64 `json:"memory_mb,omitempty"`
 }
 
-// LoadBound bounds the load of one target.
+// LoadBound limits the load of one target.
 type LoadBound struct {
-	// Multiple of the mean load that no target of a service may hold.
+	// Multiple is the multiple of a service's mean load that none of its targets may exceed.
 	Multiple float64 `json:"multiple,omitempty"`
-	// Extra requests that it may hold besides.
+	// Extra is the number of requests allowed in addition to Multiple.
 	Extra float64 `json:"extra,omitempty"`
 }
 
-// ColdBound bounds what all gateways together send to a target that has just
+// ColdBound limits the requests that all gateways together send to a target that has just
 // started.
 type ColdBound struct {
-	// Multiple of the requests a second which it bears that it may get in any second.
+	// Multiple is how much of the request rate that the target can bear it may get in any
+	// second, as a multiple.
 	Multiple float64 `json:"multiple,omitempty"`
-	// Extra requests that it may get besides.
+	// Extra is the number of requests allowed in addition to Multiple.
 	Extra float64 `json:"extra,omitempty"`
 }
 
-// RetryBudget bounds the retries of all gateways together.
+// RetryBudget limits the retries of all gateways together.
 type RetryBudget struct {
-	// Ratio of the requests of a window that may be retries.
+	// Ratio is the share of a window's requests that may be retries.
 	Ratio float64 `json:"ratio,omitempty"`
-	// Slack is how many a window may hold besides.
+	// Slack is the number of retries that a window allows in addition to Ratio.
 	Slack  float64  `json:"slack,omitempty"`
 	Window Duration `json:"window,omitempty"`
 }
 
-// Defaults of the gateway's settings.
+// Defaults of a gateway's settings.
 const (
 	defaultApply        = 2 * time.Second
 	defaultLeave        = 2 * time.Second
@@ -117,8 +119,8 @@
 	defaultColdMultiple = 1
 	defaultRetryRatio   = 0.2
 	defaultRetryWindow  = 10 * time.Second
-	// A tenth of the requests shows within seconds whether a version is bad, and costs
-	// few of them if it is.
+	// A tenth of the requests shows within seconds whether a version is bad, and loses few of
+	// them if it is.
 	defaultRolloutShare    = 0.1
 	defaultRolloutRollback = 5 * time.Second
 )
@@ -147,7 +149,7 @@
 	return err
 }
 
-// roleOf is the role that a settings file names; empty if it can't be read.
+// roleOf returns the role that a settings file names; empty if the file can't be parsed.
 func roleOf(data []byte) string {
 	standard, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -160,8 +162,8 @@
 	return named.Role
 }
 
-// ParseGateway reads a gateway's settings, fills in the defaults and lists
-// what is wrong with them.
+// ParseGateway parses a gateway's settings, applies the defaults and returns all problems
+// found.
 func ParseGateway(file string, data []byte) (*Gateway, []Problem) {
 	settings := new(Gateway)
 	checker, problems := decode(file, data, settings, "docs/GATEWAY.md")
@@ -169,63 +171,63 @@
 		return nil, problems
 	}
 	checker.checkGateway(settings)
-	settings.fillIn()
+	settings.setDefaults()
 	return settings, checker.problems
 }
 
-func (s *Gateway) fillIn() {
-	s.Apply = Duration(orTime(s.Apply, defaultApply))
-	s.Leave = Duration(orTime(s.Leave, defaultLeave))
-	s.Evacuate = Duration(orTime(s.Evacuate, defaultEvacuate))
-	s.Grace = Duration(orTime(s.Grace, defaultGrace))
-	s.Host.Cores = or(s.Host.Cores, defaultHostCores)
-	s.Host.MemoryMB = or(s.Host.MemoryMB, defaultMemoryMB)
-	s.Load.Multiple = or(s.Load.Multiple, defaultLoadMultiple)
-	s.Load.Extra = or(s.Load.Extra, defaultLoadExtra)
-	s.Cold.Multiple = or(s.Cold.Multiple, defaultColdMultiple)
-	s.Retry.Ratio = or(s.Retry.Ratio, defaultRetryRatio)
-	s.Retry.Window = Duration(orTime(s.Retry.Window, defaultRetryWindow))
-	s.Rollout.Share = or(s.Rollout.Share, defaultRolloutShare)
-	s.Rollout.Rollback = Duration(orTime(s.Rollout.Rollback, defaultRolloutRollback))
+func (s *Gateway) setDefaults() {
+	s.Apply = Duration(durationOrDefault(s.Apply, defaultApply))
+	s.Leave = Duration(durationOrDefault(s.Leave, defaultLeave))
+	s.Evacuate = Duration(durationOrDefault(s.Evacuate, defaultEvacuate))
+	s.Grace = Duration(durationOrDefault(s.Grace, defaultGrace))
+	s.Host.Cores = orDefault(s.Host.Cores, defaultHostCores)
+	s.Host.MemoryMB = orDefault(s.Host.MemoryMB, defaultMemoryMB)
+	s.Load.Multiple = orDefault(s.Load.Multiple, defaultLoadMultiple)
+	s.Load.Extra = orDefault(s.Load.Extra, defaultLoadExtra)
+	s.Cold.Multiple = orDefault(s.Cold.Multiple, defaultColdMultiple)
+	s.Retry.Ratio = orDefault(s.Retry.Ratio, defaultRetryRatio)
+	s.Retry.Window = Duration(durationOrDefault(s.Retry.Window, defaultRetryWindow))
+	s.Rollout.Share = orDefault(s.Rollout.Share, defaultRolloutShare)
+	s.Rollout.Rollback = Duration(durationOrDefault(s.Rollout.Rollback, defaultRolloutRollback))
 }
 
 func (c *checker) checkGateway(s *Gateway) {
 	if s.Role != roleGateway {
-		c.say("role", s.Role, `found %q; want "gateway"`, s.Role)
+		c.addProblem("role", s.Role, `found %q; want "gateway"`, s.Role)
 	}
-	c.need("id", s.ID)
-	c.need("data_center", s.DataCenter)
-	c.listen("callers", s.Callers, "tcp")
-	c.listen("ready", s.Ready, "tcp")
+	c.require("id", s.ID)
+	c.require("data_center", s.DataCenter)
+	c.checkListenAddress("callers", s.Callers, "tcp")
+	c.checkListenAddress("ready", s.Ready, "tcp")
 	if s.Metrics != "" {
-		c.listen("metrics", s.Metrics, "tcp")
+		c.checkListenAddress("metrics", s.Metrics, "tcp")
 	}
 	if s.Peers != "" {
-		c.listen("peers", s.Peers, "udp")
+		c.checkListenAddress("peers", s.Peers, "udp")
 	}
 	for _, seed := range s.Seeds {
-		c.address("seeds", seed)
+		c.checkAddress("seeds", seed)
 	}
-	c.address("store", s.Store)
+	c.checkAddress("store", s.Store)
 	if s.Host.Share < 0 || s.Host.Cores < 0 || s.Host.LinkMbps < 0 || s.Host.MemoryMB < 0 {
-		c.say("host", "", "found a negative share, cores, link_mbps or memory_mb; want 0 or more")
+		c.addProblem("host", "", "found a negative share, cores, link_mbps or memory_mb; want 0 or more")
 	}
 	if s.Load.Multiple != 0 && s.Load.Multiple < 1 {
-		c.say("load.multiple", "", "found %v; want 1 or more", s.Load.Multiple)
+		c.addProblem("load.multiple", "", "found %v; want 1 or more", s.Load.Multiple)
 	}
 	if s.Load.Extra < 0 {
-		c.say("load.extra", "", "found %v; want 0 or more", s.Load.Extra)
+		c.addProblem("load.extra", "", "found %v; want 0 or more", s.Load.Extra)
 	}
 	if s.Cold.Multiple < 0 || s.Cold.Extra < 0 {
-		c.say("cold", "", "found a negative multiple or extra; want 0 or more")
+		c.addProblem("cold", "", "found a negative multiple or extra; want 0 or more")
 	}
 	if s.Retry.Ratio < 0 || s.Retry.Slack < 0 {
-		c.say("retry", "", "found a negative ratio or slack; want 0 or more")
+		c.addProblem("retry", "", "found a negative ratio or slack; want 0 or more")
 	}
 	if s.Rollout.Share < 0 || s.Rollout.Share > 1 {
-		c.say("rollout.share", "", "found %v; want a share above 0, and 1 at most", s.Rollout.Share)
+		c.addProblem("rollout.share", "", "found %v; want a share above 0, and 1 at most", s.Rollout.Share)
 	}
 	if s.Rollout.Slack < 0 {
-		c.say("rollout.slack", "", "found %v; want 0 or more requests", s.Rollout.Slack)
+		c.addProblem("rollout.slack", "", "found %v; want 0 or more requests", s.Rollout.Slack)
 	}
 }
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -55,19 +55,19 @@
 				return
 			}
 			is.True(len(problems) > 0)
-			is.True(strings.Contains(problems[0].String(), tc.want)) // names the cure
+			is.True(strings.Contains(problems[0].String(), tc.want)) // says what is wanted
 		})
 	}
 }
 
 var (
-	section = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
-	gap     = regexp.MustCompile(`\{\{([\w.]+)\}\}`)
+	section     = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
+	placeholder = regexp.MustCompile(`\{\{([\w.]+)\}\}`)
 )
 
-// fill fills the gaps of a template as the platform's page says, as far as
-// ours uses it: a section stands if its field is given.
-func fill(t *testing.T, template string, fields map[string]string) string {
+// render renders the subset of the platform's template syntax that the deployment template
+// uses: a section is kept if its field is given.
+func render(t *testing.T, template string, fields map[string]string) string {
 	t.Helper()
 	template = strings.ReplaceAll(template, `{{#seeds}}"{{.}}"{{,}}{{/seeds}}`, `"127.0.0.1:9"`)
 	template = section.ReplaceAllStringFunc(template, func(found string) string {
@@ -77,8 +77,8 @@
 		}
 		return parts[2]
 	})
-	return gap.ReplaceAllStringFunc(template, func(found string) string {
-		name := gap.FindStringSubmatch(found)[1]
+	return placeholder.ReplaceAllStringFunc(template, func(found string) string {
+		name := placeholder.FindStringSubmatch(found)[1]
 		value, given := fields[name]
 		if !given {
 			t.Errorf("the template needs %q", name)
@@ -87,10 +87,10 @@
 	})
 }
 
-// TestTheTemplateOfTheDeployment: every field that the template writes is one
-// that the settings know, and a deployment may leave bounds out.
-func TestTheTemplateOfTheDeployment(t *testing.T) {
-	places := map[string]string{
+// TestDeploymentTemplate checks that the settings know every field that the template writes,
+// and that a deployment may leave out any of the bounds.
+func TestDeploymentTemplate(t *testing.T) {
+	required := map[string]string{
 		"listen.frontend": "127.0.0.1:1", "listen.ready": "127.0.0.1:2", "listen.control": "127.0.0.1:4",
 		"platform.address": "127.0.0.1:3", "ip_address": "127.0.0.1", "internal_ports.0": "5",
 		"node_name": "n", "zone": "z",
@@ -140,9 +140,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.True(len(text) < 64<<10)
-			fields := maps.Clone(places)
+			fields := maps.Clone(required)
 			maps.Copy(fields, tc.bounds)
-			read, problems := settings.ParseGateway("gateway.json", []byte(fill(t, string(text), fields)))
+			read, problems := settings.ParseGateway("gateway.json", []byte(render(t, string(text), fields)))
 			is.Equal(problems, nil)
 			is.Equal(read.Revocation, tc.want.Revocation)
 			is.Equal(read.Grace, tc.want.Grace)
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -15,18 +15,18 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// MarshalJSON writes the duration as it is read.
+// MarshalJSON writes the duration in the form that UnmarshalJSON reads.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// durationError is a time that cannot be read; raw is what the file holds.
+// durationError reports a duration that can't be parsed; raw is the value in the file.
 type durationError struct {
 	raw  string
 	want string
 }
 
-// Error says what was found and what is wanted.
+// Error returns the value found and the form wanted.
 func (e *durationError) Error() string {
 	return fmt.Sprintf("found %s; want %s", e.raw, e.want)
 }
@@ -48,15 +48,15 @@
 	return nil
 }
 
-// Problem is one thing wrong with a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from 1; zero when it is not known.
+	// Line counts from 1; zero means unknown.
 	Line int    `json:"line,omitempty"`
 	Text string `json:"text"`
 }
 
-// String gives file:line: text.
+// String returns the problem as file:line: text.
 func (p Problem) String() string {
 	if p.Line == 0 {
 		return fmt.Sprintf("%s: %s", p.File, p.Text)
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Text)
 }
 
-// Load reads and checks a settings file. All problems come in one error.
+// Load reads and checks a settings file. One error holds all problems.
 func Load(file string) (*Settings, error) {
 	data, err := readFile(file)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return data, nil
 }
 
-// problemsError joins problems to one error; nil for none.
+// problemsError joins problems into one error; nil if there are none.
 func problemsError(problems []Problem) error {
 	if len(problems) == 0 {
 		return nil
@@ -94,7 +94,7 @@
 	return fault.New(fault.BadSettings, fault.NotRun, "%s", strings.Join(lines, "\n"))
 }
 
-// Parse reads settings and lists what is wrong with them.
+// Parse parses settings and returns all problems found.
 func Parse(file string, data []byte) (*Settings, []Problem) {
 	settings := new(Settings)
 	checker, problems := decode(file, data, settings, "docs/SETTINGS.md")
@@ -105,8 +105,8 @@
 	return settings, checker.problems
 }
 
-// decode reads JSON with comments into a struct of settings and returns a
-// checker for what it holds; page is where the fields are explained.
+// decode parses JSON with comments into a struct of settings and returns a checker for the
+// result. page is the document that explains the fields.
 func decode(file string, data []byte, into any, page string) (*checker, []Problem) {
 	standard, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -117,18 +117,18 @@
 	if err := decoder.Decode(into); err != nil {
 		return nil, []Problem{decodeProblem(file, standard, err, decoder.InputOffset(), page)}
 	}
-	return &checker{file: file, text: standard, listens: make(map[string]string)}, nil
+	return &checker{file: file, text: standard, listeners: make(map[string]string)}, nil
 }
 
 var hujsonLine = regexp.MustCompile(`line (\d+)`)
 
 func lineInError(err error) int {
-	found := hujsonLine.FindStringSubmatch(err.Error())
-	if found == nil {
+	match := hujsonLine.FindStringSubmatch(err.Error())
+	if match == nil {
 		return 0
 	}
 	line := 0
-	_, _ = fmt.Sscan(found[1], &line)
+	_, _ = fmt.Sscan(match[1], &line)
 	return line
 }
 
@@ -139,24 +139,24 @@
 
 var unknownField = regexp.MustCompile(`unknown field "([^"]+)"`)
 
-// lineOfValue finds the first field that has a raw value; zero if there is none,
-// or if the value is not UTF-8 and no pattern can hold it.
+// lineOfValue returns the line of the first field with a raw value; zero if there is none, or
+// if the value is not valid UTF-8 and can't be part of a pattern.
 func lineOfValue(text []byte, raw string) int {
 	field, err := regexp.Compile(`:\s*` + regexp.QuoteMeta(raw) + `\s*[,}\]]`)
 	if err != nil {
 		return 0
 	}
-	found := field.FindIndex(text)
-	if found == nil {
+	match := field.FindIndex(text)
+	if match == nil {
 		return 0
 	}
-	return lineAt(text, int64(found[0]))
+	return lineAt(text, int64(match[0]))
 }
 
 func decodeProblem(file string, text []byte, err error, offset int64, page string) Problem {
-	if found := unknownField.FindStringSubmatch(err.Error()); found != nil {
-		at := bytes.Index(text, []byte(`"`+found[1]+`"`))
-		return Problem{File: file, Line: lineAt(text, int64(at)), Text: fmt.Sprintf("unknown field %q; %s lists the known ones", found[1], page)}
+	if match := unknownField.FindStringSubmatch(err.Error()); match != nil {
+		at := bytes.Index(text, []byte(`"`+match[1]+`"`))
+		return Problem{File: file, Line: lineAt(text, int64(at)), Text: fmt.Sprintf("unknown field %q; %s lists the known ones", match[1], page)}
 	}
 	var badTime *durationError
 	if errors.As(err, &badTime) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `// A router.
+const validSettings = `// A router.
 {
   "role": "router",
   "id": "router-0",
@@ -29,8 +29,9 @@
 }
 `
 
-// Each mistake is named with its line, what was found and what is wanted.
-func TestProblems(t *testing.T) {
+// TestProblemTexts checks that each error is reported with its line, the value found and the
+// value wanted.
+func TestProblemTexts(t *testing.T) {
 	tests := map[string]struct {
 		old, changed string
 		want         []string
@@ -52,33 +53,33 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, tt.old, tt.changed, 1)
-			is.True(text != good)
+			text := strings.Replace(validSettings, tt.old, tt.changed, 1)
+			is.True(text != validSettings)
 			_, problems := Parse("s.json", []byte(text))
 			is.True(len(problems) > 0)
-			said := problems[0].String()
+			message := problems[0].String()
 			for _, part := range tt.want {
-				if !strings.Contains(said, part) {
-					t.Errorf("%q does not say %q", said, part)
+				if !strings.Contains(message, part) {
+					t.Errorf("%q does not say %q", message, part)
 				}
 			}
 		})
 	}
 }
 
-// All problems come at once.
-func TestAllProblemsAtOnce(t *testing.T) {
-	text := strings.Replace(strings.Replace(good, `"accra-1"`, `""`, 1), `"127.0.0.1:7010"`, `"x"`, 1)
+// TestAllProblemsAreReported checks that one call reports all problems.
+func TestAllProblemsAreReported(t *testing.T) {
+	text := strings.Replace(strings.Replace(validSettings, `"accra-1"`, `""`, 1), `"127.0.0.1:7010"`, `"x"`, 1)
 	_, problems := Parse("s.json", []byte(text))
 	is.New(t).Equal(len(problems), 2)
 }
 
-func TestGood(t *testing.T) {
-	_, problems := Parse("s.json", []byte(good))
+func TestValidSettings(t *testing.T) {
+	_, problems := Parse("s.json", []byte(validSettings))
 	is.New(t).Equal(len(problems), 0)
 }
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.json")
 	is.New(t).NoErr(err)
 	is.New(t).True(len(files) >= 3)
@@ -88,7 +89,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"role": 1}`))
 	for _, name := range []string{"agent-engine", "agent-service"} {
 		if data, err := os.ReadFile("../../examples/" + name + ".json"); err == nil {
