--- a/internal/external/fakehosts/hosts.go
+++ b/internal/external/fakehosts/hosts.go
@@ -1,4 +1,4 @@
-// Package fakehosts is a small stand-in for the platform's list of hosts.
+// Package fakehosts is a small fake of the platform's list of hosts.
 package fakehosts
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/capersaddle/capersaddle/internal/external"
 )
 
-// Hosts is the stand-in.
+// Hosts is the fake list.
 type Hosts struct {
 	mu    sync.Mutex
 	hosts []external.Host
 }
 
-// New returns a list with the given hosts, all live.
+// New returns a list of the given hosts, all live.
 func New(ids ...string) *Hosts {
 	h := &Hosts{}
 	for _, id := range ids {
@@ -26,7 +26,7 @@
 	return h
 }
 
-// SetState changes one host's state.
+// SetState changes the state of one host.
 func (h *Hosts) SetState(id string, state external.HostState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,15 +37,15 @@
 	}
 }
 
-// List gives the list.
+// List returns the list.
 func (h *Hosts) List(context.Context) ([]external.Host, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.hosts), nil
 }
 
-// Handler serves the list over HTTP, and POST /state to change it:
-// {"id": "host-1", "state": "leaving"}.
+// Handler serves the list over HTTP, and POST /state to change it: {"id": "host-1", "state":
+// "leaving"}.
 func (h *Hosts) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/hosts", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/external/fakestore/http.go
+++ b/internal/external/fakestore/http.go
@@ -14,8 +14,8 @@
 	"github.com/capersaddle/capersaddle/internal/external"
 )
 
-// Handler serves the store over HTTP, and POST /fault to switch faults:
-// {"away": true}.
+// Handler serves the store over HTTP, and POST /fault to switch faults on and off: {"away":
+// true}.
 func (s *Store) Handler() http.Handler {
 	mux := chi.NewRouter()
 	mux.Get("/v1/kv/{key}", s.serveGet)
@@ -37,7 +37,7 @@
 	watch := r.URL.Query().Get("watch")
 	if watch == "" {
 		value, err := s.Get(r.Context(), keyOf(r))
-		answer(w, value, err)
+		writeResult(w, value, err)
 		return
 	}
 	known, err := strconv.ParseUint(watch, 10, 64)
@@ -46,7 +46,7 @@
 		return
 	}
 	value, err := s.Watch(r.Context(), keyOf(r), known)
-	answer(w, value, err)
+	writeResult(w, value, err)
 }
 
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
@@ -61,11 +61,11 @@
 		return
 	}
 	version, err := s.Put(r.Context(), keyOf(r), data, base)
-	answer(w, external.Value{Version: version}, err)
+	writeResult(w, external.Value{Version: version}, err)
 }
 
 func (s *Store) serveDelete(w http.ResponseWriter, r *http.Request) {
-	answer(w, external.Value{}, s.Delete(r.Context(), keyOf(r)))
+	writeResult(w, external.Value{}, s.Delete(r.Context(), keyOf(r)))
 }
 
 func (s *Store) serveFault(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +81,7 @@
 	s.LoseAnswers(fault.LoseAnswers)
 }
 
-func answer(w http.ResponseWriter, value external.Value, err error) {
+func writeResult(w http.ResponseWriter, value external.Value, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set(external.VersionHeader, strconv.FormatUint(value.Version, 10))
--- a/internal/external/fakestore/store.go
+++ b/internal/external/fakestore/store.go
@@ -1,6 +1,6 @@
-// Package fakestore is a small stand-in for the platform's key-value service:
-// compare-and-swap, watches, outage, slowness, lost answers, a rate limit and
-// a count of calls. It serves tests in-process and others over HTTP.
+// Package fakestore is a small fake of the platform's key-value service: compare-and-swap,
+// watches, outages, slow calls, lost responses, a rate limit and a count of calls. It serves
+// tests in-process and other processes over HTTP.
 package fakestore
 
 import (
@@ -16,34 +16,34 @@
 	"github.com/capersaddle/capersaddle/internal/external"
 )
 
-// ErrAway is what a call meets during an outage.
-var ErrAway = errors.New("store is away")
+// ErrAway is the error of calls during an outage.
+var ErrAway = errors.New("store is unavailable")
 
-// ErrLost is what a caller sees when the answer got lost.
-var ErrLost = errors.New("store's answer was lost")
+// ErrLost is the error of a call whose response is lost.
+var ErrLost = errors.New("store's response was lost")
 
-// ErrRate is what a call over the rate limit meets.
-var ErrRate = errors.New("store's rate is exceeded")
+// ErrRate is the error of a call over the rate limit.
+var ErrRate = errors.New("store's rate limit is exceeded")
 
-// Counts are the calls so far.
+// Counts holds the number of calls so far.
 type Counts struct {
 	Reads   int
 	Writes  int
 	Watches int
 }
 
-// Store is the stand-in.
+// Store is the fake store.
 type Store struct {
 	mu      sync.Mutex
 	values  map[string]external.Value
 	changed chan struct{}
 	away    bool
-	slow    time.Duration
-	// lose is how many of the next writes take effect but lose their answer.
-	lose   int
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	counts Counts
+	delay   time.Duration
+	// lostAnswers is the number of next writes that take effect but lose their response.
+	lostAnswers int
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	counts      Counts
 }
 
 // New returns an empty store without limits.
@@ -56,7 +56,7 @@
 	}
 }
 
-// SetRates limits reads and writes a second.
+// SetRates limits the reads and writes per second.
 func (s *Store) SetRates(reads, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,29 +64,29 @@
 	s.writes = rate.NewLimiter(rate.Limit(writes), writes)
 }
 
-// SetAway begins or ends an outage; waiting watches fail when it begins.
+// SetAway starts or ends an outage; waiting watches fail when it starts.
 func (s *Store) SetAway(away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.away = away
-	s.wake()
+	s.wakeWatches()
 }
 
 // SetSlow delays each call.
 func (s *Store) SetSlow(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = delay
+	s.delay = delay
 }
 
-// LoseAnswers lets the next n writes take effect without an answer.
+// LoseAnswers makes the next n writes take effect without a response.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.lostAnswers = n
 }
 
-// Counts returns the calls so far.
+// Counts returns the number of calls so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,25 +100,25 @@
 	return maps.Clone(s.values)
 }
 
-// Restore puts the store back to an older state.
+// Restore resets the store to an older state.
 func (s *Store) Restore(values map[string]external.Value) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.values = maps.Clone(values)
-	s.wake()
+	s.wakeWatches()
 }
 
-// wake lets all watches look again; s.mu is held.
-func (s *Store) wake() {
+// wakeWatches makes all watches check their key again; s.mu is held.
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts a call and meets it with what is wrong with the store.
-func (s *Store) begin(ctx context.Context, counter *int, limiter *rate.Limiter) error {
+// startCall counts a call and applies the store's faults to it.
+func (s *Store) startCall(ctx context.Context, counter *int, limiter *rate.Limiter) error {
 	s.mu.Lock()
 	*counter++
-	away, slow := s.away, s.slow
+	away, slow := s.away, s.delay
 	s.mu.Unlock()
 	if away {
 		return ErrAway
@@ -141,7 +141,7 @@
 
 // Get reads a value.
 func (s *Store) Get(ctx context.Context, key string) (external.Value, error) {
-	if err := s.begin(ctx, &s.counts.Reads, s.reads); err != nil {
+	if err := s.startCall(ctx, &s.counts.Reads, s.reads); err != nil {
 		return external.Value{}, err
 	}
 	s.mu.Lock()
@@ -153,13 +153,13 @@
 	return value, nil
 }
 
-// Put writes a value over a known version.
+// Put writes a value if the key's version is base.
 func (s *Store) Put(ctx context.Context, key string, data []byte, base uint64) (uint64, error) {
-	if err := s.begin(ctx, &s.counts.Writes, s.writes); err != nil {
+	if err := s.startCall(ctx, &s.counts.Writes, s.writes); err != nil {
 		return 0, err
 	}
 	if len(data) > external.MaxValue {
-		return 0, errors.Newf("value of %d bytes is over %d", len(data), external.MaxValue)
+		return 0, errors.Newf("value of %d bytes exceeds the limit of %d", len(data), external.MaxValue)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,9 +168,9 @@
 		return 0, external.ErrVersion
 	}
 	s.values[key] = external.Value{Data: slices.Clone(data), Version: known + 1}
-	s.wake()
-	if s.lose > 0 {
-		s.lose--
+	s.wakeWatches()
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return 0, ErrLost
 	}
 	return known + 1, nil
@@ -178,19 +178,19 @@
 
 // Delete removes a value.
 func (s *Store) Delete(ctx context.Context, key string) error {
-	if err := s.begin(ctx, &s.counts.Writes, s.writes); err != nil {
+	if err := s.startCall(ctx, &s.counts.Writes, s.writes); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.values, key)
-	s.wake()
+	s.wakeWatches()
 	return nil
 }
 
 // Watch waits until the key's version differs from known.
 func (s *Store) Watch(ctx context.Context, key string, known uint64) (external.Value, error) {
-	if err := s.begin(ctx, &s.counts.Watches, s.reads); err != nil {
+	if err := s.startCall(ctx, &s.counts.Watches, s.reads); err != nil {
 		return external.Value{}, err
 	}
 	for {
--- a/internal/external/fakeweights/weights.go
+++ b/internal/external/fakeweights/weights.go
@@ -1,5 +1,5 @@
-// Package fakeweights is a small stand-in for the platform's weight store: it
-// gives a model's weights, at a limited rate.
+// Package fakeweights is a small fake of the platform's weight store: it serves a model's
+// weights at a limited rate.
 package fakeweights
 
 import (
@@ -10,10 +10,10 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrRate is what a fetch over the limit meets.
-var ErrRate = errors.New("weight store's rate is exceeded")
+// ErrRate is the error of a fetch over the limit.
+var ErrRate = errors.New("weight store's rate limit is exceeded")
 
-// Weights is the stand-in.
+// Weights is the fake weight store.
 type Weights struct {
 	limiter *rate.Limiter
 
@@ -22,12 +22,12 @@
 	refused int
 }
 
-// New returns a store that bears so many fetches a second.
+// New returns a store that allows a number of fetches per second.
 func New(perSecond float64) *Weights {
 	return &Weights{limiter: rate.NewLimiter(rate.Limit(perSecond), 1), fetched: make(map[string]int)}
 }
 
-// Fetch gives a model's weights, of which nothing is kept but the count.
+// Fetch counts a fetch of a model's weights; it transfers no data.
 func (w *Weights) Fetch(model string) error {
 	allowed := w.limiter.Allow()
 	w.mu.Lock()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Refused counts the fetches over the limit.
+// Refused returns the number of fetches over the limit.
 func (w *Weights) Refused() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/external/httpstore.go
+++ b/internal/external/httpstore.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// VersionHeader carries a value's version.
+	// VersionHeader is the header with a value's version.
 	VersionHeader = "Capersaddle-Store-Version"
-	// MaxValue bounds one stored value, in bytes.
+	// MaxValue limits one stored value, in bytes.
 	MaxValue = 1 << 20
 )
 
-// HTTPStore speaks to the key-value service over HTTP.
+// HTTPStore is a client of the key-value service over HTTP.
 type HTTPStore struct {
 	// Base is the service's address, http://IP:port.
 	Base   string
@@ -34,7 +34,7 @@
 	return address + "?" + query.Encode()
 }
 
-// call makes one request and maps the statuses that settle it.
+// call sends one request and maps the status codes with a definite outcome to errors.
 func (s *HTTPStore) call(ctx context.Context, method, address string, body []byte) (Value, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
@@ -67,7 +67,7 @@
 	return s.call(ctx, http.MethodGet, s.address(key, nil), nil)
 }
 
-// Put writes a value over a known version.
+// Put writes a value if the key's version is base.
 func (s *HTTPStore) Put(ctx context.Context, key string, data []byte, base uint64) (uint64, error) {
 	query := url.Values{"base": {strconv.FormatUint(base, 10)}}
 	value, err := s.call(ctx, http.MethodPut, s.address(key, query), data)
@@ -80,7 +80,7 @@
 	return err
 }
 
-// Watch waits for another version.
+// Watch waits until the key's version differs from known.
 func (s *HTTPStore) Watch(ctx context.Context, key string, known uint64) (Value, error) {
 	query := url.Values{"watch": {strconv.FormatUint(known, 10)}}
 	return s.call(ctx, http.MethodGet, s.address(key, query), nil)
--- a/internal/external/platform.go
+++ b/internal/external/platform.go
@@ -1,6 +1,6 @@
-// Package external holds what the system asks of the platform: a small
-// key-value store, a lagging list of hosts and a weight store. The adapters
-// here are thin; the stand-ins are in the packages beneath.
+// Package external defines the interfaces to the platform: a small key-value store, a lagging
+// list of hosts and a weight store. The adapters here are thin; the fakes are in the packages
+// below.
 package external
 
 import (
@@ -9,34 +9,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of the store that settle a call: nothing was changed. After any other
-// error of Put or Delete, the change may have taken effect.
+// Errors of the store after which nothing was changed. After any other error of Put or Delete,
+// the change may have taken effect.
 var (
-	// ErrNotFound says that the key has no value.
+	// ErrNotFound reports that the key has no value.
 	ErrNotFound = errors.New("key not found")
-	// ErrVersion says that the value's version is not the expected one.
+	// ErrVersion reports that the value's version is not the expected one.
 	ErrVersion = errors.New("version does not match")
 )
 
-// Value is a stored value and its version, which rises with each change.
+// Value is a stored value with its version, which rises with each change.
 type Value struct {
 	Data    []byte
 	Version uint64
 }
 
-// Store is the platform's key-value service. Each call counts against its
-// rate, and so does a waiting watch.
+// Store is the platform's key-value service. Each call counts against its rate limit, and so
+// does a waiting watch.
 type Store interface {
 	Get(ctx context.Context, key string) (Value, error)
-	// Put writes if the key's version is base (zero: the key is absent) and
-	// returns the new version.
+	// Put writes the value if the key's version is base (zero: the key is absent) and returns
+	// the new version.
 	Put(ctx context.Context, key string, data []byte, base uint64) (uint64, error)
 	Delete(ctx context.Context, key string) error
 	// Watch waits until the key's version differs from known.
 	Watch(ctx context.Context, key string, known uint64) (Value, error)
 }
 
-// HostState is the platform's word on one host; it lags.
+// HostState is the state of a host as the platform reports it; it lags.
 type HostState string
 
 // The states of the host list.
--- a/internal/target/chat.go
+++ b/internal/target/chat.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ChatBody is the part of an OpenAI chat completions request that the system
-// reads; the rest passes through untouched.
+// ChatBody holds the fields of an OpenAI chat completions request that the system reads; the
+// other fields are passed through unchanged.
 type ChatBody struct {
 	Model    string        `json:"model"`
 	Messages []ChatMessage `json:"messages"`
 	Stream   bool          `json:"stream"`
-	// StreamOptions is nil when absent.
+	// StreamOptions is nil if absent.
 	StreamOptions *StreamOptions `json:"stream_options"`
 	MaxTokens     int            `json:"max_tokens"`
 	// MaxCompletionTokens is the newer name of MaxTokens.
 	MaxCompletionTokens int    `json:"max_completion_tokens"`
 	User                string `json:"user"`
-	// PromptCacheKey, when given, names the chat for affinity.
+	// PromptCacheKey, if given, identifies the chat for session affinity.
 	PromptCacheKey string `json:"prompt_cache_key"`
 }
 
@@ -28,13 +28,13 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// ChatMessage is one message; content may be a string or a list of parts.
+// ChatMessage is one message; its content may be a string or a list of parts.
 type ChatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// ParseChat reads the known fields and checks that there is something to do.
+// ParseChat parses the known fields and checks that the model and the messages are given.
 func ParseChat(body []byte) (ChatBody, error) {
 	var chat ChatBody
 	if err := json.Unmarshal(body, &chat); err != nil {
@@ -49,7 +49,7 @@
 	return chat, nil
 }
 
-// Limit is the most tokens the caller wants; zero when not said.
+// Limit returns the maximum number of tokens that the caller wants; zero if not set.
 func (c *ChatBody) Limit() int {
 	if c.MaxCompletionTokens > 0 {
 		return c.MaxCompletionTokens
@@ -57,7 +57,7 @@
 	return c.MaxTokens
 }
 
-// Text is a message's content as plain text.
+// Text returns the content of a message as plain text.
 func (m *ChatMessage) Text() string {
 	var text string
 	if json.Unmarshal(m.Content, &text) == nil {
--- a/internal/target/fakeengine/cache.go
+++ b/internal/target/fakeengine/cache.go
@@ -12,28 +12,28 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// blockTokens is the size of one cached block.
+// blockTokens is the size of one cached block, in tokens.
 const blockTokens = 16
 
-// prefixCache keeps hashes of token blocks, least recently used out first.
+// prefixCache holds hashes of token blocks and evicts the least recently used ones.
 type prefixCache struct {
 	mu     sync.Mutex
 	limit  int
 	order  *list.List
 	blocks map[uint64]*list.Element
-	// requests are the blocks of answered requests, for exports and events.
+	// requests maps answered requests to their blocks, for exports and events.
 	requests map[string][]uint64
-	// ending names the request whose last block a block is: without it the
-	// request's prefix is no longer whole.
-	ending map[uint64]string
-	events eventLog
+	// requestByLastBlock maps a block to the request that it completes: without its last block,
+	// the request's prefix is incomplete.
+	requestByLastBlock map[uint64]string
+	events             eventLog
 }
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), blocks: make(map[uint64]*list.Element), requests: make(map[string][]uint64), ending: make(map[uint64]string)}
+	return &prefixCache{limit: limit, order: list.New(), blocks: make(map[uint64]*list.Element), requests: make(map[string][]uint64), requestByLastBlock: make(map[uint64]string)}
 }
 
-// blockHashes chains the whole blocks of a prompt.
+// blockHashes returns the chained hashes of the full blocks of a prompt.
 func blockHashes(tokens []string) []uint64 {
 	hashes := make([]uint64, 0, len(tokens)/blockTokens)
 	digest := xxhash.New()
@@ -47,7 +47,7 @@
 	return hashes
 }
 
-// match counts the leading tokens that are cached and marks them as used.
+// match returns the number of leading tokens that are cached, and marks their blocks as used.
 func (c *prefixCache) match(tokens []string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	hashes := blockHashes(tokens)
 	if len(hashes) > 0 {
 		c.requests[request] = hashes
-		c.ending[hashes[len(hashes)-1]] = request
+		c.requestByLastBlock[hashes[len(hashes)-1]] = request
 		c.events.add(target.CacheEvent{RequestID: request})
 	}
 	for i := len(hashes) - 1; i >= 0; i-- {
@@ -77,7 +77,7 @@
 	}
 }
 
-// add puts one block first; c.mu is held.
+// add adds one block as the most recently used; c.mu is held.
 func (c *prefixCache) add(hash uint64) {
 	if element, ok := c.blocks[hash]; ok {
 		c.order.MoveToFront(element)
@@ -87,18 +87,18 @@
 	for c.order.Len() > c.limit {
 		last := c.order.Back()
 		c.order.Remove(last)
-		c.evicted(last.Value.(uint64))
+		c.evict(last.Value.(uint64))
 	}
 }
 
-// evicted forgets a block, and the request that ended with it.
-func (c *prefixCache) evicted(hash uint64) {
+// evict removes a block, and the request whose last block it is.
+func (c *prefixCache) evict(hash uint64) {
 	delete(c.blocks, hash)
-	request, ok := c.ending[hash]
+	request, ok := c.requestByLastBlock[hash]
 	if !ok {
 		return
 	}
-	delete(c.ending, hash)
+	delete(c.requestByLastBlock, hash)
 	delete(c.requests, request)
 	c.events.add(target.CacheEvent{RequestID: request, Evicted: true})
 }
@@ -117,7 +117,7 @@
 	return errors.Wrap(json.NewEncoder(into).Encode(hashes), "write export")
 }
 
-func (c *prefixCache) load(from io.Reader) error {
+func (c *prefixCache) importBlocks(from io.Reader) error {
 	var hashes []uint64
 	if err := json.NewDecoder(from).Decode(&hashes); err != nil {
 		return errors.Wrap(err, "read export")
--- a/internal/target/fakeengine/engine.go
+++ b/internal/target/fakeengine/engine.go
@@ -1,7 +1,7 @@
-// Package fakeengine is a small stand-in for a model engine: continuous
-// batching with a step time, a limited prefix cache, priorities, resume at an
-// offset, cancel, KV export and import, fenced orders and faults by call. The
-// same core serves in-process tests under virtual time and HTTP.
+// Package fakeengine is a small fake of a model engine: continuous batching with a step time, a
+// limited prefix cache, priorities, resumption at an offset, cancellation, KV export and
+// import, orders with fencing tokens and faults injected by request. The same core serves
+// in-process tests under virtual time and HTTP.
 package fakeengine
 
 import (
@@ -16,29 +16,29 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// Options are the engine's size and speed.
+// Options configures the size and speed of the engine.
 type Options struct {
 	Name string
-	// Step is the time of one batch step; each running answer gains a piece.
+	// Step is the duration of one batch step, in which each running answer gains a piece.
 	Step time.Duration
-	// Batch is how many answers run in one step.
+	// Batch is the number of answers that run in one step.
 	Batch int
-	// PrefillPerStep is how many uncached prompt tokens one step takes in.
+	// PrefillPerStep is the number of uncached prompt tokens that one step processes.
 	PrefillPerStep int
-	// CacheBlocks bounds the prefix cache, in blocks of blockTokens.
+	// CacheBlocks limits the prefix cache, in blocks of blockTokens.
 	CacheBlocks int
-	// Lag is how late load reports and cache events are.
+	// Lag is the delay of load reports and cache events.
 	Lag time.Duration
-	// Fetch, when set, gets a model's weights when one is to be loaded.
+	// Fetch, if set, fetches the weights of a model that is to be loaded.
 	Fetch func(model string) error
-	// ChecksFence says that orders with a lower token are refused.
+	// ChecksFence enables the refusal of orders with a lower token than an earlier one.
 	ChecksFence bool
-	// Log, when set, is told of each answer begun and ended.
+	// Log, if set, is called with a line for each answer that starts or ends.
 	Log func(line string)
 }
 
-// Defaults fill what is left at zero.
-func (o *Options) defaults() {
+// setDefaults sets the options that are zero.
+func (o *Options) setDefaults() {
 	if o.Step == 0 {
 		o.Step = 5 * time.Millisecond
 	}
@@ -56,22 +56,22 @@
 	}
 }
 
-// Engine is the stand-in.
+// Engine is the fake engine.
 type Engine struct {
 	options Options
 	cache   *prefixCache
 
-	mu      sync.Mutex
-	running []*sequence
-	stepped bool
-	faults  []Fault
-	fence   uint64
-	models  map[string]bool
-	// reports are the newest one that is older than the lag, and later ones.
+	mu       sync.Mutex
+	running  []*sequence
+	stepping bool
+	faults   []Fault
+	fence    uint64
+	models   map[string]bool
+	// reports holds the newest report that is older than the lag, and later ones.
 	reports []timedReport
 	// loads counts the models loaded.
 	loads int
-	// runs lists the request ids that began, in order.
+	// runs lists the ids of the requests started, in order.
 	runs   []string
 	wait   sync.WaitGroup
 	closed bool
@@ -79,7 +79,7 @@
 
 // New returns an engine that has loaded the given models.
 func New(options Options, models ...string) *Engine {
-	options.defaults()
+	options.setDefaults()
 	loaded := make(map[string]bool)
 	for _, model := range models {
 		loaded[model] = true
@@ -87,7 +87,7 @@
 	return &Engine{options: options, cache: newPrefixCache(options.CacheBlocks), models: loaded}
 }
 
-// Generate begins an answer.
+// Generate starts an answer.
 func (e *Engine) Generate(ctx context.Context, request target.GenerateRequest) (target.Generation, error) {
 	chat, err := target.ParseChat(request.Body)
 	if err != nil {
@@ -116,24 +116,24 @@
 	return seq, nil
 }
 
-// SetStep changes the time of a step, from the next time the engine rests.
+// SetStep changes the duration of a step, from the next time that the engine is idle.
 func (e *Engine) SetStep(step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.options.Step = step
 }
 
-// ensureStepping starts the batch loop if it rests; e.mu is held.
+// ensureStepping starts the batch loop if it is idle; e.mu is held.
 func (e *Engine) ensureStepping() {
-	if e.stepped {
+	if e.stepping {
 		return
 	}
-	e.stepped = true
-	e.wait.Go(e.steps)
+	e.stepping = true
+	e.wait.Go(e.runBatches)
 }
 
-// steps runs batch steps until nothing is left to run.
-func (e *Engine) steps() {
+// runBatches runs batch steps until no answer is left.
+func (e *Engine) runBatches() {
 	e.mu.Lock()
 	step := e.options.Step
 	e.mu.Unlock()
@@ -146,60 +146,60 @@
 	}
 }
 
-// step gives one piece to each running answer, lowest priority number first.
+// step generates one piece of each running answer, lowest priority number first.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	budget := e.options.PrefillPerStep
-	left := e.options.Batch
+	freeSlots := e.options.Batch
 	kept := e.running[:0]
-	for _, seq := range byPriority(e.running) {
+	for _, seq := range sortByPriority(e.running) {
 		if seq.ctx.Err() != nil {
 			seq.end(context.Cause(seq.ctx))
 			e.options.Log(e.options.Name + " cancels " + seq.id)
 			continue
 		}
-		if left == 0 || seq.fault.Hang {
+		if freeSlots == 0 || seq.fault.Hang {
 			kept = append(kept, seq)
 			continue
 		}
-		left--
+		freeSlots--
 		if e.advance(seq, &budget) {
 			kept = append(kept, seq)
 		}
 	}
 	e.running = kept
 	if len(kept) == 0 {
-		e.stepped = false
+		e.stepping = false
 		return false
 	}
 	return true
 }
 
-// advance moves one answer by a step; false when it has ended.
+// advance advances one answer by a step; it returns false once the answer has ended.
 func (e *Engine) advance(seq *sequence, budget *int) bool {
 	if seq.fault.LateSteps > 0 {
 		seq.fault.LateSteps--
 		return true
 	}
 	if seq.prefill > 0 {
-		taken := min(seq.prefill, *budget)
-		seq.prefill -= taken
-		*budget -= taken
+		tokens := min(seq.prefill, *budget)
+		seq.prefill -= tokens
+		*budget -= tokens
 		return true
 	}
-	if seq.fault.CutAfter > 0 && seq.made >= seq.fault.CutAfter {
+	if seq.fault.CutAfter > 0 && seq.generated >= seq.fault.CutAfter {
 		seq.end(errors.Wrap(target.ErrCut, "fault: cut"))
 		return false
 	}
 	if seq.next < seq.total {
-		seq.give(target.Piece{Index: seq.next, Text: seq.text(seq.next)})
+		seq.emit(target.Piece{Index: seq.next, Text: seq.text(seq.next)})
 		seq.next++
-		seq.made++
+		seq.generated++
 		return true
 	}
-	e.cache.insert(seq.id, append(seq.prompt, seq.allTokens()...))
-	seq.give(target.Piece{Index: seq.total, Finish: seq.finishReason(), Usage: target.Usage{
+	e.cache.insert(seq.id, append(seq.prompt, seq.answerTokens()...))
+	seq.emit(target.Piece{Index: seq.total, Finish: seq.finishReason(), Usage: target.Usage{
 		PromptTokens:     int64(len(seq.prompt)),
 		CompletionTokens: seq.total,
 		CachedTokens:     seq.cached,
@@ -222,7 +222,7 @@
 	return e.reports[0].report, nil
 }
 
-// timedReport is a load report and when it was true.
+// timedReport is a load report with the time at which it was taken.
 type timedReport struct {
 	at     time.Time
 	report target.LoadReport
@@ -264,19 +264,19 @@
 	return e.cache.export(requestIDs, into)
 }
 
-// ImportKV reads prefixes exported elsewhere.
+// ImportKV reads prefixes that another engine has exported.
 func (e *Engine) ImportKV(_ context.Context, from io.Reader) error {
-	return e.cache.load(from)
+	return e.cache.importBlocks(from)
 }
 
-// Loads counts the models loaded so far.
+// Loads returns the number of models loaded so far.
 func (e *Engine) Loads() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loads
 }
 
-// Runs lists the request ids begun so far, in order.
+// Runs returns the ids of the requests started so far, in order.
 func (e *Engine) Runs() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/target/fakeengine/fault.go
+++ b/internal/target/fakeengine/fault.go
@@ -1,25 +1,25 @@
 package fakeengine
 
-// Fault is what goes wrong with one call; the zero value is no fault.
+// Fault describes a failure of one request; the zero value is no failure.
 type Fault struct {
-	// Refuse answers with an error before anything runs.
+	// Refuse fails the request before anything runs.
 	Refuse bool `json:"refuse"`
-	// Hang takes the call and never gives a piece.
+	// Hang accepts the request and never generates a piece.
 	Hang bool `json:"hang"`
-	// LateSteps waits so many steps before the first piece.
+	// LateSteps is the number of steps to wait before the first piece.
 	LateSteps int `json:"late_steps"`
-	// CutAfter breaks the stream after so many pieces of this call.
+	// CutAfter is the number of this request's pieces after which the stream breaks.
 	CutAfter int `json:"cut_after"`
 }
 
-// Inject queues faults; each of the next calls takes one.
+// Inject queues faults; each of the next requests takes one.
 func (e *Engine) Inject(faults ...Fault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = append(e.faults, faults...)
 }
 
-// nextFault takes the next queued fault; e.mu is held.
+// nextFault removes and returns the next queued fault; e.mu is held.
 func (e *Engine) nextFault() Fault {
 	if len(e.faults) == 0 {
 		return Fault{}
--- a/internal/target/fakeengine/http.go
+++ b/internal/target/fakeengine/http.go
@@ -13,10 +13,10 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// maxBody bounds a request body, in bytes.
+// maxBody limits a request body, in bytes.
 const maxBody = 8 << 20
 
-// Handler serves the engine over HTTP in the OpenAI form.
+// Handler serves the engine over HTTP in the form of the OpenAI API.
 func (e *Engine) Handler() http.Handler {
 	mux := chi.NewRouter()
 	mux.Post("/v1/chat/completions", e.serveChat)
@@ -60,7 +60,7 @@
 	stream(w, extension.RequestID, generation)
 }
 
-// stream writes pieces as events; a cut breaks the connection.
+// stream writes pieces as events; a cut stream breaks the connection.
 func stream(w http.ResponseWriter, id string, generation target.Generation) {
 	flusher := http.NewResponseController(w)
 	_ = flusher.Flush()
--- a/internal/target/fakeengine/sequence.go
+++ b/internal/target/fakeengine/sequence.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// defaultPieces and spreadPieces give an answer's length when the caller
-	// sets no limit: defaultPieces + hash % spreadPieces.
+	// defaultPieces and pieceSpread set the length of an answer if the caller sets no limit:
+	// defaultPieces + hash % pieceSpread.
 	defaultPieces = 12
-	spreadPieces  = 12
-	// pieceBuffer is how many pieces wait for a slow reader.
+	pieceSpread   = 12
+	// pieceBuffer is the number of pieces buffered for a slow reader.
 	pieceBuffer = 4096
 )
 
@@ -26,8 +26,8 @@
 	"paid", "due", "checked", "report", "phase", "load", "kitchen", "total",
 }
 
-// sequence is one answer. Its text depends only on the prompt and the index,
-// so that any engine can resume it at an offset.
+// sequence is one answer. Its text depends only on the prompt and the index, so that any engine
+// can resume it at an offset.
 type sequence struct {
 	id       string
 	ctx      context.Context
@@ -39,11 +39,11 @@
 	limited  bool
 	fault    Fault
 
-	// prefill, next, made and cached belong to the engine's batch loop.
-	prefill int
-	next    int64
-	made    int
-	cached  int64
+	// prefill, next, generated and cached belong to the engine's batch loop.
+	prefill   int
+	next      int64
+	generated int
+	cached    int64
 
 	pieces chan target.Piece
 	ended  chan struct{}
@@ -53,7 +53,7 @@
 func newSequence(ctx context.Context, chat target.ChatBody, request target.GenerateRequest) *sequence {
 	prompt := promptTokens(chat)
 	seed := xxhash.Sum64String(strings.Join(prompt, " "))
-	total := int64(defaultPieces + seed%spreadPieces)
+	total := int64(defaultPieces + seed%pieceSpread)
 	limited := false
 	if limit := int64(chat.Limit()); limit > 0 {
 		total = limit
@@ -91,7 +91,7 @@
 	return " " + word
 }
 
-func (s *sequence) allTokens() []string {
+func (s *sequence) answerTokens() []string {
 	tokens := make([]string, 0, s.total)
 	for i := range s.total {
 		tokens = append(tokens, strings.TrimSpace(s.text(i)))
@@ -106,8 +106,8 @@
 	return "stop"
 }
 
-// give hands a piece on; an answer that nobody reads is cancelled.
-func (s *sequence) give(piece target.Piece) {
+// emit passes a piece to the reader; an answer that is not read in time is cancelled.
+func (s *sequence) emit(piece target.Piece) {
 	select {
 	case s.pieces <- piece:
 	default:
@@ -135,7 +135,7 @@
 	}
 }
 
-// drain gives what was made before the end, then the end itself.
+// drain returns the pieces generated before the end, then the final error.
 func (s *sequence) drain() (target.Piece, error) {
 	select {
 	case piece := <-s.pieces:
@@ -154,8 +154,8 @@
 	return nil
 }
 
-// byPriority orders answers by priority, keeping their order within one.
-func byPriority(running []*sequence) []*sequence {
+// sortByPriority returns the answers ordered by priority; the order within a priority is kept.
+func sortByPriority(running []*sequence) []*sequence {
 	ordered := slices.Clone(running)
 	slices.SortStableFunc(ordered, func(a, b *sequence) int {
 		return cmp.Compare(a.priority, b.priority)
--- a/internal/target/fakeservice/service.go
+++ b/internal/target/fakeservice/service.go
@@ -1,6 +1,5 @@
-// Package fakeservice is a small stand-in for one server of a plain service.
-// It keeps a log of every effect, which tests hold against what callers were
-// told.
+// Package fakeservice is a small fake of one server of a plain service. It records every
+// effect, which tests compare with the responses that callers received.
 package fakeservice
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/capersaddle/capersaddle/internal/wait"
 )
 
-// Effect is one call that took effect.
+// Effect is one request that took effect.
 type Effect struct {
 	Key    string
 	Method string
@@ -26,22 +25,22 @@
 	Body   string
 }
 
-// Fault is what goes wrong with one call; the zero value is no fault.
+// Fault describes a failure of one request; the zero value is no failure.
 type Fault struct {
-	// Refuse answers as if nothing could be connected to.
+	// Refuse fails the request as if the connection had been refused.
 	Refuse bool
 	// LoseAnswer takes effect, then breaks the connection.
 	LoseAnswer bool
-	// Delay waits before the effect.
+	// Delay is the time to wait before the effect.
 	Delay time.Duration
-	// Before, when set, waits before the effect until it is closed, whatever
-	// becomes of the caller.
+	// Before, if set, blocks the request before its effect until the channel is closed, even if
+	// the caller has gone.
 	Before chan struct{}
-	// Hold, when set, waits after the effect until it is closed.
+	// Hold, if set, blocks the request after its effect until the channel is closed.
 	Hold chan struct{}
 }
 
-// Server is the stand-in.
+// Server is the fake server.
 type Server struct {
 	name string
 	log  func(line string)
@@ -51,7 +50,7 @@
 	faults  []Fault
 }
 
-// New returns a server; log, when set, is told of each effect.
+// New returns a server; log, if set, is called with a line for each effect.
 func New(name string, log func(line string)) *Server {
 	if log == nil {
 		log = func(string) {}
@@ -59,21 +58,21 @@
 	return &Server{name: name, log: log}
 }
 
-// Inject queues faults; each of the next calls takes one.
+// Inject queues faults; each of the next requests takes one.
 func (s *Server) Inject(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
 }
 
-// Effects lists what took effect, in order.
+// Effects returns the effects so far, in order.
 func (s *Server) Effects() []Effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Effect(nil), s.effects...)
 }
 
-// Do takes a call.
+// Do runs a request, with the next queued fault.
 func (s *Server) Do(ctx context.Context, request target.ServiceRequest) (target.ServiceResponse, error) {
 	fault := s.nextFault()
 	if fault.Refuse {
--- a/internal/target/httpengine.go
+++ b/internal/target/httpengine.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// maxEvent bounds one event of an engine's stream, in bytes.
+	// maxEvent limits one event of an engine's stream, in bytes.
 	maxEvent = 1 << 20
-	// doneEvent is the data of the event that closes a whole stream.
+	// doneEvent is the data of the event that ends a complete stream.
 	doneEvent = "[DONE]"
 )
 
-// Extension is what the adapter adds to the caller's JSON for the engine.
+// Extension holds the fields that the adapter adds to the caller's JSON for the engine.
 type Extension struct {
 	RequestID string `json:"request_id"`
 	Offset    int64  `json:"offset,omitempty"`
@@ -38,14 +38,14 @@
 	Usage   *ChunkUsage   `json:"usage,omitempty"`
 }
 
-// ChunkChoice is the one choice of a chunk.
+// ChunkChoice is the only choice of a chunk.
 type ChunkChoice struct {
 	Index        int        `json:"index"`
 	Delta        ChunkDelta `json:"delta"`
 	FinishReason *string    `json:"finish_reason"`
 }
 
-// ChunkDelta is the new text of a chunk.
+// ChunkDelta holds the text that a chunk adds.
 type ChunkDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
@@ -59,12 +59,12 @@
 	PromptTokensDetails CachedDetails `json:"prompt_tokens_details"`
 }
 
-// CachedDetails counts prompt tokens served from the prefix cache.
+// CachedDetails counts the prompt tokens served from the prefix cache.
 type CachedDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// UsageObject turns a Usage into its OpenAI form.
+// UsageObject converts a Usage to the OpenAI usage object.
 func UsageObject(usage Usage) *ChunkUsage {
 	return &ChunkUsage{
 		PromptTokens:        usage.PromptTokens,
@@ -74,14 +74,14 @@
 	}
 }
 
-// HTTPEngine speaks to an engine over HTTP in the OpenAI form.
+// HTTPEngine is a client of an engine that serves the OpenAI API over HTTP.
 type HTTPEngine struct {
 	// Base is the engine's address, http://IP:port.
 	Base   string
 	Client *http.Client
 }
 
-// Generate starts one completion; the stream is always asked for.
+// Generate starts one completion. It always requests a stream.
 func (e *HTTPEngine) Generate(ctx context.Context, request GenerateRequest) (Generation, error) {
 	body, err := withExtension(request)
 	if err != nil {
@@ -139,17 +139,17 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
-	refusal := errors.Wrapf(ErrRefused, "engine answered %d: %s", response.StatusCode, text)
-	if rest := restIn(response); rest > 0 {
-		return nil, &RetryAfterError{RetryAfter: rest, Err: refusal}
+	refused := errors.Wrapf(ErrRefused, "engine answered %d: %s", response.StatusCode, text)
+	if retryAfter := retryAfterOf(response); retryAfter > 0 {
+		return nil, &RetryAfterError{RetryAfter: retryAfter, Err: refused}
 	}
-	return nil, refusal
+	return nil, refused
 }
 
-// maxErrorText bounds how much of an error body is kept, in bytes.
+// maxErrorText limits how much of an error body is kept, in bytes.
 const maxErrorText = 512
 
-// get reads a JSON answer.
+// get requests a path and decodes the JSON response.
 func (e *HTTPEngine) get(ctx context.Context, path string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, e.Base+path, nil)
 	if err != nil {
@@ -167,21 +167,21 @@
 	return errors.Wrap(err, "read engine's answer")
 }
 
-// Load asks for the engine's load report.
+// Load requests the engine's load report.
 func (e *HTTPEngine) Load(ctx context.Context) (LoadReport, error) {
 	var report LoadReport
 	err := e.get(ctx, "/load", &report)
 	return report, err
 }
 
-// CacheEvents asks for the cache's events after a number.
+// CacheEvents requests the cache events that follow a sequence number.
 func (e *HTTPEngine) CacheEvents(ctx context.Context, after uint64) (CacheEvents, error) {
 	var events CacheEvents
 	err := e.get(ctx, "/events?after="+strconv.FormatUint(after, 10), &events)
 	return events, err
 }
 
-// Order sends a fenced order.
+// Order sends an order with its fencing token.
 func (e *HTTPEngine) Order(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return response.Body.Close()
 }
 
-// ExportKV copies the cached prefixes of requests.
+// ExportKV copies the cached prefixes of requests from the engine.
 func (e *HTTPEngine) ExportKV(ctx context.Context, requestIDs []string, into io.Writer) error {
 	body, err := json.Marshal(requestIDs)
 	if err != nil {
@@ -209,7 +209,7 @@
 	return errors.Wrap(err, "read export")
 }
 
-// ImportKV gives the engine prefixes that another has exported.
+// ImportKV sends the engine prefixes that another engine has exported.
 func (e *HTTPEngine) ImportKV(ctx context.Context, from io.Reader) error {
 	response, err := e.post(ctx, "/kv/import", from)
 	if err != nil {
@@ -218,19 +218,19 @@
 	return response.Body.Close()
 }
 
-// httpGeneration reads one completion's events.
+// httpGeneration reads the events of one completion.
 type httpGeneration struct {
 	cancel context.CancelFunc
 	body   io.ReadCloser
 	next   func() (sse.Event, error, bool)
 	stop   func()
 	index  int64
-	// last holds the piece with Finish until its usage has come.
+	// last holds the piece with Finish until its usage arrives.
 	last *Piece
 	done bool
 }
 
-// Next reads events until there is a piece to give.
+// Next reads events until one of them yields a piece.
 func (g *httpGeneration) Next() (Piece, error) {
 	if g.done {
 		return Piece{}, io.EOF
@@ -246,21 +246,21 @@
 		if event.Data == doneEvent {
 			return g.finish()
 		}
-		piece, ready, err := g.take(event.Data)
+		piece, ready, err := g.readChunk(event.Data)
 		if err != nil || ready {
 			return piece, err
 		}
 	}
 }
 
-// take reads one chunk; ready says that it made a piece to give now.
-func (g *httpGeneration) take(data string) (piece Piece, ready bool, err error) {
+// readChunk reads one chunk; ready reports whether it yielded a piece to return now.
+func (g *httpGeneration) readChunk(data string) (piece Piece, ready bool, err error) {
 	var chunk Chunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return Piece{}, false, errors.Wrapf(ErrCut, "unreadable chunk: %v", err)
 	}
 	if len(chunk.Choices) > 0 {
-		piece, ready = g.takeChoice(chunk.Choices[0])
+		piece, ready = g.readChoice(chunk.Choices[0])
 	}
 	if chunk.Usage != nil && g.last != nil {
 		g.last.Usage = Usage{
@@ -272,8 +272,8 @@
 	return piece, ready, nil
 }
 
-// takeChoice makes a piece of a chunk's text, and keeps the one with Finish.
-func (g *httpGeneration) takeChoice(choice ChunkChoice) (piece Piece, ready bool) {
+// readChoice makes a piece of a chunk's text, and stores the one with Finish.
+func (g *httpGeneration) readChoice(choice ChunkChoice) (piece Piece, ready bool) {
 	if choice.Delta.Content != "" {
 		piece = Piece{Index: g.index, Text: choice.Delta.Content}
 		g.index++
@@ -293,7 +293,7 @@
 	return *g.last, nil
 }
 
-// Close cancels the call and frees the connection.
+// Close cancels the request and frees the connection.
 func (g *httpGeneration) Close() error {
 	g.cancel()
 	g.stop()
--- a/internal/target/httpengine_test.go
+++ b/internal/target/httpengine_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Whatever an engine's stream looks like, only one with a finish reason and
-// its closing event is whole.
+// TestEngineStreams checks that only a stream with both a finish reason and its closing event
+// counts as complete.
 func TestEngineStreams(t *testing.T) {
 	const a = `data: {"choices":[{"delta":{"content":"a"}}]}` + "\n\n"
 	const stop = `data: {"choices":[{"delta":{},"finish_reason":"stop"}]}` + "\n\n"
--- a/internal/target/httpservice.go
+++ b/internal/target/httpservice.go
@@ -13,30 +13,29 @@
 	"github.com/capersaddle/capersaddle/internal/retryafter"
 )
 
-// HTTPService speaks to one server of a plain service.
+// HTTPService is a client of one server of a plain service.
 type HTTPService struct {
 	// Base is the server's address, http://IP:port.
 	Base   string
 	Client *http.Client
 }
 
-// onceBody is a request body that net/http can not rewind. A transport sends a
-// request with an Idempotency-Key again by itself when a kept connection turns
-// out dead and the body can be had again, or is empty; with this body it never
-// does.
-type onceBody struct {
+// unrewindableBody is a request body that net/http can't rewind. A transport resends a request
+// with an Idempotency-Key by itself if a kept connection turns out to be dead and the body is
+// empty or can be read again. With this body it never does.
+type unrewindableBody struct {
 	io.Reader
 }
 
 // Close does nothing.
-func (onceBody) Close() error {
+func (unrewindableBody) Close() error {
 	return nil
 }
 
-// Do sends one call. A failure to connect is ErrRefused; any later failure
-// leaves it open whether the call took effect.
+// Do sends one request. A failure to connect is ErrRefused; after any later failure the request
+// may have taken effect.
 func (s *HTTPService) Do(ctx context.Context, request ServiceRequest) (ServiceResponse, error) {
-	call, err := http.NewRequestWithContext(ctx, request.Method, s.Base+request.Path, onceBody{bytes.NewReader(request.Body)})
+	call, err := http.NewRequestWithContext(ctx, request.Method, s.Base+request.Path, unrewindableBody{bytes.NewReader(request.Body)})
 	if err != nil {
 		return ServiceResponse{}, errors.Wrapf(ErrRefused, "make request: %v", err)
 	}
@@ -50,15 +49,16 @@
 		}
 		return ServiceResponse{}, errors.Wrap(err, "call service")
 	}
-	return ServiceResponse{Status: response.StatusCode, Header: response.Header, Body: response.Body, RetryAfter: restIn(response)}, nil
+	return ServiceResponse{Status: response.StatusCode, Header: response.Header, Body: response.Body, RetryAfter: retryAfterOf(response)}, nil
 }
 
-// restIn is for how long a target wants nothing that has answered so. What is no time asks
-// for none: the caller gets the answer as it is, or its text is in the error.
-func restIn(response *http.Response) time.Duration {
+// retryAfterOf returns the delay that a target asks for with a 503 response; zero if it asks
+// for none. A Retry-After header that is not valid counts as none: the caller gets the response
+// unchanged, or its text is part of the error.
+func retryAfterOf(response *http.Response) time.Duration {
 	if response.StatusCode != http.StatusServiceUnavailable {
 		return 0
 	}
-	rest, _ := retryafter.Of(response.Header, time.Now())
-	return rest
+	wait, _ := retryafter.Of(response.Header, time.Now())
+	return wait
 }
--- a/internal/target/httpservice_test.go
+++ b/internal/target/httpservice_test.go
@@ -12,10 +12,10 @@
 	"github.com/matryer/is"
 )
 
-// deadEndServer answers the first request of each connection and breaks the
-// connection when a second has been read: as a server that dies right after
-// its effect.
-func deadEndServer(t *testing.T) (address string, seen *atomic.Int32) {
+// startClosingServer starts a server that answers the first request of each connection, and
+// closes the connection after reading a second one, as a server that crashes right after it has
+// run a request.
+func startClosingServer(t *testing.T) (address string, seen *atomic.Int32) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -26,13 +26,13 @@
 			if err != nil {
 				return
 			}
-			go serveOne(conn, seen)
+			go serveConn(conn, seen)
 		}
 	}()
 	return listener.Addr().String(), seen
 }
 
-func serveOne(conn net.Conn, seen *atomic.Int32) {
+func serveConn(conn net.Conn, seen *atomic.Int32) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for first := true; ; first = false {
@@ -49,14 +49,14 @@
 	}
 }
 
-// A call whose kept connection breaks is never sent again by the transport,
-// with or without a body, although it carries an idempotency key.
-func TestTransportDoesNotRepeat(t *testing.T) {
+// TestTransportDoesNotResend checks that the transport never resends a request when a kept
+// connection breaks, with or without a body, although the request carries an idempotency key.
+func TestTransportDoesNotResend(t *testing.T) {
 	tests := map[string][]byte{"with a body": []byte("{}"), "without a body": nil}
 	for name, body := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			address, seen := deadEndServer(t)
+			address, seen := startClosingServer(t)
 			service := &HTTPService{Base: "http://" + address, Client: &http.Client{Transport: &http.Transport{}}}
 			request := ServiceRequest{Method: http.MethodPost, Path: "/credit", Header: http.Header{"Idempotency-Key": {"k"}}, Body: body}
 			response, err := service.Do(t.Context(), request)
@@ -65,14 +65,14 @@
 			_ = response.Body.Close()
 			_, err = service.Do(t.Context(), request)
 			is.True(err != nil)
-			is.True(!errors.Is(err, ErrRefused)) // it may have run
-			is.Equal(seen.Load(), int32(2))      // and was sent once
+			is.True(!errors.Is(err, ErrRefused)) // the request may have run
+			is.Equal(seen.Load(), int32(2))      // the second request was sent once
 		})
 	}
 }
 
-// Only a connection that was never made means that nothing ran.
-func TestRefusedMeansNotConnected(t *testing.T) {
+// TestRefusedOnlyIfNotConnected checks that only a failure to connect is reported as not run.
+func TestRefusedOnlyIfNotConnected(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/target/target.go
+++ b/internal/target/target.go
@@ -1,6 +1,5 @@
-// Package target holds what the system asks of the back ends: model engines
-// and plain services. Each has one small interface and one HTTP adapter; the
-// stand-ins are in the packages beneath.
+// Package target defines the interfaces of the back ends: model engines and plain services.
+// Each has one HTTP adapter here; the fakes are in the packages below.
 package target
 
 import (
@@ -12,44 +11,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrCut says that a stream ended before its answer was whole.
+// ErrCut reports that a stream ended before its answer was complete.
 var ErrCut = errors.New("answer cut short")
 
-// ErrRefused says that the target took nothing of the request.
+// ErrRefused reports that the target accepted nothing of the request.
 var ErrRefused = errors.New("target refused the request")
 
-// RetryAfterError is a refusal of a target that wants nothing for a while.
+// RetryAfterError is the refusal of a target that asks for no requests for some time.
 type RetryAfterError struct {
-	// Rest is for how long.
+	// RetryAfter is the time that the target asks for.
 	RetryAfter time.Duration
 	Err        error
 }
 
-// Error gives the cause.
+// Error returns the text of the cause.
 func (e *RetryAfterError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *RetryAfterError) Unwrap() error { return e.Err }
 
-// RetryAfterOf is for how long the target wants nothing that failed with an error; zero is not said.
+// RetryAfterOf returns the delay that a failed target asks for; zero if it asks for none.
 func RetryAfterOf(err error) time.Duration {
-	var resting *RetryAfterError
-	if errors.As(err, &resting) {
-		return resting.RetryAfter
+	var refusal *RetryAfterError
+	if errors.As(err, &refusal) {
+		return refusal.RetryAfter
 	}
 	return 0
 }
 
-// GenerateRequest asks an engine for one chat completion.
+// GenerateRequest is a request to an engine for one chat completion.
 type GenerateRequest struct {
 	RequestID string
-	// Body is the caller's JSON, in the OpenAI chat completions form.
+	// Body is the caller's JSON, an OpenAI chat completions request.
 	Body []byte
-	// Offset is the index of the first piece wanted; Prefix is the text of
-	// the pieces before it.
+	// Offset is the index of the first piece wanted; Prefix is the text of the pieces before
+	// it.
 	Offset int64
 	Prefix string
-	// Priority orders work at the engine; lower runs first.
+	// Priority orders the work of the engine; the lowest number runs first.
 	Priority int32
 }
 
@@ -62,7 +61,7 @@
 
 // Piece is one step of a streamed answer.
 type Piece struct {
-	// Index counts the pieces of the whole answer from zero.
+	// Index is the index of the piece in the whole answer, from zero.
 	Index int64
 	Text  string
 	// Finish is set on the last piece only: "stop", "length".
@@ -71,42 +70,43 @@
 	Usage Usage
 }
 
-// Generation is an answer being made.
+// Generation is an answer that is being generated.
 type Generation interface {
-	// Next returns the next piece; io.EOF after the piece with Finish, and
-	// ErrCut when the stream ends without it.
+	// Next returns the next piece. It returns io.EOF after the piece with Finish, and ErrCut if
+	// the stream ends without it.
 	Next() (Piece, error)
-	// Close cancels what is left of the work at the engine.
+	// Close cancels the remaining work at the engine.
 	Close() error
 }
 
-// LoadReport is the engine's own, lagging word on its load.
+// LoadReport is the load that an engine reports; it lags.
 type LoadReport struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// Order asks an engine to load or unload a model or to change its role.
+// Order tells an engine to load or unload a model or to change its role.
 type Order struct {
-	// Token only rises; an engine that checks it refuses a lower one.
+	// Token is a fencing token that only rises; an engine that checks it refuses a lower one.
 	Token  uint64 `json:"token"`
 	Action string `json:"action"`
 	Model  string `json:"model"`
 }
 
-// CacheEvent tells of one answered request's place in the prefix cache.
+// CacheEvent reports that the prefix of an answered request was added to or evicted from the
+// prefix cache.
 type CacheEvent struct {
 	RequestID string `json:"request_id"`
-	// Evicted says that the request's prefix is held no longer.
+	// Evicted reports that the request's prefix is no longer held.
 	Evicted bool `json:"evicted"`
 }
 
-// CacheEvents are what an engine published after a number. They come late.
+// CacheEvents holds the events that an engine published after a sequence number. They lag.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	// Next is the number to ask after next time.
+	// Next is the sequence number to request next.
 	Next uint64 `json:"next"`
-	// Gap says that events between are lost.
+	// Gap reports that events in between are lost.
 	Gap bool `json:"gap"`
 }
 
@@ -116,13 +116,13 @@
 	Load(ctx context.Context) (LoadReport, error)
 	Order(ctx context.Context, order Order) error
 	CacheEvents(ctx context.Context, after uint64) (CacheEvents, error)
-	// ExportKV writes the cached prefixes of requests that the engine has
-	// answered; those it no longer holds are left out.
+	// ExportKV writes the cached prefixes of requests that the engine has answered, without
+	// those that it no longer holds.
 	ExportKV(ctx context.Context, requestIDs []string, into io.Writer) error
 	ImportKV(ctx context.Context, from io.Reader) error
 }
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one request to a plain service.
 type ServiceRequest struct {
 	Method string
 	// Path is the path and query at the service.
@@ -131,18 +131,18 @@
 	Body   []byte
 }
 
-// ServiceResponse is the answer; the receiver closes Body.
+// ServiceResponse is the response of a plain service; the receiver closes Body.
 type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Rest is for how long the server wants nothing, if it has turned the call away; zero is
-	// not said.
+	// RetryAfter is the time for which a server that refused the request asks for no others;
+	// zero if it asks for none.
 	RetryAfter time.Duration
 }
 
 // Service is one server of a plain service.
 type Service interface {
-	// Do fails with ErrRefused only when the server took nothing.
+	// Do returns ErrRefused only if the server accepted nothing of the request.
 	Do(ctx context.Context, request ServiceRequest) (ServiceResponse, error)
 }
