--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,6 +1,5 @@
-// Package connpool keeps connections to targets for later requests. It never
-// sends anything by itself: whoever takes a connection knows whether bytes of
-// its request may have left.
+// Package connpool keeps idle connections to targets for later requests. It sends nothing by
+// itself: only the user of a connection knows whether bytes of its request may have been sent.
 package connpool
 
 import (
@@ -16,46 +15,47 @@
 )
 
 const (
-	// idleDefault is how long a connection rests if the target says nothing.
-	idleDefault = 4 * time.Second
-	// idleShare of the target's own time is how long a connection is used.
-	idleShare = 0.75
-	// forgottenShare of the shortest rest after which a target was found to
-	// have forgotten a connection is how long a rested connection serves a
-	// request that may not be repeated.
-	forgottenShare = 0.5
-	// leastRest is the shortest rest that is taken for a forgotten connection;
-	// after a shorter one the target itself has failed.
-	leastRest = 300 * time.Millisecond
-	// readBuffer is a connection's read buffer, in bytes.
+	// defaultIdleTimeout is a connection's idle timeout if the target names none.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutShare is the share of the target's idle timeout for which a connection is
+	// used.
+	idleTimeoutShare = 0.75
+	// staleIdleShare limits the idle time of a connection for a request that must not be
+	// repeated, as a share of the shortest idle time after which a target had dropped a
+	// connection without notice.
+	staleIdleShare = 0.5
+	// minStaleIdle is the shortest idle time after which a dead connection counts as stale;
+	// after a shorter one, the target itself has failed.
+	minStaleIdle = 300 * time.Millisecond
+	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 4096
-	// mostIdle bounds the idle connections to one target.
-	mostIdle = 24
+	// maxIdlePerTarget limits the idle connections to one target.
+	maxIdlePerTarget = 24
 )
 
-// Conn is a connection to one life of a target, for one request at a time.
+// Conn is a connection to one incarnation of a target, for one request at a time.
 type Conn struct {
 	net.Conn
-	// Reader reads the target's answers.
+	// Reader reads the target's responses.
 	Reader *bufio.Reader
 	target string
-	// wrote says that bytes of the current request may have left.
+	// wrote reports that bytes of the current request may have been sent.
 	wrote atomic.Bool
-	// IdleTimeout is how long the target keeps the connection while it rests.
+	// IdleTimeout is how long the target keeps an idle connection open.
 	IdleTimeout time.Duration
-	// restedAt is when it was given back; zero for a new one.
-	restedAt time.Time
-	// rested is how long it had rested before the current request.
-	rested time.Duration
+	// idleSince is when the connection was returned to the pool; zero for a new one.
+	idleSince time.Time
+	// idleTime is how long the connection was idle before the current request.
+	idleTime time.Duration
 }
 
-// Write notes that bytes may have left, and writes.
+// Write records that bytes may have been sent, then writes them.
 func (c *Conn) Write(data []byte) (int, error) {
 	c.wrote.Store(true)
 	return c.Conn.Write(data)
 }
 
-// Wrote says whether bytes of the current request may have left.
+// Wrote reports whether bytes of the current request may have been sent.
 func (c *Conn) Wrote() bool {
 	return c.wrote.Load()
 }
@@ -65,33 +65,33 @@
 	_ = c.Close()
 }
 
-// Pool keeps idle connections by target. It is safe for concurrent use.
+// Pool holds idle connections by target. It is safe for concurrent use.
 type Pool struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu     sync.Mutex
 	idle   map[string][]*Conn
 	closed bool
-	// forgotten is the shortest rest after which a target was found to have
-	// forgotten a connection; zero if none was.
-	forgotten time.Duration
+	// shortestStaleIdle is the shortest idle time after which a target had dropped a connection
+	// without notice; zero if none has.
+	shortestStaleIdle time.Duration
 }
 
-// New returns an empty pool that makes connections with dial.
+// New returns an empty pool that opens connections with dial.
 func New(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Pool {
 	return &Pool{dial: dial, idle: make(map[string][]*Conn)}
 }
 
-// Get gives a connection on which nothing is under way. Without reuse, one
-// that has rested for long is not given.
+// Get returns a connection without a request in flight. Without reuse, it returns none that was
+// idle for long.
 func (p *Pool) Get(ctx context.Context, target, address string, reuse bool) (*Conn, error) {
 	for {
 		conn := p.take(target)
 		if conn == nil {
 			break
 		}
-		conn.rested = clock.Since(conn.restedAt)
-		if conn.usable(p.longestRest(conn, reuse)) {
+		conn.idleTime = clock.Since(conn.idleSince)
+		if conn.usable(p.maxIdleTime(conn, reuse)) {
 			conn.wrote.Store(false)
 			return conn, nil
 		}
@@ -100,45 +100,44 @@
 	return p.Dial(ctx, target, address)
 }
 
-// Make gives a new connection, whatever rests.
+// Dial returns a new connection, even if there are idle ones.
 func (p *Pool) Dial(ctx context.Context, target, address string) (*Conn, error) {
-	made, err := p.dial(ctx, "tcp", address)
+	netConn, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &Conn{Conn: made, Reader: bufio.NewReaderSize(made, readBuffer), target: target, IdleTimeout: idleDefault}, nil
+	return &Conn{Conn: netConn, Reader: bufio.NewReaderSize(netConn, readBuffer), target: target, IdleTimeout: defaultIdleTimeout}, nil
 }
 
-// longestRest is how long a connection may have rested to be used. Targets may
-// forget a resting connection without notice; requests that may be repeated
-// find that out for those that may not.
-func (p *Pool) longestRest(conn *Conn, reuse bool) time.Duration {
-	longest := time.Duration(idleShare * float64(conn.IdleTimeout))
+// maxIdleTime returns the idle time after which a connection is no longer used. Targets may
+// drop an idle connection without notice; requests that may be repeated detect this on behalf
+// of those that may not.
+func (p *Pool) maxIdleTime(conn *Conn, reuse bool) time.Duration {
+	limit := time.Duration(idleTimeoutShare * float64(conn.IdleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if reuse || p.forgotten == 0 {
-		return longest
+	if reuse || p.shortestStaleIdle == 0 {
+		return limit
 	}
-	return min(longest, time.Duration(forgottenShare*float64(p.forgotten)))
+	return min(limit, time.Duration(staleIdleShare*float64(p.shortestStaleIdle)))
 }
 
-// NoteStale notes that a connection was found dead when it was used after
-// a rest.
+// NoteStale records that a connection was found dead on its first use after it was idle.
 func (p *Pool) NoteStale(conn *Conn) {
-	if conn.rested < leastRest {
+	if conn.idleTime < minStaleIdle {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.forgotten == 0 || conn.rested < p.forgotten {
-		p.forgotten = conn.rested
+	if p.shortestStaleIdle == 0 || conn.idleTime < p.shortestStaleIdle {
+		p.shortestStaleIdle = conn.idleTime
 	}
 }
 
-// NoteUnresponsive notes that nothing came on a connection. If it had rested, the other
-// resting ones of its target are likely to be as silent, and are closed.
+// NoteUnresponsive records that no response came on a connection. If it had been idle before,
+// the other idle connections of its target are likely to be unresponsive too, and are closed.
 func (p *Pool) NoteUnresponsive(conn *Conn) {
-	if conn.restedAt.IsZero() {
+	if conn.idleSince.IsZero() {
 		return
 	}
 	p.mu.Lock()
@@ -149,12 +148,13 @@
 	delete(p.idle, conn.target)
 }
 
-// usable says whether a rested connection may carry another request.
-func (c *Conn) usable(longest time.Duration) bool {
-	return c.rested <= longest && c.Reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Nothing
+// usable reports whether an idle connection may carry another request.
+func (c *Conn) usable(maxIdleTime time.Duration) bool {
+	return c.idleTime <= maxIdleTime && c.Reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Nothing
 }
 
-// take gives the connection that rested last, the likeliest to be open.
+// take removes and returns the connection that became idle last, which is the most likely to be
+// open.
 func (p *Pool) take(target string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,27 +170,27 @@
 	return conn
 }
 
-// Put keeps a connection for later.
+// Put returns a connection to the pool.
 func (p *Pool) Put(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[conn.target]
-	if p.closed || len(idle) >= mostIdle {
+	if p.closed || len(idle) >= maxIdlePerTarget {
 		conn.Abort()
 		return
 	}
-	conn.restedAt = clock.Now()
+	conn.idleSince = clock.Now()
 	p.idle[conn.target] = append(idle, conn)
 }
 
-// Sweep closes connections that have rested too long to be used again.
+// Sweep closes connections that have been idle for too long to be used again.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for target, idle := range p.idle {
 		kept := idle[:0]
 		for _, conn := range idle {
-			if now.Sub(conn.restedAt) > time.Duration(idleShare*float64(conn.IdleTimeout)) {
+			if now.Sub(conn.idleSince) > time.Duration(idleTimeoutShare*float64(conn.IdleTimeout)) {
 				conn.Abort()
 				continue
 			}
@@ -204,7 +204,7 @@
 	}
 }
 
-// Close closes all idle connections; those in use are closed when given back.
+// Close closes all idle connections; those in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -9,40 +9,40 @@
 	"github.com/matryer/is"
 )
 
-// TestForgottenConnections: once a rested connection was found dead, requests
-// that may not be repeated get only connections that have rested for less.
-func TestForgottenConnections(t *testing.T) {
+// TestStaleConnections checks that, once an idle connection was found dead, requests that must
+// not be repeated get only connections that were idle for less.
+func TestStaleConnections(t *testing.T) {
 	is := is.New(t)
 	p := New(nil)
 	conn := &Conn{IdleTimeout: 8 * time.Second}
-	is.Equal(p.longestRest(conn, false), 6*time.Second)
-	p.NoteStale(&Conn{rested: 100 * time.Millisecond}) // the target itself has failed
-	is.Equal(p.longestRest(conn, false), 6*time.Second)
-	p.NoteStale(&Conn{rested: 2 * time.Second})
-	is.Equal(p.longestRest(conn, false), time.Second)
-	is.Equal(p.longestRest(conn, true), 6*time.Second)
+	is.Equal(p.maxIdleTime(conn, false), 6*time.Second)
+	p.NoteStale(&Conn{idleTime: 100 * time.Millisecond}) // idle too briefly: the target itself has failed
+	is.Equal(p.maxIdleTime(conn, false), 6*time.Second)
+	p.NoteStale(&Conn{idleTime: 2 * time.Second})
+	is.Equal(p.maxIdleTime(conn, false), time.Second)
+	is.Equal(p.maxIdleTime(conn, true), 6*time.Second)
 }
 
-// TestSilentConnections: a connection that has rested and says nothing tells of the
-// others to its target, a new one does not.
-func TestSilentConnections(t *testing.T) {
+// TestUnresponsiveConnections checks that a connection that was idle before it became
+// unresponsive closes the target's other idle connections, and that a new one does not.
+func TestUnresponsiveConnections(t *testing.T) {
 	cases := map[string]struct {
-		silent *Conn
-		left   int
+		unresponsive *Conn
+		wantIdle     int
 	}{
-		"one that had rested": {&Conn{target: "s", restedAt: time.Unix(1, 0)}, 0},
+		"one that had rested": {&Conn{target: "s", idleSince: time.Unix(1, 0)}, 0},
 		"a new one":           {&Conn{target: "s"}, 1},
-		"one to another":      {&Conn{target: "other", restedAt: time.Unix(1, 0)}, 1},
+		"one to another":      {&Conn{target: "other", idleSince: time.Unix(1, 0)}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := New(nil)
-			one, other := net.Pipe()
-			defer func() { _ = other.Close() }()
-			p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleTimeout: 4 * time.Second})
-			p.NoteUnresponsive(tc.silent)
-			is.Equal(len(p.idle["s"]), tc.left)
+			local, remote := net.Pipe()
+			defer func() { _ = remote.Close() }()
+			p.Put(&Conn{Conn: local, Reader: bufio.NewReader(local), target: "s", IdleTimeout: 4 * time.Second})
+			p.NoteUnresponsive(tc.unresponsive)
+			is.Equal(len(p.idle["s"]), tc.wantIdle)
 		})
 	}
 }
@@ -50,9 +50,9 @@
 func TestSweep(t *testing.T) {
 	is := is.New(t)
 	p := New(nil)
-	one, other := net.Pipe()
-	defer func() { _ = other.Close() }()
-	p.Put(&Conn{Conn: one, Reader: bufio.NewReader(one), target: "s", IdleTimeout: 4 * time.Second})
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	p.Put(&Conn{Conn: local, Reader: bufio.NewReader(local), target: "s", IdleTimeout: 4 * time.Second})
 	p.Sweep(time.Now())
 	is.Equal(len(p.idle["s"]), 1)
 	p.Sweep(time.Now().Add(4 * time.Second))
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -9,14 +9,14 @@
 )
 
 type recorder struct {
-	name string
-	log  *[]string
-	fail error
+	name     string
+	log      *[]string
+	startErr error
 }
 
 func (r *recorder) Start(context.Context) error {
 	*r.log = append(*r.log, "start "+r.name)
-	return r.fail
+	return r.startErr
 }
 
 func (r *recorder) Close() error {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-func TestOrder(t *testing.T) {
+func TestStartAndCloseOrder(t *testing.T) {
 	is := is.New(t)
 	var log []string
 	k := New()
@@ -33,17 +33,17 @@
 	is.True(k.Register("a", &recorder{}) != nil)
 	is.NoErr(k.Start(t.Context()))
 	is.NoErr(k.Close())
-	is.NoErr(k.Close()) // a second time does nothing
+	is.NoErr(k.Close()) // a second Close does nothing
 	is.Equal(log, []string{"start a", "start b", "close b", "close a"})
 }
 
-// If one service fails to start, those before it are closed again.
+// TestFailedStart checks that a failed start closes the services started before it.
 func TestFailedStart(t *testing.T) {
 	is := is.New(t)
 	var log []string
 	k := New()
 	is.NoErr(k.Register("a", &recorder{name: "a", log: &log}))
-	is.NoErr(k.Register("b", &recorder{name: "b", log: &log, fail: errors.New("no")}))
+	is.NoErr(k.Register("b", &recorder{name: "b", log: &log, startErr: errors.New("no")}))
 	is.NoErr(k.Register("c", &recorder{name: "c", log: &log}))
 	is.True(k.Start(t.Context()) != nil)
 	is.Equal(log, []string{"start a", "start b", "close a"})
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,5 +1,5 @@
-// Package metric counts what a router does. Histograms are kept for each
-// workspace and class; their number is bounded, see mostWorkspaces.
+// Package metric holds the Prometheus metrics of a router. Histograms are kept by
+// workspace and class; the number of workspaces with series of their own is bounded.
 package metric
 
 import (
@@ -10,28 +10,28 @@
 )
 
 const (
-	// mostWorkspaces bounds the label values of workspaces on one router: the
-	// first so many that send requests get their own series, the rest share
-	// the value other. Each router sees only a sliver of 5,000 workspaces.
-	mostWorkspaces = 200
-	// otherWorkspace is the shared value.
+	// maxWorkspaces limits the values of the workspace label on one router: the first
+	// workspaces that send requests get series of their own, all others share the value other.
+	// Each router sees only a small part of 5,000 workspaces.
+	maxWorkspaces = 200
+	// otherWorkspace is the label value of all other workspaces.
 	otherWorkspace = "other"
 	namespace      = "capersaddle"
 )
 
-// Router is the metrics of one router.
+// Router holds the metrics of one router.
 type Router struct {
-	requests *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	failures *prometheus.CounterVec
-	retries  *prometheus.CounterVec
-	pieces   prometheus.Counter
+	requests   *prometheus.HistogramVec
+	firstPiece *prometheus.HistogramVec
+	failures   *prometheus.CounterVec
+	retries    *prometheus.CounterVec
+	pieces     prometheus.Counter
 
-	mu    sync.Mutex
-	known map[string]bool
+	mu      sync.Mutex
+	labeled map[string]bool
 }
 
-// NewRouter registers a router's metrics.
+// NewRouter registers the metrics of a router.
 func NewRouter(registry prometheus.Registerer) *Router {
 	m := &Router{
 		requests: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -40,7 +40,7 @@
 			Help:      "Time of requests from arrival to the end of the answer.",
 			Buckets:   []float64{0.005, 0.025, 0.1, 0.25, 0.5, 1, 2.5, 10, 30, 120},
 		}, []string{"workspace", "class"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstPiece: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace,
 			Name:      "first_piece_seconds",
 			Help:      "Time from a chat's arrival to its first piece.",
@@ -61,50 +61,50 @@
 			Name:      "pieces_total",
 			Help:      "Pieces of chat answers passed to callers.",
 		}),
-		known: make(map[string]bool),
+		labeled: make(map[string]bool),
 	}
-	registry.MustRegister(m.requests, m.first, m.failures, m.retries, m.pieces)
+	registry.MustRegister(m.requests, m.firstPiece, m.failures, m.retries, m.pieces)
 	return m
 }
 
-// label bounds the values of the workspace label.
-func (m *Router) label(workspace string) string {
+// workspaceLabel returns a workspace's label value, within the limit of their number.
+func (m *Router) workspaceLabel(workspace string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.known[workspace] {
+	if m.labeled[workspace] {
 		return workspace
 	}
-	if len(m.known) >= mostWorkspaces {
+	if len(m.labeled) >= maxWorkspaces {
 		return otherWorkspace
 	}
-	m.known[workspace] = true
+	m.labeled[workspace] = true
 	return workspace
 }
 
-// Request notes a request's end.
+// Request records the end of a request.
 func (m *Router) Request(workspace, class, kind string, total time.Duration) {
-	m.requests.WithLabelValues(m.label(workspace), class).Observe(total.Seconds())
+	m.requests.WithLabelValues(m.workspaceLabel(workspace), class).Observe(total.Seconds())
 	if kind != "" {
 		m.failures.WithLabelValues(kind).Inc()
 	}
 }
 
-// First notes the time to a chat's first piece.
+// First records the time to a chat's first piece.
 func (m *Router) First(workspace, class string, wait time.Duration) {
-	m.first.WithLabelValues(m.label(workspace), class).Observe(wait.Seconds())
+	m.firstPiece.WithLabelValues(m.workspaceLabel(workspace), class).Observe(wait.Seconds())
 }
 
-// Retry notes a further attempt.
+// Retry counts a retry.
 func (m *Router) Retry(reason string) {
 	m.retries.WithLabelValues(reason).Inc()
 }
 
-// Pieces notes pieces passed on.
+// Pieces counts pieces passed to callers.
 func (m *Router) Pieces(count int) {
 	m.pieces.Add(float64(count))
 }
 
-// Gauge registers a value that is read when asked for.
+// Gauge registers a gauge whose value is read on each scrape.
 func Gauge(registry prometheus.Registerer, name, help string, read func() float64) {
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Namespace: namespace,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is what a router and an agent have in common: links, members
-// and configuration, put together from their parts.
+// Package node assembles the parts that routers and agents have in common: links, membership
+// and configuration.
 package node
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Names of the services on the kernel.
+// Names of the services registered with the kernel.
 const (
 	ServiceLinks          = "links"
 	ServiceMembers        = "members"
@@ -28,7 +28,7 @@
 	ServiceConfigNotifier = "urge"
 )
 
-// Options are what a node is made of.
+// Options configures a node.
 type Options struct {
 	ID         string
 	Role       string
@@ -36,20 +36,20 @@
 	// LinkListener and HeartbeatConn are owned by the node.
 	LinkListener  net.Listener
 	HeartbeatConn *net.UDPConn
-	// Seeds are beat addresses of other processes.
+	// Seeds are heartbeat addresses of other processes.
 	Seeds []string
-	// Budget is the most bytes a second that membership may send.
+	// Budget limits the bytes per second that membership may send.
 	Budget  int
 	Store   external.Store
 	Log     *log.Logger
 	Members member.Options
-	// Keys are nil for links without encryption.
+	// Keys is nil for links without encryption.
 	Keys *secure.Keys
-	// Signer signs beats.
+	// Signer signs heartbeats.
 	Signer *secure.Signer
 }
 
-// clientTLS is for links that the process opens.
+// clientTLS returns the TLS configuration of outgoing links; nil without keys.
 func (o *Options) clientTLS() *tls.Config {
 	if o.Keys == nil {
 		return nil
@@ -57,7 +57,7 @@
 	return o.Keys.Client(secure.RoleRouter, secure.RoleAgent)
 }
 
-// serverTLS is for links that the process takes.
+// serverTLS returns the TLS configuration of incoming links; nil without keys.
 func (o *Options) serverTLS() *tls.Config {
 	if o.Keys == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return o.Keys.Server(secure.RoleRouter, secure.RoleAgent)
 }
 
-// Node holds the common parts of one process.
+// Node holds the parts that routers and agents have in common.
 type Node struct {
 	Session    string
 	Pool       *link.Pool
@@ -75,12 +75,12 @@
 	Follower   *config.Follower
 	server     *link.Server
 	options    Options
-	// handler serves the exchanges that are the role's own.
+	// handler serves the exchanges specific to the role.
 	handler link.Handler
 }
 
-// New puts a node together and registers its services. The role's handler is
-// set with Serve before the kernel starts.
+// New creates a node and registers its services. The role's handler is set with Serve before
+// the kernel starts.
 func New(k *kernel.Kernel, options Options) (*Node, error) {
 	session := uuid.NewString()
 	hello := &wire.Hello{Version: link.Version, ProcessId: options.ID, Role: options.Role, DataCenter: options.DataCenter}
@@ -104,7 +104,7 @@
 		BytesPerSecond: options.Budget,
 		Signer:         options.Signer,
 		ConfigRevision: n.Config.Revision,
-		Roster:         n.roster,
+		Roster:         n.exchangeRosters,
 	}, options.Log)
 	n.Follower = config.NewFollower(n.Config, options.Store, n, options.Log)
 	return n, n.register(k, hello)
@@ -115,16 +115,16 @@
 		k.Register(ServiceLinks, &links{node: n, hello: hello}),
 		k.Register(ServiceMembers, n.Heartbeats),
 		k.Register(ServiceConfig, n.Follower),
-		k.Register(ServiceConfigNotifier, newUrger(n.Config, n.Heartbeats)),
+		k.Register(ServiceConfigNotifier, newConfigNotifier(n.Config, n.Heartbeats)),
 	)
 }
 
-// Serve sets the handler of the role's own exchanges.
+// Serve sets the handler of the exchanges specific to the role.
 func (n *Node) Serve(handler link.Handler) {
 	n.handler = handler
 }
 
-// BadPeers counts link peers dropped for what they sent.
+// BadPeers returns the number of link peers dropped for invalid messages.
 func (n *Node) BadPeers() int64 {
 	if n.server == nil {
 		return 0
@@ -149,8 +149,8 @@
 	}
 }
 
-// roster asks another process for all members, and tells it this one's.
-func (n *Node) roster(ctx context.Context, address string) ([]*wire.Member, error) {
+// exchangeRosters sends this process's roster to another process and returns that process's.
+func (n *Node) exchangeRosters(ctx context.Context, address string) ([]*wire.Member, error) {
 	own := &wire.Roster{Members: n.Members.Roster()}
 	reply, err := link.Ask(ctx, n.Pool, address, &wire.Open{Kind: &wire.Open_Roster{Roster: own}})
 	if err != nil {
@@ -176,25 +176,25 @@
 		return nil, err
 	}
 	if reply.GetDelta() == nil {
-		return nil, errors.New("peer answered a pull with something else")
+		return nil, errors.New("peer answered a pull request without a delta")
 	}
 	return reply.GetDelta(), nil
 }
 
-// links is the service that owns the link server and the pool.
+// links is the service that owns the link server and the connection pool.
 type links struct {
 	node  *Node
 	hello *wire.Hello
 }
 
-// Start begins to take links.
+// Start starts to accept links.
 func (l *links) Start(context.Context) error {
 	n := l.node
 	n.server = link.NewServer(n.options.LinkListener, l.hello, n.options.serverTLS(), n.options.Log, n.handle)
 	return nil
 }
 
-// Close ends all links and waits.
+// Close closes all links and waits for them.
 func (l *links) Close() error {
 	return errors.CombineErrors(l.node.Pool.Close(), l.node.server.Close())
 }
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -8,41 +8,41 @@
 	"github.com/capersaddle/capersaddle/internal/member"
 )
 
-// urger tells a few members at once when a new configuration revision comes
-// into force here, so that it spreads faster than by the usual beats.
-type urger struct {
-	state  *config.State
-	beats  *member.Service
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+// configNotifier notifies some members as soon as a new configuration revision is in force
+// here, so that it spreads faster than with the regular heartbeats.
+type configNotifier struct {
+	state      *config.State
+	heartbeats *member.Service
+	cancel     context.CancelFunc
+	wait       sync.WaitGroup
 }
 
-func newUrger(state *config.State, beats *member.Service) *urger {
-	return &urger{state: state, beats: beats}
+func newConfigNotifier(state *config.State, heartbeats *member.Service) *configNotifier {
+	return &configNotifier{state: state, heartbeats: heartbeats}
 }
 
-// Start begins to watch the configuration.
-func (u *urger) Start(context.Context) error {
+// Start starts to watch the configuration.
+func (u *configNotifier) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	u.cancel = cancel
 	u.wait.Go(func() { u.loop(ctx) })
 	return nil
 }
 
-func (u *urger) loop(ctx context.Context) {
+func (u *configNotifier) loop(ctx context.Context) {
 	for {
 		changed := u.state.Changed()
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			u.beats.NotifyPeers()
+			u.heartbeats.NotifyPeers()
 		}
 	}
 }
 
-// Close stops and waits.
-func (u *urger) Close() error {
+// Close stops the notifier and waits for it.
+func (u *configNotifier) Close() error {
 	u.cancel()
 	u.wait.Wait()
 	return nil
--- a/internal/secure/secure.go
+++ b/internal/secure/secure.go
@@ -1,7 +1,7 @@
-// Package secure holds the keys of a process: mutual TLS for its links and for
-// operators, and a signature for membership datagrams. Hosts keep nothing, so
-// keys come inline from settings or from files that the platform mounts; files
-// are read again, so that new keys are used without dropping a stream.
+// Package secure manages the keys of a process: mutual TLS for its links and for operators, and
+// signatures of membership datagrams. Hosts store nothing, so keys are given inline in the
+// settings or as files that the platform mounts. Files are read again, so that new keys are
+// used without dropping a stream.
 package secure
 
 import (
@@ -21,35 +21,35 @@
 
 // Roles that a certificate can carry, as an organizational unit of its subject.
 const (
-	// RoleRouter and RoleAgent are the system's own processes.
+	// RoleRouter and RoleAgent are the roles of the system's own processes.
 	RoleRouter = "router"
 	RoleAgent  = "agent"
-	// RoleRead may ask, RoleOperate may also change the configuration, and
+	// RoleRead may run queries, RoleOperate may also change the configuration, and
 	// RoleAdminister may also republish it.
 	RoleRead       = "read"
 	RoleOperate    = "operate"
 	RoleAdminister = "administer"
 )
 
-// rereadEvery is how often key files are looked at again, at most.
-const rereadEvery = 30 * time.Second
+// reloadInterval is the minimum time between two reads of the key files.
+const reloadInterval = 30 * time.Second
 
-// Source says where a process's keys are: each field is PEM text, or the path
-// of a file that holds it.
+// Source holds the sources of a process's keys: each field is PEM text, or the path of a file
+// that holds it.
 type Source struct {
-	// CA are the certificates that peers' certificates must come from.
+	// CA holds the certificate authorities that peers' certificates must chain to.
 	CA string
-	// Cert and Key are the process's own.
+	// Cert and Key are the certificate and the key of the process.
 	Cert string
 	Key  string
 }
 
-// Set says whether there are any keys.
+// Set reports whether any key is given.
 func (s Source) Set() bool {
 	return s.CA != "" || s.Cert != "" || s.Key != ""
 }
 
-// Keys are the keys in use. They are safe for concurrent use.
+// Keys holds the keys in use. It is safe for concurrent use.
 type Keys struct {
 	source Source
 
@@ -59,7 +59,7 @@
 	loadedAt time.Time
 }
 
-// Load reads the keys and checks them.
+// Load reads and checks the keys.
 func Load(source Source) (*Keys, error) {
 	k := &Keys{source: source}
 	if err := k.reload(); err != nil {
@@ -68,7 +68,7 @@
 	return k, nil
 }
 
-// readPEM gives inline text as it is, or a file's content.
+// readPEM returns inline text unchanged, or else the content of a file.
 func readPEM(field, value string) ([]byte, error) {
 	if strings.Contains(value, "-----BEGIN") {
 		return []byte(value), nil
@@ -98,17 +98,17 @@
 	return nil
 }
 
-// current gives the keys, read anew if they are old. Files that cannot be read
-// or do not fit leave the keys before in use.
+// current returns the keys, after reading them again if they are old. If the files can't be
+// read or don't match, the previous keys stay in use.
 func (k *Keys) current() (*x509.CertPool, *tls.Certificate) {
 	k.mu.Lock()
-	old := time.Since(k.loadedAt) > rereadEvery
-	if old {
-		// Others go on with the keys before while this call reads.
+	stale := time.Since(k.loadedAt) > reloadInterval
+	if stale {
+		// Concurrent calls use the previous keys while this one reads.
 		k.loadedAt = time.Now()
 	}
 	k.mu.Unlock()
-	if old {
+	if stale {
 		_ = k.reload()
 	}
 	k.mu.Lock()
@@ -116,8 +116,8 @@
 	return k.pool, k.cert
 }
 
-// config is what both sides use: certificates are checked against the CA and
-// their role; names are not, since processes are met by IP number.
+// config returns the configuration of both sides. Certificates are checked against the CA and
+// their role, but not for their name, since processes connect to IP addresses.
 func (k *Keys) config(roles []string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -130,8 +130,7 @@
 			return cert, nil
 		},
 		ClientAuth: tls.RequireAnyClientCert,
-		// The check below takes the place of the usual one, which would ask
-		// for a name.
+		// VerifyConnection replaces the standard check, which would require a name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return k.verify(state, roles)
@@ -139,17 +138,17 @@
 	}
 }
 
-// Server is the configuration of a listener that takes peers of some roles.
+// Server returns the configuration of a listener that accepts peers with one of some roles.
 func (k *Keys) Server(roles ...string) *tls.Config {
 	return k.config(roles)
 }
 
-// Client is the configuration to reach a peer of some roles.
+// Client returns the configuration for connections to a peer with one of some roles.
 func (k *Keys) Client(roles ...string) *tls.Config {
 	return k.config(roles)
 }
 
-// verify checks a peer's chain, dates and role.
+// verify checks the chain, the dates and the role of a peer's certificate.
 func (k *Keys) verify(state tls.ConnectionState, roles []string) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("peer sent no certificate")
@@ -174,7 +173,7 @@
 	return nil
 }
 
-// HasRole says whether a peer's certificate carries one of some roles.
+// HasRole reports whether a peer's certificate carries one of some roles.
 func HasRole(state tls.ConnectionState, roles ...string) bool {
 	if len(state.PeerCertificates) == 0 {
 		return false
@@ -184,31 +183,31 @@
 	})
 }
 
-// signatureLength is how much of an HMAC-SHA256 goes with a datagram, in bytes.
+// signatureLength is how much of an HMAC-SHA256 is sent with a datagram, in bytes.
 const signatureLength = 16
 
-// Signer signs datagrams with a key that all processes share; without a key it
-// changes nothing and accepts all.
+// Signer signs datagrams with a key that all processes share. Without a key it adds no
+// signature and accepts every datagram.
 type Signer struct {
 	key []byte
 }
 
-// leastKey is the least length of a shared key, in bytes.
-const leastKey = 32
+// minKeyBytes is the minimum length of a shared key, in bytes.
+const minKeyBytes = 32
 
-// NewSigner reads a hex key; an empty one gives a signer that does nothing.
+// NewSigner parses a hex key; an empty one gives a signer that does nothing.
 func NewSigner(hexKey string) (*Signer, error) {
 	if hexKey == "" {
 		return &Signer{}, nil
 	}
 	key, err := hex.DecodeString(hexKey)
-	if err != nil || len(key) < leastKey {
-		return nil, errors.Newf(`field "membership.key": want at least %d bytes in hex`, leastKey)
+	if err != nil || len(key) < minKeyBytes {
+		return nil, errors.Newf(`field "membership.key": want at least %d bytes in hex`, minKeyBytes)
 	}
 	return &Signer{key: key}, nil
 }
 
-// Overhead is how many bytes a signature takes.
+// Overhead returns the size of a signature, in bytes.
 func (s *Signer) Overhead() int {
 	if len(s.key) == 0 {
 		return 0
@@ -216,21 +215,21 @@
 	return signatureLength
 }
 
-func (s *Signer) sum(data []byte) []byte {
+func (s *Signer) signature(data []byte) []byte {
 	mac := hmac.New(sha256.New, s.key)
 	mac.Write(data)
 	return mac.Sum(nil)[:signatureLength]
 }
 
-// Sign gives a datagram with its signature behind it.
+// Sign returns a datagram followed by its signature.
 func (s *Signer) Sign(data []byte) []byte {
 	if len(s.key) == 0 {
 		return data
 	}
-	return append(data, s.sum(data)...)
+	return append(data, s.signature(data)...)
 }
 
-// Open gives a datagram without its signature; false if it does not fit.
+// Open returns a datagram without its signature; false if the signature does not match.
 func (s *Signer) Open(signed []byte) ([]byte, bool) {
 	if len(s.key) == 0 {
 		return signed, true
@@ -239,5 +238,5 @@
 		return nil, false
 	}
 	data, signature := signed[:len(signed)-signatureLength], signed[len(signed)-signatureLength:]
-	return data, hmac.Equal(signature, s.sum(data))
+	return data, hmac.Equal(signature, s.signature(data))
 }
--- a/internal/secure/secure_test.go
+++ b/internal/secure/secure_test.go
@@ -21,18 +21,19 @@
 	is.True(ok)
 	is.Equal(string(data), "beat")
 	_, ok = other.Open(signed)
-	is.True(!ok) // another key
+	is.True(!ok) // signed with a different key
 	signed[0]++
 	_, ok = signer.Open(signed)
-	is.True(!ok) // changed on the way
+	is.True(!ok) // changed in transit
 	_, ok = signer.Open([]byte("short"))
 	is.True(!ok)
 	_, err = NewSigner("abcd")
-	is.True(err != nil) // too short a key
+	is.True(err != nil) // key too short
 }
 
-// New key files are used without a restart; ones that do not fit are not.
-func TestKeysAreReadAgain(t *testing.T) {
+// TestKeyFilesAreReloaded checks that new key files are used without a restart, unless
+// certificate and key don't match.
+func TestKeyFilesAreReloaded(t *testing.T) {
 	is := is.New(t)
 	authority, err := NewAuthority()
 	is.NoErr(err)
@@ -50,21 +51,21 @@
 	write(first)
 	keys, err := Load(files)
 	is.NoErr(err)
-	nameNow := func() string {
+	currentName := func() string {
 		keys.mu.Lock()
-		keys.loadedAt = time.Now().Add(-2 * rereadEvery)
+		keys.loadedAt = time.Now().Add(-2 * reloadInterval)
 		keys.mu.Unlock()
 		_, cert := keys.current()
 		return cert.Leaf.Subject.CommonName
 	}
-	is.Equal(nameNow(), "first")
+	is.Equal(currentName(), "first")
 	write(second)
-	is.Equal(nameNow(), "second")
+	is.Equal(currentName(), "second")
 	write(Source{CA: first.CA, Cert: first.Cert, Key: second.Key}) // key of another certificate
-	is.Equal(nameNow(), "second")
+	is.Equal(currentName(), "second")
 }
 
-func TestBadKeysAreNamed(t *testing.T) {
+func TestLoadNamesTheBadField(t *testing.T) {
 	is := is.New(t)
 	_, err := Load(Source{CA: "/no/such/file", Cert: "/no/such/file", Key: "/no/such/file"})
 	is.True(err != nil)
