--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever holding up who logs: lines
-// wait in a bounded queue, and those that find it full are counted instead.
+// Package logsink writes log lines without blocking the caller: lines wait in a bounded queue,
+// and those that find it full are dropped and counted.
 package logsink
 
 import (
@@ -10,7 +10,7 @@
 	"sync/atomic"
 )
 
-// queueLines is how many lines may wait.
+// queueLines is the capacity of the queue, in lines.
 const queueLines = 1024
 
 // Sink is an io.Writer that never blocks. Each Write is one line.
@@ -20,12 +20,12 @@
 	dropped atomic.Int64
 	wait    sync.WaitGroup
 	once    sync.Once
-	// mu keeps Write from sending on a closed channel.
+	// mu prevents Write from sending on a closed channel.
 	mu     sync.RWMutex
 	closed bool
 }
 
-// New returns a sink that writes to out from a goroutine of its own.
+// New returns a sink that writes to out from its own goroutine.
 func New(out io.Writer) *Sink {
 	sink := &Sink{out: out, lines: make(chan []byte, queueLines)}
 	sink.wait.Go(sink.write)
@@ -48,27 +48,27 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines that found the queue full.
+// Dropped returns the number of lines dropped.
 func (s *Sink) Dropped() int64 {
 	return s.dropped.Load()
 }
 
-// write drains the queue; after lines were dropped it says how many.
+// write drains the queue; after lines were dropped it logs how many.
 func (s *Sink) write() {
-	told := int64(0)
+	reported := int64(0)
 	for line := range s.lines {
 		_, _ = s.out.Write(line)
-		if dropped := s.dropped.Load(); dropped > told && len(s.lines) == 0 {
-			_, _ = fmt.Fprintf(s.out, `{"level":"warn","msg":"log_dropped","lines":%d}`+"\n", dropped-told)
-			told = dropped
+		if dropped := s.dropped.Load(); dropped > reported && len(s.lines) == 0 {
+			_, _ = fmt.Fprintf(s.out, `{"level":"warn","msg":"log_dropped","lines":%d}`+"\n", dropped-reported)
+			reported = dropped
 		}
 	}
 }
 
-// Close writes what waits and ends. A reader of the log that has stopped
-// reading is waited for no longer than the context lasts.
+// Close writes the queued lines and stops. It waits for a stalled reader of the log no longer
+// than the context allows.
 func (s *Sink) Close(ctx context.Context) error {
-	s.end()
+	s.closeQueue()
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
@@ -82,8 +82,8 @@
 	}
 }
 
-// end takes no further lines.
-func (s *Sink) end() {
+// closeQueue stops accepting lines.
+func (s *Sink) closeQueue() {
 	s.once.Do(func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -15,7 +15,7 @@
 	"github.com/capersaddle/capersaddle/internal/logsink"
 )
 
-// buffer may be written and read from several goroutines.
+// buffer is safe for concurrent reads and writes.
 type buffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -27,7 +27,7 @@
 	return b.text.Write(data)
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesKeepTheirOrder(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	is := is.New(t)
 	out := new(buffer)
@@ -41,9 +41,9 @@
 	is.Equal(sink.Dropped(), int64(1))
 }
 
-// TestAStoppedReaderHoldsNothingUp: with a pipe that nobody reads, writing
-// goes on, the lines over the bound are counted, and the end is bounded.
-func TestAStoppedReaderHoldsNothingUp(t *testing.T) {
+// TestStalledReaderDoesNotBlockWrites checks that, with a pipe that is never read, writes
+// return, lines over the limit are counted, and Close is bounded.
+func TestStalledReaderDoesNotBlockWrites(t *testing.T) {
 	is := is.New(t)
 	reader, writer := io.Pipe()
 	sink := logsink.New(writer)
@@ -58,7 +58,7 @@
 	is.NoErr(reader.Close())
 }
 
-func TestDroppedLinesAreTold(t *testing.T) {
+func TestDroppedLinesAreLogged(t *testing.T) {
 	is := is.New(t)
 	out := new(buffer)
 	reader, writer := io.Pipe()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -12,60 +12,60 @@
 	"github.com/capersaddle/capersaddle/internal/loopback"
 )
 
-func draw(t *testing.T, ports *loopback.Ports) string {
+func nextAddress(t *testing.T, ports *loopback.Ports) string {
 	t.Helper()
 	address, err := ports.Address()
 	is.New(t).NoErr(err)
 	return address
 }
 
-// TestAddressesAreNobodyElses: two drawers, as in two test binaries, never get
-// the same address, though nobody listens at any of them.
-func TestAddressesAreNobodyElses(t *testing.T) {
+// TestAddressesAreUnique checks that two allocators, as in two test binaries, never return the
+// same address, although nothing listens on any of them.
+func TestAddressesAreUnique(t *testing.T) {
 	is := is.New(t)
-	drawers := []*loopback.Ports{new(loopback.Ports), new(loopback.Ports)}
+	allocators := []*loopback.Ports{new(loopback.Ports), new(loopback.Ports)}
 	seen := make(map[string]bool)
-	const more = 120 // than two blocks hold
-	for range more {
-		for _, drawer := range drawers {
-			address := draw(t, drawer)
+	const rounds = 120 // more than two blocks hold
+	for range rounds {
+		for _, allocator := range allocators {
+			address := nextAddress(t, allocator)
 			is.True(!seen[address])
 			seen[address] = true
 		}
 	}
-	for _, drawer := range drawers {
-		is.NoErr(drawer.Close())
+	for _, allocator := range allocators {
+		is.NoErr(allocator.Close())
 	}
 }
 
-// TestAddressesAreNoSourcePorts: the kernel gives none of them to an outgoing
-// connection of any process.
-func TestAddressesAreNoSourcePorts(t *testing.T) {
+// TestPortsAreBelowEphemeralRange checks that the kernel assigns none of the ports to an
+// outgoing connection of any process.
+func TestPortsAreBelowEphemeralRange(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	if err != nil {
-		t.Skip("not told here:", err)
+		t.Skip("port range is not available:", err)
 	}
 	first, err := strconv.Atoi(strings.Fields(string(data))[0])
 	is.NoErr(err)
 	ports := new(loopback.Ports)
 	defer func() { is.NoErr(ports.Close()) }()
-	_, port, err := net.SplitHostPort(draw(t, ports))
+	_, port, err := net.SplitHostPort(nextAddress(t, ports))
 	is.NoErr(err)
 	number, err := strconv.Atoi(port)
 	is.NoErr(err)
 	is.True(number < first)
 }
 
-// TestTakenAddressesArePassedOver: somebody who knows nothing of the blocks
-// listens at an address that would be next.
-func TestTakenAddressesArePassedOver(t *testing.T) {
+// TestTakenAddressesAreSkipped checks that an address is skipped if another process that
+// doesn't know of the blocks listens on it.
+func TestTakenAddressesAreSkipped(t *testing.T) {
 	for name, network := range map[string]string{"TCP": "tcp", "UDP": "udp"} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			ports := new(loopback.Ports)
 			defer func() { is.NoErr(ports.Close()) }()
-			_, port, err := net.SplitHostPort(draw(t, ports))
+			_, port, err := net.SplitHostPort(nextAddress(t, ports))
 			is.NoErr(err)
 			number, err := strconv.Atoi(port)
 			is.NoErr(err)
@@ -79,7 +79,7 @@
 				is.NoErr(err)
 				defer func() { _ = conn.Close() }()
 			}
-			is.True(draw(t, ports) != next)
+			is.True(nextAddress(t, ports) != next)
 		})
 	}
 }
--- a/internal/rapidseed/rapidseed.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,6 +1,6 @@
-// Package rapidseed has property tests draw the same in each run of a package's tests, so that a
-// change is judged by what it does and not by what was drawn. With -rapid.seed on the command
-// line they draw others.
+// Package rapidseed fixes the seed of property tests, so that they draw the same values in each
+// run and a result depends on the code and not on the values drawn. The flag -rapid.seed
+// selects another seed.
 package rapidseed
 
 import (
@@ -9,16 +9,17 @@
 	"testing"
 )
 
-// seed is any number.
+// seed is an arbitrary number.
 const seed = "20261202"
 
-// Main runs a package's tests; its TestMain calls it.
+// Main runs a package's tests with the fixed seed; it is called from TestMain.
 func Main(m *testing.M) {
 	Fix()
 	os.Exit(m.Run())
 }
 
-// Fix sets the seed, unless one is given, for a TestMain that does more.
+// Fix sets the seed unless the flag is given. A TestMain with other work calls it instead of
+// Main.
 func Fix() {
 	flag.Parse()
 	given := flag.Lookup("rapid.seed")
@@ -26,6 +27,6 @@
 		return
 	}
 	if err := flag.Set("rapid.seed", seed); err != nil {
-		panic(err) // only if rapid takes no numbers any more
+		panic(err) // only if rapid no longer accepts a number
 	}
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket does what the standard library leaves to the system's calls:
-// options of TCP connections, and a look at what a connection has received.
+// Package socket wraps system calls that the standard library doesn't offer: options of TCP
+// connections, and a peek at the data that a connection has received.
 package socket
 
 import (
@@ -10,8 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout has a connection broken when bytes stay unacknowledged
-// for so long.
+// UserTimeout returns a Control function for a net.Dialer or net.ListenConfig that sets
+// TCP_USER_TIMEOUT: the kernel breaks a connection whose bytes stay unacknowledged for this
+// time.
 func UserTimeout(timeout time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var failure error
@@ -25,22 +26,22 @@
 	}
 }
 
-// Received is what a look at a connection shows.
+// Received is the receive state of a connection.
 type Received int
 
-// What a look shows.
+// The receive states.
 const (
-	// Unknown: the connection is no socket, or can't be looked at.
+	// Unknown: the connection is no socket, or its state can't be read.
 	Unknown Received = iota
-	// Nothing: it is open, and nothing waits to be read.
+	// Nothing: the connection is open, and no data is waiting.
 	Nothing
-	// Bytes wait to be read.
+	// Bytes: data is waiting to be read.
 	Bytes
-	// End: the other side has closed it, or it is broken.
+	// End: the remote side has closed the connection, or it is broken.
 	End
 )
 
-// Look says what has been received on a connection, without reading it.
+// Peek returns the receive state of a connection without reading from it.
 func Peek(conn net.Conn) Received {
 	raw, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -10,26 +10,26 @@
 	"github.com/capersaddle/capersaddle/internal/socket"
 )
 
-// pair is both ends of a TCP connection on loopback.
-func pair(t *testing.T) (ours, theirs net.Conn) {
+// connectedPair returns both ends of a TCP connection on loopback.
+func connectedPair(t *testing.T) (local, remote net.Conn) {
 	t.Helper()
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = listener.Close() }()
-	theirs, err = net.Dial("tcp", listener.Addr().String())
+	remote, err = net.Dial("tcp", listener.Addr().String())
 	is.NoErr(err)
-	ours, err = listener.Accept()
+	local, err = listener.Accept()
 	is.NoErr(err)
 	t.Cleanup(func() {
-		_ = ours.Close()
-		_ = theirs.Close()
+		_ = local.Close()
+		_ = remote.Close()
 	})
-	return ours, theirs
+	return local, remote
 }
 
-// await looks until something has been received.
-func await(conn net.Conn) socket.Received {
+// waitReceived polls until the connection has received something.
+func waitReceived(conn net.Conn) socket.Received {
 	found := socket.Peek(conn)
 	for found == socket.Nothing {
 		found = socket.Peek(conn)
@@ -37,27 +37,27 @@
 	return found
 }
 
-func TestLook(t *testing.T) {
+func TestPeek(t *testing.T) {
 	is := is.New(t)
-	ours, theirs := pair(t)
-	is.Equal(socket.Peek(ours), socket.Nothing)
-	_, err := theirs.Write([]byte("x"))
+	local, remote := connectedPair(t)
+	is.Equal(socket.Peek(local), socket.Nothing)
+	_, err := remote.Write([]byte("x"))
 	is.NoErr(err)
-	is.Equal(await(ours), socket.Bytes)
+	is.Equal(waitReceived(local), socket.Bytes)
 	buffer := make([]byte, 4)
-	n, err := ours.Read(buffer) // the look has taken nothing
+	n, err := local.Read(buffer) // Peek has consumed nothing
 	is.NoErr(err)
 	is.Equal(string(buffer[:n]), "x")
-	is.NoErr(theirs.Close())
-	is.Equal(await(ours), socket.End)
-	is.NoErr(ours.Close())
-	is.Equal(socket.Peek(ours), socket.End)
+	is.NoErr(remote.Close())
+	is.Equal(waitReceived(local), socket.End)
+	is.NoErr(local.Close())
+	is.Equal(socket.Peek(local), socket.End)
 }
 
-func TestLookAtNoSocket(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer func() { _, _ = ours.Close(), theirs.Close() }()
-	is.New(t).Equal(socket.Peek(ours), socket.Unknown)
+func TestPeekWithoutSocket(t *testing.T) {
+	local, remote := net.Pipe()
+	defer func() { _, _ = local.Close(), remote.Close() }()
+	is.New(t).Equal(socket.Peek(local), socket.Unknown)
 }
 
 func TestUserTimeout(t *testing.T) {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait holds the one way in which the system's loops pause.
+// Package wait provides the pause that the system's loops share.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For pauses for a time; it returns false at once when the context ends first.
+// For pauses for a duration. It returns false as soon as the context ends.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
