--- a/pkg/cmd/rollouts/rollouts.go
+++ b/pkg/cmd/rollouts/rollouts.go
@@ -1,4 +1,4 @@
-// Package rollouts holds the command that says how far roll-outs have come.
+// Package rollouts implements the command that shows the progress of roll-outs.
 package rollouts
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// RolloutsOptions are the command's options.
+// RolloutsOptions holds the command's options.
 type RolloutsOptions struct {
 	IO      *iostreams.IOStreams
 	Gateway func(address string) *cmdutil.GatewayClient
@@ -22,17 +22,17 @@
 	JSON    bool
 }
 
-// NewCmdRollouts returns the command; runF replaces its work in tests.
+// NewCmdRollouts returns the command; tests pass runF to replace its run function.
 func NewCmdRollouts(f *cmdutil.Factory, runF func(*RolloutsOptions) error) *cobra.Command {
 	opts := &RolloutsOptions{IO: f.IOStreams, Gateway: f.Gateway}
 	cmd := &cobra.Command{
 		Use:   "rollouts <address>",
-		Short: "Say how far roll-outs have come, as one gateway knows it",
-		Long: `Say how far roll-outs have come, as the gateway at a metrics address knows it.
+		Short: "Show the progress of roll-outs, as one gateway knows it",
+		Long: `Show the progress of roll-outs, as the gateway at a metrics address knows it.
 
-Where that gateway decides about a service, the figures are those of all gateways
-as far as they have reported; elsewhere they are its own, and marked so. The worst
-route is the one where most answers of the version were bad, compared with those of
+If that gateway decides for a service, the figures are those of all gateways
+that have reported; otherwise they are its own, and marked so. The worst
+route is the one with the highest share of bad answers of the version over that of
 the other versions in the same time.`,
 		Example: `  $ capersaddle rollouts 127.0.0.1:8302
   $ capersaddle rollouts 127.0.0.1:8302 --json`,
@@ -50,67 +50,67 @@
 }
 
 func rolloutsRun(ctx context.Context, opts *RolloutsOptions) error {
-	known, err := opts.Gateway(opts.Address).Rollouts(ctx)
+	statuses, err := opts.Gateway(opts.Address).Rollouts(ctx)
 	if err != nil {
 		return err
 	}
 	if opts.JSON {
-		return cmdutil.PrintJSON(opts.IO.Out, known)
+		return cmdutil.PrintJSON(opts.IO.Out, statuses)
 	}
-	rows := make([][]string, 0, len(known))
-	for _, status := range known {
+	rows := make([][]string, 0, len(statuses))
+	for _, status := range statuses {
 		rows = append(rows, rowOf(status))
 	}
 	return cmdutil.Table(opts.IO.Out, []string{"SERVICE", "VERSION", "STATE", "STAGE", "AGE", "LEFT", "REQUESTS", "EXPOSED", "WORST ROUTE"}, rows)
 }
 
-// none stands for what is not known.
-const none = "-"
+// notAvailable is printed for unknown values.
+const notAvailable = "-"
 
 func rowOf(status rollout.Status) []string {
 	return []string{
-		status.Service, orNone(status.Version), stateOf(status), whileRunning(status, status.Stage),
-		timeOf(status, status.AgeMS), timeOf(status, status.LeftMS),
-		whileRunning(status, requestsOf(status)), whileRunning(status, exposedOf(status)), worstOf(status.Routes),
+		status.Service, orNotAvailable(status.Version), formatState(status), ifRunning(status, status.Stage),
+		formatTime(status, status.AgeMS), formatTime(status, status.LeftMS),
+		ifRunning(status, formatRequests(status)), ifRunning(status, formatExposed(status)), worstRoute(status.Routes),
 	}
 }
 
-func orNone(text string) string {
+func orNotAvailable(text string) string {
 	if text == "" {
-		return none
+		return notAvailable
 	}
 	return text
 }
 
-func stateOf(status rollout.Status) string {
-	state := orNone(string(status.State))
+func formatState(status rollout.Status) string {
+	state := orNotAvailable(string(status.State))
 	if status.Halted && status.State == rollout.Running {
 		state += ", halted"
 	}
 	return state
 }
 
-// timeOf is a time of an order that runs.
-func timeOf(status rollout.Status, millis int64) string {
-	return whileRunning(status, (time.Duration(millis) * time.Millisecond).Round(100*time.Millisecond).String())
+// formatTime returns a time of a running roll-out.
+func formatTime(status rollout.Status, millis int64) string {
+	return ifRunning(status, (time.Duration(millis) * time.Millisecond).Round(100*time.Millisecond).String())
 }
 
-// whileRunning is what an order has that runs.
-func whileRunning(status rollout.Status, text string) string {
+// ifRunning returns the text if the roll-out is running, and notAvailable otherwise.
+func ifRunning(status rollout.Status, text string) string {
 	if status.State != rollout.Running {
-		return none
+		return notAvailable
 	}
 	return text
 }
 
-func requestsOf(status rollout.Status) string {
+func formatRequests(status rollout.Status) string {
 	if status.Decides {
 		return fmt.Sprint(status.Requests)
 	}
 	return fmt.Sprintf("%d of this gateway", status.Requests)
 }
 
-func exposedOf(status rollout.Status) string {
+func formatExposed(status rollout.Status) string {
 	if status.Requests == 0 {
 		return fmt.Sprint(status.Exposed)
 	}
@@ -118,16 +118,16 @@
 	return fmt.Sprintf("%d (%.1f%%)", status.Exposed, percent*float64(status.Exposed)/float64(status.Requests))
 }
 
-// worstOf is the route where the version has the largest share of bad answers over that
-// of the others.
-func worstOf(routes []rollout.RouteSum) string {
-	worst, most := none, -1.0
+// worstRoute describes the route on which the version's share of bad answers exceeds that of
+// the other versions the most.
+func worstRoute(routes []rollout.RouteSum) string {
+	worst, maxExcess := notAvailable, -1.0
 	for _, route := range routes {
 		excess := badShare(route.Version) - badShare(route.Others)
-		if route.Version.Answers == 0 || excess <= most {
+		if route.Version.Answers == 0 || excess <= maxExcess {
 			continue
 		}
-		most = excess
+		maxExcess = excess
 		worst = fmt.Sprintf("%08x: %d failed, %d slow of %d", route.Route, route.Version.Failed, route.Version.Slow, route.Version.Answers)
 	}
 	return worst
--- a/pkg/cmd/rollouts/rollouts_test.go
+++ b/pkg/cmd/rollouts/rollouts_test.go
@@ -29,7 +29,7 @@
 pay       v3       running, halted  hold    21s   -1s    0 of this gateway  0          -
 `
 
-// run runs the command against an answer and returns what it prints.
+// run runs the command against a response and returns its output.
 func run(t *testing.T, status int, body string, args ...string) (string, error) {
 	t.Helper()
 	gateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,15 +60,15 @@
 	is.True(strings.Contains(printed, `"left_ms": 15770`))
 }
 
-func TestRolloutsThatCantBeRead(t *testing.T) {
+func TestRolloutsErrors(t *testing.T) {
 	cases := map[string]struct {
 		status int
 		body   string
 		kind   fault.Kind
-		says   string
+		text   string
 	}{
 		"another process": {http.StatusNotFound, "", fault.BadRequest, "want a gateway's metrics address"},
-		"no list":         {http.StatusOK, "<html>", fault.Internal, "no list of roll-outs"},
+		"no list":         {http.StatusOK, "<html>", fault.Internal, "did not return a list of roll-outs"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 			printed, err := run(t, tc.status, tc.body)
 			is.Equal(printed, "")
 			is.Equal(fault.KindOf(err), tc.kind)
-			is.True(strings.Contains(err.Error(), tc.says))
+			is.True(strings.Contains(err.Error(), tc.text))
 		})
 	}
 }
--- a/pkg/cmdutil/change.go
+++ b/pkg/cmdutil/change.go
@@ -25,11 +25,11 @@
 
 // AddCommandFlags adds --id and --who.
 func AddCommandFlags(cmd *cobra.Command, id, who *string) {
-	cmd.Flags().StringVar(id, "id", "", "command `id`: sending a command again under its id is safe")
-	cmd.Flags().StringVar(who, "who", firstOf(os.Getenv("USER"), "unknown"), "`name` kept in the history")
+	cmd.Flags().StringVar(id, "id", "", "command `id`; a command can safely be sent again with the same id")
+	cmd.Flags().StringVar(who, "who", firstNonEmpty(os.Getenv("USER"), "unknown"), "`name` recorded in the history")
 }
 
-// ChangeOptions are the options of commands that change the configuration.
+// ChangeOptions holds the options of commands that change the configuration.
 type ChangeOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *Client
@@ -44,7 +44,7 @@
 	Changes    []config.Change
 }
 
-// NewChangeOptions returns options that work through a factory.
+// NewChangeOptions returns options with the dependencies of a factory.
 func NewChangeOptions(f *Factory) *ChangeOptions {
 	return &ChangeOptions{IO: f.IOStreams, Client: f.Client}
 }
@@ -54,12 +54,13 @@
 	AddRouterFlag(cmd, &o.Router)
 	AddJSONFlag(cmd, &o.JSON)
 	AddCommandFlags(cmd, &o.ID, &o.Who)
-	cmd.Flags().Uint64Var(&o.IfRevision, "if-revision", 0, "refuse unless the configuration is at this `revision`")
-	cmd.Flags().BoolVar(&o.DryRun, "dry-run", false, "check only")
-	cmd.Flags().BoolVar(&o.Force, "force", false, "carry out what would leave a pool without a target")
+	cmd.Flags().Uint64Var(&o.IfRevision, "if-revision", 0, "refuse the change unless the configuration is at this `revision`")
+	cmd.Flags().BoolVar(&o.DryRun, "dry-run", false, "validate the change without applying it")
+	cmd.Flags().BoolVar(&o.Force, "force", false, "apply the change even if it leaves a pool without a target")
 }
 
-// Run sends the command and says how it ended: accepted, refused or unknown.
+// Run sends the command and prints the result. The error tells whether the command was refused
+// or its outcome is unknown.
 func (o *ChangeOptions) Run(ctx context.Context) error {
 	if o.ID == "" {
 		o.ID = uuid.NewString()
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// WithID tells how to settle a command whose answer is lost.
+// WithID adds to the error of a command with a lost response how to find out its outcome.
 func WithID(err error, id string) error {
 	if err == nil || fault.KindOf(err) != fault.Unsettled {
 		return err
@@ -90,7 +91,7 @@
 	return fault.New(fault.Unsettled, fault.Unknown, "%s; run it again with --id %s", fault.From(err).Message, id)
 }
 
-// Describe says how an accepted command ended.
+// Describe returns the result of an accepted command as a sentence.
 func Describe(result config.Result) string {
 	switch {
 	case result.DryRun:
--- a/pkg/cmdutil/client.go
+++ b/pkg/cmdutil/client.go
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/internal/process"
 )
 
-// Client calls the operators' interface of one process.
+// Client is a client of the operators' interface of one process.
 type Client struct {
 	base string
 	key  string
@@ -29,9 +29,8 @@
 	return &Client{base: scheme + address + "/operator/v1", key: key, http: client}
 }
 
-// call sends one request and reads the answer into a value. A router that
-// cannot be reached is fault.NotReady for reads; a command whose answer is
-// lost is fault.Unsettled.
+// call sends one request and decodes the response. A router that can't be reached is
+// fault.NotReady for reads; a command whose response is lost is fault.Unsettled.
 func (c *Client) call(ctx context.Context, method, path string, body, into any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -46,27 +45,27 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return lost(method, err)
+		return lostAnswer(method, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return lost(method, err)
+		return lostAnswer(method, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusedBy(response.StatusCode, text)
+		return errorFrom(response.StatusCode, text)
 	}
 	return json.Unmarshal(text, into)
 }
 
-func lost(method string, err error) *fault.Error {
+func lostAnswer(method string, err error) *fault.Error {
 	if method == http.MethodGet {
 		return fault.New(fault.NotReady, fault.NotRun, "the router does not answer: %v; name another with --router", err)
 	}
-	return fault.New(fault.Unsettled, fault.Unknown, "the answer is lost: %v; run the same command again with the same --id", err)
+	return fault.New(fault.Unsettled, fault.Unknown, "the response was lost: %v; run the same command again with the same --id", err)
 }
 
-func refusedBy(status int, text []byte) error {
+func errorFrom(status int, text []byte) error {
 	var refused process.OperatorError
 	if json.Unmarshal(text, &refused) != nil || refused.Kind == "" {
 		return fault.New(fault.Internal, fault.Unknown, "status %d: %s", status, text)
@@ -81,25 +80,25 @@
 	return result, err
 }
 
-// Exec sends a script of the operators' language.
+// Exec sends a script in the operators' language.
 func (c *Client) Exec(ctx context.Context, script process.Script) (process.Executed, error) {
 	var executed process.Executed
 	err := c.call(ctx, http.MethodPost, "/exec", script, &executed)
 	return executed, err
 }
 
-// Query asks a question of the operators' language.
+// Query sends a query in the operators' language.
 func (c *Client) Query(ctx context.Context, text string) (oplang.Table, error) {
 	var table oplang.Table
 	err := c.call(ctx, http.MethodPost, "/query", process.Text{Text: text}, &table)
 	if fault.KindOf(err) == fault.Unsettled && err != nil {
-		// A question changes nothing, so a lost answer needs no settling.
+		// A query changes nothing, so a lost response needs no follow-up.
 		err = fault.New(fault.NotReady, fault.NotRun, "the router does not answer; name another with --router")
 	}
 	return table, err
 }
 
-// Republish writes the fleet's configuration to a store that was put back.
+// Republish writes the fleet's configuration to a store that was reset to an older state.
 func (c *Client) Republish(ctx context.Context, id, who string) (config.Result, error) {
 	var result config.Result
 	err := c.call(ctx, http.MethodPost, "/republish", config.Command{ID: id, Operator: who}, &result)
@@ -118,14 +117,14 @@
 	return documents, err
 }
 
-// History reads the last accepted commands.
+// History reads the latest accepted commands.
 func (c *Client) History(ctx context.Context) ([]config.Accepted, error) {
 	var history []config.Accepted
 	err := c.call(ctx, http.MethodGet, "/history", nil, &history)
 	return history, err
 }
 
-// Members reads what a process knows of the others.
+// Members reads a process's view of the other members.
 func (c *Client) Members(ctx context.Context) ([]process.MemberRow, error) {
 	var members []process.MemberRow
 	err := c.call(ctx, http.MethodGet, "/members", nil, &members)
--- a/pkg/cmdutil/gateway.go
+++ b/pkg/cmdutil/gateway.go
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/internal/rollout"
 )
 
-// GatewayClient asks one gateway at its address for metrics.
+// GatewayClient is a client of one gateway's metrics address.
 type GatewayClient struct {
 	address string
 	http    *http.Client
@@ -24,24 +24,24 @@
 	return &GatewayClient{address: address, http: client}
 }
 
-// Rollouts are what the gateway knows of roll-outs.
+// Rollouts returns the state of roll-outs as the gateway knows it.
 func (c *GatewayClient) Rollouts(ctx context.Context) ([]rollout.Status, error) {
-	return list[rollout.Status](ctx, c, process.PathRollouts, "roll-outs")
+	return getList[rollout.Status](ctx, c, process.PathRollouts, "roll-outs")
 }
 
-// Targets are all targets as the gateway sees them.
+// Targets returns the state of all targets as the gateway sees it.
 func (c *GatewayClient) Targets(ctx context.Context) ([]process.TargetStanding, error) {
-	return list[process.TargetStanding](ctx, c, process.PathTargets, "targets")
+	return getList[process.TargetStanding](ctx, c, process.PathTargets, "targets")
 }
 
-// HeldBack are the requests that the gateway holds back.
+// HeldBack returns the requests that the gateway holds back.
 func (c *GatewayClient) HeldBack(ctx context.Context) ([]process.HeldBack, error) {
-	return list[process.HeldBack](ctx, c, process.PathQuarantine, "requests")
+	return getList[process.HeldBack](ctx, c, process.PathQuarantine, "requests")
 }
 
-// Lift has a request sent again that is held back, named by its print.
-func (c *GatewayClient) Lift(ctx context.Context, print string) error {
-	response, err := c.do(ctx, http.MethodDelete, process.PathQuarantine+"?"+url.Values{process.QueryQuarantine: {print}}.Encode())
+// Lift releases a request that is held back, identified by its fingerprint.
+func (c *GatewayClient) Lift(ctx context.Context, fingerprint string) error {
+	response, err := c.do(ctx, http.MethodDelete, process.PathQuarantine+"?"+url.Values{process.QueryQuarantine: {fingerprint}}.Encode())
 	if err != nil {
 		return err
 	}
@@ -49,19 +49,19 @@
 	if response.StatusCode == http.StatusNoContent {
 		return nil
 	}
-	said, _ := io.ReadAll(io.LimitReader(response.Body, mostSaid))
-	text := strings.TrimSpace(string(said))
+	body, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
+	text := strings.TrimSpace(string(body))
 	if text == "" {
 		text = http.StatusText(response.StatusCode)
 	}
 	return fault.New(fault.BadRequest, fault.NotRun, "%s: %s", c.address, text)
 }
 
-// mostSaid bounds what is read of a gateway's word on a failure, in bytes.
-const mostSaid = 4096
+// maxErrorText limits how much of a gateway's error response is read, in bytes.
+const maxErrorText = 4096
 
-// list asks for a list of what is called things.
-func list[T any](ctx context.Context, c *GatewayClient, path, things string) ([]T, error) {
+// getList requests a list; noun describes its items in errors.
+func getList[T any](ctx context.Context, c *GatewayClient, path, noun string) ([]T, error) {
 	response, err := c.do(ctx, http.MethodGet, path)
 	if err != nil {
 		return nil, err
@@ -70,14 +70,14 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fault.New(fault.BadRequest, fault.NotRun, "%s answered %d; want a gateway's metrics address", c.address, response.StatusCode)
 	}
-	var found []T
-	if err := json.NewDecoder(response.Body).Decode(&found); err != nil {
-		return nil, fault.New(fault.Internal, fault.NotRun, "%s gave what is no list of %s: %v", c.address, things, err)
+	var items []T
+	if err := json.NewDecoder(response.Body).Decode(&items); err != nil {
+		return nil, fault.New(fault.Internal, fault.NotRun, "%s did not return a list of %s: %v", c.address, noun, err)
 	}
-	return found, nil
+	return items, nil
 }
 
-// do makes one call.
+// do sends one request.
 func (c *GatewayClient) do(ctx context.Context, method, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+c.address+path, nil)
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, fault.New(fault.NotReady, fault.NotRun, "the gateway does not answer: %v; name the metrics address of another", err)
+		return nil, fault.New(fault.NotReady, fault.NotRun, "the gateway does not answer: %v; name the metrics address of another gateway", err)
 	}
 	return response, nil
 }
--- a/pkg/cmdutil/print.go
+++ b/pkg/cmdutil/print.go
@@ -14,10 +14,10 @@
 	return encoder.Encode(value)
 }
 
-// columnGap is the space between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-// Table writes rows under headings, in columns.
+// Table writes rows under headings, in aligned columns.
 func Table(out io.Writer, headings []string, rows [][]string) error {
 	writer := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	for _, row := range append([][]string{headings}, rows...) {
--- a/pkg/cmdutil/run.go
+++ b/pkg/cmdutil/run.go
@@ -14,8 +14,8 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// RunProcess runs a router or an agent from its settings file until SIGTERM or
-// SIGINT, then drains it. A second signal ends the drain.
+// RunProcess runs a router or an agent from its settings file until SIGTERM or SIGINT, then
+// drains it. A second signal ends the drain.
 func RunProcess(streams *iostreams.IOStreams, role, file string, drainTimeout time.Duration) error {
 	loaded, err := settings.Load(file)
 	if err != nil {
--- a/pkg/iostreams/iostreams.go
+++ b/pkg/iostreams/iostreams.go
@@ -1,5 +1,5 @@
-// Package iostreams holds the streams that commands read and write, so that
-// tests can hand in buffers.
+// Package iostreams holds the streams that commands read and write, so that tests can pass
+// buffers.
 package iostreams
 
 import (
@@ -8,14 +8,14 @@
 	"os"
 )
 
-// IOStreams are a command's input and outputs.
+// IOStreams holds a command's input and outputs.
 type IOStreams struct {
 	In     io.Reader
 	Out    io.Writer
 	ErrOut io.Writer
 }
 
-// System are the process's own streams.
+// System returns the streams of the process.
 func System() *IOStreams {
 	return &IOStreams{In: os.Stdin, Out: os.Stdout, ErrOut: os.Stderr}
 }
