--- a/cmd/capersaddle/main_test.go
+++ b/cmd/capersaddle/main_test.go
@@ -29,17 +29,17 @@
 		args []string
 		want int
 	}{
-		"help":              {[]string{"--help"}, 0},
-		"no command":        {nil, 0},
-		"unknown command":   {[]string{"nonsense"}, fault.ExitUsage},
-		"unknown in group":  {[]string{"config", "nonsense"}, fault.ExitUsage},
-		"unknown flag":      {[]string{"query", "routers", "--colour"}, fault.ExitUsage},
-		"missing argument":  {[]string{"query"}, fault.ExitUsage},
-		"bad settings":      {[]string{"config", "check", "no-such-file"}, fault.ExitUsage},
-		"router away, ask":  {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitUnavailable},
-		"gateway away":      {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitUnavailable},
-		"no gateway named":  {[]string{"rollouts"}, fault.ExitUsage},
-		"router away, tell": {[]string{"exec", "mark target a", "--router", "127.0.0.1:1"}, fault.ExitUnsettled},
+		"help":                        {[]string{"--help"}, 0},
+		"no command":                  {nil, 0},
+		"unknown command":             {[]string{"nonsense"}, fault.ExitUsage},
+		"unknown in group":            {[]string{"config", "nonsense"}, fault.ExitUsage},
+		"unknown flag":                {[]string{"query", "routers", "--colour"}, fault.ExitUsage},
+		"missing argument":            {[]string{"query"}, fault.ExitUsage},
+		"bad settings":                {[]string{"config", "check", "no-such-file"}, fault.ExitUsage},
+		"router unavailable, query":   {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitUnavailable},
+		"gateway unavailable":         {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitUnavailable},
+		"no gateway given":            {[]string{"rollouts"}, fault.ExitUsage},
+		"router unavailable, command": {[]string{"exec", "mark target a", "--router", "127.0.0.1:1"}, fault.ExitUnsettled},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -30,9 +30,9 @@
 		unresponsive *Conn
 		wantIdle     int
 	}{
-		"one that had rested": {&Conn{target: "s", idleSince: time.Unix(1, 0)}, 0},
-		"a new one":           {&Conn{target: "s"}, 1},
-		"one to another":      {&Conn{target: "other", idleSince: time.Unix(1, 0)}, 1},
+		"previously idle": {&Conn{target: "s", idleSince: time.Unix(1, 0)}, 0},
+		"new":             {&Conn{target: "s"}, 1},
+		"other target":    {&Conn{target: "other", idleSince: time.Unix(1, 0)}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/external/httpstore.go
+++ b/internal/external/httpstore.go
@@ -26,7 +26,7 @@
 	Client *http.Client
 }
 
-func (s *HTTPStore) address(key string, query url.Values) string {
+func (s *HTTPStore) keyURL(key string, query url.Values) string {
 	address := s.Base + "/v1/kv/" + url.PathEscape(key)
 	if len(query) == 0 {
 		return address
@@ -64,26 +64,26 @@
 
 // Get reads a value.
 func (s *HTTPStore) Get(ctx context.Context, key string) (Value, error) {
-	return s.call(ctx, http.MethodGet, s.address(key, nil), nil)
+	return s.call(ctx, http.MethodGet, s.keyURL(key, nil), nil)
 }
 
 // Put writes a value if the key's version is base.
 func (s *HTTPStore) Put(ctx context.Context, key string, data []byte, base uint64) (uint64, error) {
 	query := url.Values{"base": {strconv.FormatUint(base, 10)}}
-	value, err := s.call(ctx, http.MethodPut, s.address(key, query), data)
+	value, err := s.call(ctx, http.MethodPut, s.keyURL(key, query), data)
 	return value.Version, err
 }
 
 // Delete removes a value.
 func (s *HTTPStore) Delete(ctx context.Context, key string) error {
-	_, err := s.call(ctx, http.MethodDelete, s.address(key, nil), nil)
+	_, err := s.call(ctx, http.MethodDelete, s.keyURL(key, nil), nil)
 	return err
 }
 
 // Watch waits until the key's version differs from known.
 func (s *HTTPStore) Watch(ctx context.Context, key string, known uint64) (Value, error) {
 	query := url.Values{"watch": {strconv.FormatUint(known, 10)}}
-	return s.call(ctx, http.MethodGet, s.address(key, query), nil)
+	return s.call(ctx, http.MethodGet, s.keyURL(key, query), nil)
 }
 
 // HTTPHosts reads the platform's host list over HTTP.
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -43,10 +43,10 @@
 		kind Kind
 		exit int
 	}{
-		"nothing":         {nil, Internal, 0},
-		"a known error":   {New(Overloaded, NotRun, "full"), Overloaded, ExitRefused},
-		"a wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitUnavailable},
-		"any other error": {errors.New("what"), Internal, ExitFailed},
+		"no error":      {nil, Internal, 0},
+		"known error":   {New(Overloaded, NotRun, "full"), Overloaded, ExitRefused},
+		"wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitUnavailable},
+		"other error":   {errors.New("what"), Internal, ExitFailed},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		t.Skip("port range is not available:", err)
 	}
-	first, err := strconv.Atoi(strings.Fields(string(data))[0])
+	ephemeralStart, err := strconv.Atoi(strings.Fields(string(data))[0])
 	is.NoErr(err)
 	ports := new(loopback.Ports)
 	defer func() { is.NoErr(ports.Close()) }()
@@ -54,7 +54,7 @@
 	is.NoErr(err)
 	number, err := strconv.Atoi(port)
 	is.NoErr(err)
-	is.True(number < first)
+	is.True(number < ephemeralStart)
 }
 
 // TestTakenAddressesAreSkipped checks that an address is skipped if another process that
--- a/internal/oplang/oplang_test.go
+++ b/internal/oplang/oplang_test.go
@@ -92,14 +92,14 @@
 		text string
 		want []string
 	}{
-		"unknown verb":       {"destroy workspace a", []string{"line 1, column 1", "destroy"}},
-		"missing name":       {"create workspace", []string{"line 1, column", "<word>"}},
-		"missing value":      {"create workspace a with share =", []string{"line 1, column", "expected Value"}},
-		"stray comma":        {"mark target a,", []string{"line 1, column 14", ","}},
-		"second line":        {"mark target a;\nmrk target b", []string{"line 2, column 1", "mrk"}},
-		"unclosed quote":     {`create route a with model = "b`, []string{"line 1, column 29"}},
-		"the same twice":     {"create route a with model = b, model = c", []string{"given twice"}},
-		"revision no number": {"mark target a if revision = x", []string{"column 29", "<number>"}},
+		"unknown verb":             {"destroy workspace a", []string{"line 1, column 1", "destroy"}},
+		"missing name":             {"create workspace", []string{"line 1, column", "<word>"}},
+		"missing value":            {"create workspace a with share =", []string{"line 1, column", "expected Value"}},
+		"stray comma":              {"mark target a,", []string{"line 1, column 14", ","}},
+		"second line":              {"mark target a;\nmrk target b", []string{"line 2, column 1", "mrk"}},
+		"unclosed quote":           {`create route a with model = "b`, []string{"line 1, column 29"}},
+		"duplicate field":          {"create route a with model = b, model = c", []string{"given twice"}},
+		"revision is not a number": {"mark target a if revision = x", []string{"column 29", "<number>"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -155,11 +155,11 @@
 	if err != nil {
 		return ""
 	}
-	var named struct {
+	var header struct {
 		Role string `json:"role"`
 	}
-	_ = json.Unmarshal(standard, &named)
-	return named.Role
+	_ = json.Unmarshal(standard, &header)
+	return header.Role
 }
 
 // ParseGateway parses a gateway's settings, applies the defaults and returns all problems
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -25,22 +25,22 @@
 		change [2]string
 		want   string
 	}{
-		"good":             {[2]string{"", ""}, ""},
-		"another role":     {[2]string{`"role": "gateway"`, `"role": "router"`}, `want "gateway"`},
-		"no store":         {[2]string{`"store": "127.0.0.1:3"`, `"store": ""`}, "is missing; want IP:port"},
-		"a name":           {[2]string{`127.0.0.1:3`, `store.example:3`}, "names are not looked up"},
-		"a port twice":     {[2]string{`127.0.0.1:2`, `127.0.0.1:1`}, "want another port"},
-		"cut off":          {[2]string{"}", ""}, "unexpected"},
-		"an unknown field": {[2]string{`"id"`, `"idd": 1, "id"`}, `unknown field "idd"`},
-		"a bad time":       {[2]string{`"id"`, `"grace": 8, "id"`}, "a time with its unit"},
-		"a bad link":       {[2]string{`"id"`, `"host": {"link_mbps": -1}, "id"`}, "want 0 or more"},
-		"a bad memory":     {[2]string{`"id"`, `"host": {"memory_mb": -1}, "id"`}, "want 0 or more"},
-		"a bad pass":       {[2]string{`"id"`, `"pass": "-1ms", "id"`}, "a time that is not negative"},
-		"a bad multiple":   {[2]string{`"id"`, `"load": {"multiple": 0.5}, "id"`}, "want 1 or more"},
-		"a negative share": {[2]string{`"id"`, `"rollout": {"share": -0.1}, "id"`}, `g.json:3: field "rollout.share": found -0.1; want a share above 0, and 1 at most`},
-		"a share over 1":   {[2]string{`"id"`, `"rollout": {"share": 10}, "id"`}, "want a share above 0, and 1 at most"},
-		"a negative slack": {[2]string{`"id"`, `"rollout": {"slack": -1}, "id"`}, `field "rollout.slack": found -1; want 0 or more requests`},
-		"a time below 0":   {[2]string{`"id"`, `"rollout": {"rollback": "-5s"}, "id"`}, "a time that is not negative"},
+		"valid":                   {[2]string{"", ""}, ""},
+		"other role":              {[2]string{`"role": "gateway"`, `"role": "router"`}, `want "gateway"`},
+		"missing store":           {[2]string{`"store": "127.0.0.1:3"`, `"store": ""`}, "is missing; want IP:port"},
+		"host name":               {[2]string{`127.0.0.1:3`, `store.example:3`}, "names are not looked up"},
+		"duplicate port":          {[2]string{`127.0.0.1:2`, `127.0.0.1:1`}, "want another port"},
+		"truncated":               {[2]string{"}", ""}, "unexpected"},
+		"unknown field":           {[2]string{`"id"`, `"idd": 1, "id"`}, `unknown field "idd"`},
+		"duration without a unit": {[2]string{`"id"`, `"grace": 8, "id"`}, "a time with its unit"},
+		"negative link bandwidth": {[2]string{`"id"`, `"host": {"link_mbps": -1}, "id"`}, "want 0 or more"},
+		"negative memory":         {[2]string{`"id"`, `"host": {"memory_mb": -1}, "id"`}, "want 0 or more"},
+		"negative pass time":      {[2]string{`"id"`, `"pass": "-1ms", "id"`}, "a time that is not negative"},
+		"load multiple below 1":   {[2]string{`"id"`, `"load": {"multiple": 0.5}, "id"`}, "want 1 or more"},
+		"negative share":          {[2]string{`"id"`, `"rollout": {"share": -0.1}, "id"`}, `g.json:3: field "rollout.share": found -0.1; want a share above 0, and 1 at most`},
+		"share above 1":           {[2]string{`"id"`, `"rollout": {"share": 10}, "id"`}, "want a share above 0, and 1 at most"},
+		"negative slack":          {[2]string{`"id"`, `"rollout": {"slack": -1}, "id"`}, `field "rollout.slack": found -1; want 0 or more requests`},
+		"negative rollback time":  {[2]string{`"id"`, `"rollout": {"rollback": "-5s"}, "id"`}, "a time that is not negative"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -164,7 +164,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		read, problems := settings.ParseGateway("g.json", data)
 		if len(problems) == 0 && read.Role != "gateway" {
-			t.Fatalf("taken: %+v", read)
+			t.Fatalf("accepted: %+v", read)
 		}
 	})
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -134,16 +134,16 @@
 // defaultBudget leaves room for configuration messages within 8 KB/s.
 const defaultBudget = 4000
 
-func orDefault[T comparable](value, otherwise T) T {
+func orDefault[T comparable](value, fallback T) T {
 	var zero T
 	if value == zero {
-		return otherwise
+		return fallback
 	}
 	return value
 }
 
-func durationOrDefault(value Duration, otherwise time.Duration) time.Duration {
-	return orDefault(time.Duration(value), otherwise)
+func durationOrDefault(value Duration, fallback time.Duration) time.Duration {
+	return orDefault(time.Duration(value), fallback)
 }
 
 // AdmissionOptions returns the admission options, with defaults for fields that are not set.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -99,7 +99,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		settings, problems := Parse("s.json", data)
 		if settings == nil && len(problems) == 0 {
-			t.Fatal("neither settings nor a problem")
+			t.Fatal("got neither settings nor a problem")
 		}
 	})
 }
--- a/internal/target/httpengine.go
+++ b/internal/target/httpengine.go
@@ -226,8 +226,8 @@
 	stop   func()
 	index  int64
 	// last holds the piece with Finish until its usage arrives.
-	last *Piece
-	done bool
+	lastPiece *Piece
+	done      bool
 }
 
 // Next reads events until one of them yields a piece.
@@ -262,8 +262,8 @@
 	if len(chunk.Choices) > 0 {
 		piece, ready = g.readChoice(chunk.Choices[0])
 	}
-	if chunk.Usage != nil && g.last != nil {
-		g.last.Usage = Usage{
+	if chunk.Usage != nil && g.lastPiece != nil {
+		g.lastPiece.Usage = Usage{
 			PromptTokens:     chunk.Usage.PromptTokens,
 			CompletionTokens: chunk.Usage.CompletionTokens,
 			CachedTokens:     chunk.Usage.PromptTokensDetails.CachedTokens,
@@ -280,17 +280,17 @@
 		ready = true
 	}
 	if choice.FinishReason != nil {
-		g.last = &Piece{Index: g.index, Finish: *choice.FinishReason}
+		g.lastPiece = &Piece{Index: g.index, Finish: *choice.FinishReason}
 	}
 	return piece, ready
 }
 
 func (g *httpGeneration) finish() (Piece, error) {
-	if g.last == nil {
+	if g.lastPiece == nil {
 		return Piece{}, errors.Wrap(ErrCut, "stream closed without finish_reason")
 	}
 	g.done = true
-	return *g.last, nil
+	return *g.lastPiece, nil
 }
 
 // Close cancels the request and frees the connection.
--- a/pkg/cmd/fake/fake.go
+++ b/pkg/cmd/fake/fake.go
@@ -92,7 +92,7 @@
 	case "weights":
 		return fakeweights.New(opts.Rate).Handler(), nil
 	}
-	return nil, fault.New(fault.BadRequest, fault.NotRun, "unknown stand-in %q; known are engine, service, store, hosts, weights, platform", opts.Kind)
+	return nil, fault.New(fault.BadRequest, fault.NotRun, "unknown fake %q; known are engine, service, store, hosts, weights, platform", opts.Kind)
 }
 
 func fakeRun(opts *FakeOptions) error {
--- a/pkg/cmd/fake/rollout_test.go
+++ b/pkg/cmd/fake/rollout_test.go
@@ -27,13 +27,13 @@
 		want    RolloutOptions
 		wantErr string
 	}{
-		"none":           {nil, RolloutOptions{After: 3 * time.Second, For: 20 * time.Second}, ""},
-		"a good one":     {[]string{"--rollout", "v2"}, RolloutOptions{Version: "v2", After: 3 * time.Second, For: 20 * time.Second}, ""},
-		"a bad one":      {[]string{"--rollout", "v2", "--rollout-bad", "late", "--rollout-after", "1s", "--rollout-for", "9s"}, RolloutOptions{Version: "v2", Bad: "late", After: time.Second, For: 9 * time.Second}, ""},
-		"an unknown way": {[]string{"--rollout", "v2", "--rollout-bad", "loud"}, RolloutOptions{}, "want one of errors, late, load, path, slow"},
-		"the old one":    {[]string{"--rollout", "v1"}, RolloutOptions{}, "want another version"},
-		"no time":        {[]string{"--rollout", "v2", "--rollout-for", "0s"}, RolloutOptions{}, "want no time below zero, and one above"},
-		"before it":      {[]string{"--rollout", "v2", "--rollout-after", "-1s"}, RolloutOptions{}, "want no time below zero, and one above"},
+		"none":                 {nil, RolloutOptions{After: 3 * time.Second, For: 20 * time.Second}, ""},
+		"working version":      {[]string{"--rollout", "v2"}, RolloutOptions{Version: "v2", After: 3 * time.Second, For: 20 * time.Second}, ""},
+		"failing version":      {[]string{"--rollout", "v2", "--rollout-bad", "late", "--rollout-after", "1s", "--rollout-for", "9s"}, RolloutOptions{Version: "v2", Bad: "late", After: time.Second, For: 9 * time.Second}, ""},
+		"unknown failure mode": {[]string{"--rollout", "v2", "--rollout-bad", "loud"}, RolloutOptions{}, "want one of errors, late, load, path, slow"},
+		"same version":         {[]string{"--rollout", "v1"}, RolloutOptions{}, "want another version"},
+		"zero duration":        {[]string{"--rollout", "v2", "--rollout-for", "0s"}, RolloutOptions{}, "want no time below zero, and one above"},
+		"negative delay":       {[]string{"--rollout", "v2", "--rollout-after", "-1s"}, RolloutOptions{}, "want no time below zero, and one above"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/cmd/gateway/gateway.go
+++ b/pkg/cmd/gateway/gateway.go
@@ -81,48 +81,48 @@
 	if err != nil {
 		return err
 	}
-	lines := logsink.New(opts.IO.Out)
-	defer closeLog(lines)
-	logger := process.NewLogger(lines, loaded.Log)
-	running, err := process.NewGateway(loaded, logger)
+	sink := logsink.New(opts.IO.Out)
+	defer closeLog(sink)
+	logger := process.NewLogger(sink, loaded.Log)
+	proc, err := process.NewGateway(loaded, logger)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := running.Start(ctx); err != nil {
-		return errors.CombineErrors(err, running.Close())
+	if err := proc.Start(ctx); err != nil {
+		return errors.CombineErrors(err, proc.Close())
 	}
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-hangups:
-			reload(opts.File, running, logger)
+		case <-reloadSignals:
+			reload(opts.File, proc, logger)
 		}
 	}
-	err = running.Drain(context.Background())
-	return errors.CombineErrors(err, running.Close())
+	err = proc.Drain(context.Background())
+	return errors.CombineErrors(err, proc.Close())
 }
 
 // logTimeout limits the wait until the last log lines are written.
 const logTimeout = 300 * time.Millisecond
 
-func closeLog(lines *logsink.Sink) {
+func closeLog(sink *logsink.Sink) {
 	ctx, cancel := context.WithTimeout(context.Background(), logTimeout)
 	defer cancel()
-	_ = lines.Close(ctx)
+	_ = sink.Close(ctx)
 }
 
 // reload reads the settings again; if they can't be read, the old ones stay in force.
-func reload(file string, running *process.GatewayProcess, logger *log.Logger) {
+func reload(file string, proc *process.GatewayProcess, logger *log.Logger) {
 	loaded, err := settings.LoadGateway(file)
 	if err != nil {
 		logger.Error(observe.EventReload, "file", file, "taken", false, "reason", err.Error())
 		return
 	}
-	running.Reload(loaded)
+	proc.Reload(loaded)
 	logger.Info(observe.EventReload, "file", file, "taken", true)
 }
--- a/pkg/cmdutil/run.go
+++ b/pkg/cmdutil/run.go
@@ -25,21 +25,21 @@
 		return fault.New(fault.BadSettings, fault.NotRun, `%s: field "role": found %q; want %q for this command`, file, loaded.Role, role)
 	}
 	logger := process.NewLogger(streams.ErrOut, loaded.Log)
-	running, err := process.New(loaded, logger)
+	proc, err := process.New(loaded, logger)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := running.Start(ctx); err != nil {
-		return errors.CombineErrors(err, running.Close())
+	if err := proc.Start(ctx); err != nil {
+		return errors.CombineErrors(err, proc.Close())
 	}
 	<-ctx.Done()
 	stop()
-	return drain(running, drainTimeout)
+	return drain(proc, drainTimeout)
 }
 
-func drain(running process.Process, timeout time.Duration) error {
+func drain(proc process.Process, timeout time.Duration) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if timeout > 0 {
@@ -47,6 +47,6 @@
 		ctx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	err := running.Drain(ctx)
-	return errors.CombineErrors(err, running.Close())
+	err := proc.Drain(ctx)
+	return errors.CombineErrors(err, proc.Close())
 }
