--- a/internal/settings/gateway.go
+++ b/internal/settings/gateway.go
@@ -45,7 +45,7 @@
 	Pass Duration `json:"pass,omitempty"`
 	// Host describes the resources of the process's host.
 	Host Host `json:"host"`
-	// Grace is the time between SIGTERM and the forced end of the process.
+	// Grace limits the time between SIGTERM and the end of the process.
 	Grace Duration    `json:"grace,omitempty"`
 	Load  LoadBound   `json:"load"`
 	Cold  ColdBound   `json:"cold"`
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For pauses for a duration. It returns false as soon as the context ends.
+// For pauses for a duration and returns true. If the context ends first, it returns false at once.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/pkg/cmd/fake/fake.go
+++ b/pkg/cmd/fake/fake.go
@@ -48,7 +48,7 @@
 		Short: "Serve a fake of an outside system",
 		Long: `Serve a small fake of a model engine, of a server of a plain service, of the
 platform's key-value store, its list of hosts or its weight store, so that routers and agents can
-be tried as separate processes on one machine; or for the whole users' platform,
+be tried as separate processes on one machine; or of the whole users' platform,
 with a store, three engines and three servers of a plain service, to test
 gateways. The platform also sends requests and rolls out a version on request. Not for
 production use.`,
