--- a/cmd/capersaddle/main_test.go
+++ b/cmd/capersaddle/main_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// The scripts are the command line as people use it: what it prints, where,
-// and how it ends.
+// TestScripts runs the scripts, which test the command line from the user's view: the output on
+// each stream, and the exit status.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
@@ -29,17 +29,17 @@
 		args []string
 		want int
 	}{
-		"help":              {[]string{"--help"}, 0},
-		"no command":        {nil, 0},
-		"unknown command":   {[]string{"nonsense"}, fault.ExitUsage},
-		"unknown in group":  {[]string{"config", "nonsense"}, fault.ExitUsage},
-		"unknown flag":      {[]string{"query", "routers", "--colour"}, fault.ExitUsage},
-		"missing argument":  {[]string{"query"}, fault.ExitUsage},
-		"bad settings":      {[]string{"config", "check", "no-such-file"}, fault.ExitUsage},
-		"router away, ask":  {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitAway},
-		"gateway away":      {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitAway},
-		"no gateway named":  {[]string{"rollouts"}, fault.ExitUsage},
-		"router away, tell": {[]string{"exec", "mark target a", "--router", "127.0.0.1:1"}, fault.ExitUnsettled},
+		"help":                        {[]string{"--help"}, 0},
+		"no command":                  {nil, 0},
+		"unknown command":             {[]string{"nonsense"}, fault.ExitUsage},
+		"unknown in group":            {[]string{"config", "nonsense"}, fault.ExitUsage},
+		"unknown flag":                {[]string{"query", "routers", "--colour"}, fault.ExitUsage},
+		"missing argument":            {[]string{"query"}, fault.ExitUsage},
+		"bad settings":                {[]string{"config", "check", "no-such-file"}, fault.ExitUsage},
+		"router unavailable, query":   {[]string{"query", "routers", "--router", "127.0.0.1:1"}, fault.ExitUnavailable},
+		"gateway unavailable":         {[]string{"rollouts", "127.0.0.1:1"}, fault.ExitUnavailable},
+		"no gateway given":            {[]string{"rollouts"}, fault.ExitUsage},
+		"router unavailable, command": {[]string{"exec", "mark target a", "--router", "127.0.0.1:1"}, fault.ExitUnsettled},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -11,7 +11,8 @@
 	"github.com/matryer/is"
 )
 
-// Every kind that the source declares has a row in the table.
+// TestEveryKindHasAnAnswer checks that every kind declared in the source has a row in the
+// table.
 func TestEveryKindHasAnAnswer(t *testing.T) {
 	is := is.New(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "fault.go", nil, 0)
@@ -42,10 +43,10 @@
 		kind Kind
 		exit int
 	}{
-		"nothing":         {nil, Internal, 0},
-		"a known error":   {New(Overloaded, NotRun, "full"), Overloaded, ExitRefused},
-		"a wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitAway},
-		"any other error": {errors.New("what"), Internal, ExitFailed},
+		"no error":      {nil, Internal, 0},
+		"known error":   {New(Overloaded, NotRun, "full"), Overloaded, ExitRefused},
+		"wrapped error": {errors.Wrap(New(StoreAway, NotRun, "away"), "try"), StoreAway, ExitUnavailable},
+		"other error":   {errors.New("what"), Internal, ExitFailed},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -58,7 +59,8 @@
 	}
 }
 
-// An error of no known kind never claims that nothing ran.
-func TestUnknownErrorsDoNotSayNotRun(t *testing.T) {
+// TestUnknownErrorsHaveUnknownRunState checks that an error of no known kind never claims that
+// the request did not run.
+func TestUnknownErrorsHaveUnknownRunState(t *testing.T) {
 	is.New(t).Equal(From(errors.New("what")).State, Unknown)
 }
--- a/internal/settings/gateway_test.go
+++ b/internal/settings/gateway_test.go
@@ -25,22 +25,22 @@
 		change [2]string
 		want   string
 	}{
-		"good":             {[2]string{"", ""}, ""},
-		"another role":     {[2]string{`"role": "gateway"`, `"role": "router"`}, `want "gateway"`},
-		"no store":         {[2]string{`"store": "127.0.0.1:3"`, `"store": ""`}, "is missing; want IP:port"},
-		"a name":           {[2]string{`127.0.0.1:3`, `store.example:3`}, "names are not looked up"},
-		"a port twice":     {[2]string{`127.0.0.1:2`, `127.0.0.1:1`}, "want another port"},
-		"cut off":          {[2]string{"}", ""}, "unexpected"},
-		"an unknown field": {[2]string{`"id"`, `"idd": 1, "id"`}, `unknown field "idd"`},
-		"a bad time":       {[2]string{`"id"`, `"grace": 8, "id"`}, "a time with its unit"},
-		"a bad link":       {[2]string{`"id"`, `"host": {"link_mbps": -1}, "id"`}, "want 0 or more"},
-		"a bad memory":     {[2]string{`"id"`, `"host": {"memory_mb": -1}, "id"`}, "want 0 or more"},
-		"a bad pass":       {[2]string{`"id"`, `"pass": "-1ms", "id"`}, "a time that is not negative"},
-		"a bad multiple":   {[2]string{`"id"`, `"load": {"multiple": 0.5}, "id"`}, "want 1 or more"},
-		"a negative share": {[2]string{`"id"`, `"rollout": {"share": -0.1}, "id"`}, `g.json:3: field "rollout.share": found -0.1; want a share above 0, and 1 at most`},
-		"a share over 1":   {[2]string{`"id"`, `"rollout": {"share": 10}, "id"`}, "want a share above 0, and 1 at most"},
-		"a negative slack": {[2]string{`"id"`, `"rollout": {"slack": -1}, "id"`}, `field "rollout.slack": found -1; want 0 or more requests`},
-		"a time below 0":   {[2]string{`"id"`, `"rollout": {"rollback": "-5s"}, "id"`}, "a time that is not negative"},
+		"valid":                   {[2]string{"", ""}, ""},
+		"other role":              {[2]string{`"role": "gateway"`, `"role": "router"`}, `want "gateway"`},
+		"missing store":           {[2]string{`"store": "127.0.0.1:3"`, `"store": ""`}, "is missing; want IP:port"},
+		"host name":               {[2]string{`127.0.0.1:3`, `store.example:3`}, "names are not looked up"},
+		"duplicate port":          {[2]string{`127.0.0.1:2`, `127.0.0.1:1`}, "want another port"},
+		"truncated":               {[2]string{"}", ""}, "unexpected"},
+		"unknown field":           {[2]string{`"id"`, `"idd": 1, "id"`}, `unknown field "idd"`},
+		"duration without a unit": {[2]string{`"id"`, `"grace": 8, "id"`}, "a time with its unit"},
+		"negative link bandwidth": {[2]string{`"id"`, `"host": {"link_mbps": -1}, "id"`}, "want 0 or more"},
+		"negative memory":         {[2]string{`"id"`, `"host": {"memory_mb": -1}, "id"`}, "want 0 or more"},
+		"negative pass time":      {[2]string{`"id"`, `"pass": "-1ms", "id"`}, "a time that is not negative"},
+		"load multiple below 1":   {[2]string{`"id"`, `"load": {"multiple": 0.5}, "id"`}, "want 1 or more"},
+		"negative share":          {[2]string{`"id"`, `"rollout": {"share": -0.1}, "id"`}, `g.json:3: field "rollout.share": found -0.1; want a share above 0, and 1 at most`},
+		"share above 1":           {[2]string{`"id"`, `"rollout": {"share": 10}, "id"`}, "want a share above 0, and 1 at most"},
+		"negative slack":          {[2]string{`"id"`, `"rollout": {"slack": -1}, "id"`}, `field "rollout.slack": found -1; want 0 or more requests`},
+		"negative rollback time":  {[2]string{`"id"`, `"rollout": {"rollback": "-5s"}, "id"`}, "a time that is not negative"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -55,19 +55,19 @@
 				return
 			}
 			is.True(len(problems) > 0)
-			is.True(strings.Contains(problems[0].String(), tc.want)) // names the cure
+			is.True(strings.Contains(problems[0].String(), tc.want)) // says what is wanted
 		})
 	}
 }
 
 var (
-	section = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
-	gap     = regexp.MustCompile(`\{\{([\w.]+)\}\}`)
+	section     = regexp.MustCompile(`(?s)\{\{#([\w.]+)\}\}(.*?)\{\{/[\w.]+\}\}`)
+	placeholder = regexp.MustCompile(`\{\{([\w.]+)\}\}`)
 )
 
-// fill fills the gaps of a template as the platform's page says, as far as
-// ours uses it: a section stands if its field is given.
-func fill(t *testing.T, template string, fields map[string]string) string {
+// render renders the subset of the platform's template syntax that the deployment template
+// uses: a section is kept if its field is given.
+func render(t *testing.T, template string, fields map[string]string) string {
 	t.Helper()
 	template = strings.ReplaceAll(template, `{{#seeds}}"{{.}}"{{,}}{{/seeds}}`, `"127.0.0.1:9"`)
 	template = section.ReplaceAllStringFunc(template, func(found string) string {
@@ -77,8 +77,8 @@
 		}
 		return parts[2]
 	})
-	return gap.ReplaceAllStringFunc(template, func(found string) string {
-		name := gap.FindStringSubmatch(found)[1]
+	return placeholder.ReplaceAllStringFunc(template, func(found string) string {
+		name := placeholder.FindStringSubmatch(found)[1]
 		value, given := fields[name]
 		if !given {
 			t.Errorf("the template needs %q", name)
@@ -87,10 +87,10 @@
 	})
 }
 
-// TestTheTemplateOfTheDeployment: every field that the template writes is one
-// that the settings know, and a deployment may leave bounds out.
-func TestTheTemplateOfTheDeployment(t *testing.T) {
-	places := map[string]string{
+// TestDeploymentTemplate checks that the settings know every field that the template writes,
+// and that a deployment may leave out any of the bounds.
+func TestDeploymentTemplate(t *testing.T) {
+	required := map[string]string{
 		"listen.frontend": "127.0.0.1:1", "listen.ready": "127.0.0.1:2", "listen.control": "127.0.0.1:4",
 		"platform.address": "127.0.0.1:3", "ip_address": "127.0.0.1", "internal_ports.0": "5",
 		"node_name": "n", "zone": "z",
@@ -140,9 +140,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			is.True(len(text) < 64<<10)
-			fields := maps.Clone(places)
+			fields := maps.Clone(required)
 			maps.Copy(fields, tc.bounds)
-			read, problems := settings.ParseGateway("gateway.json", []byte(fill(t, string(text), fields)))
+			read, problems := settings.ParseGateway("gateway.json", []byte(render(t, string(text), fields)))
 			is.Equal(problems, nil)
 			is.Equal(read.Revocation, tc.want.Revocation)
 			is.Equal(read.Grace, tc.want.Grace)
@@ -164,7 +164,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		read, problems := settings.ParseGateway("g.json", data)
 		if len(problems) == 0 && read.Role != "gateway" {
-			t.Fatalf("taken: %+v", read)
+			t.Fatalf("accepted: %+v", read)
 		}
 	})
 }
