--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -47,8 +47,8 @@
 	WaitedMs int64           `json:"waited_ms,omitempty"`
 	Route    string          `json:"route,omitempty"`
 	Prompt   string          `json:"prompt,omitempty"`
-	// Print names what a request asked, in its line and in those of its quarantine.
-	Print string `json:"print,omitempty"`
+	// Fingerprint names what a request asked, in its line and in those of its quarantine.
+	Fingerprint string `json:"print,omitempty"`
 	// DataCenter is that of the process, in the line of its start.
 	DataCenter string `json:"data_center,omitempty"`
 	// Count is that of requests which were not logged.
@@ -58,15 +58,15 @@
 	Raw string `json:"-"`
 }
 
-// Story is what the logs tell of one thing.
-type Story struct {
+// Timeline is what the logs tell of one thing.
+type Timeline struct {
 	Subject string `json:"subject"`
 	Lines   []Line `json:"lines"`
 	// Cause is the likely cause of the request's end; empty for other
 	// subjects.
 	Cause string `json:"cause,omitempty"`
 	// Unread counts lines that are no log lines.
-	Unread int `json:"unread"`
+	Unparsed int `json:"unread"`
 }
 
 // Read gathers the lines of logs; whatever stands before the JSON of a line
@@ -98,12 +98,12 @@
 	return line, true
 }
 
-// Tell puts the story of a subject together: a request's id, a target's id,
+// NewTimeline puts the story of a subject together: a request's id, a target's id,
 // a configuration's version, written as version:N, the roll-outs of a service, written
 // as rollout:SERVICE, or whatever became of a request that came again, written as print:P.
 // To the story of a request that was held back belongs why.
-func Tell(subject string, lines []Line) *Story {
-	story := &Story{Subject: subject}
+func NewTimeline(subject string, lines []Line) *Timeline {
+	story := &Timeline{Subject: subject}
 	around := aroundRequest(subject, lines)
 	for _, line := range lines {
 		if concerns(subject, line) || around.has(line) || around.holds(line) {
@@ -140,7 +140,7 @@
 
 // holds says whether a line tells why the request was held back.
 func (s *surroundings) holds(line Line) bool {
-	return s.held != "" && line.Print == s.held && line.Event != observe.EventRequest
+	return s.held != "" && line.Fingerprint == s.held && line.Event != observe.EventRequest
 }
 
 // aroundRequest finds what surrounds a request; nothing for other subjects.
@@ -154,7 +154,7 @@
 			around.targets[target] = true
 		}
 		if line.Ending == string(fault.Quarantined) || line.Ending == string(fault.Suspected) {
-			around.held = line.Print
+			around.held = line.Fingerprint
 		}
 		if line.Ending == string(fault.NoTarget) {
 			around.closed, around.process = line.Service, line.Process
@@ -171,7 +171,7 @@
 	if s.closed == "" || line.Service != s.closed || line.Process != s.process {
 		return false
 	}
-	return line.Event == observe.EventLeaving || line.Event == observe.EventRests
+	return line.Event == observe.EventLeaving || line.Event == observe.EventTargetResting
 }
 
 // has says whether a line tells of one of the targets at the time.
@@ -191,7 +191,7 @@
 		return strings.HasPrefix(line.Event, observe.RolloutEvents) && line.Service == service
 	}
 	if print, ok := strings.CutPrefix(subject, "print:"); ok {
-		return line.Print == print
+		return line.Fingerprint == print
 	}
 	return line.ID == subject || line.Target == subject || strings.Contains(line.Attempts, subject+"@")
 }
@@ -257,7 +257,7 @@
 }
 
 // Print writes a story for a person.
-func (s *Story) Print(out io.Writer) error {
+func (s *Timeline) Print(out io.Writer) error {
 	for _, line := range s.Lines {
 		if _, err := fmt.Fprintf(out, "%s %-24s %s\n", line.Time, line.Process, line.summary()); err != nil {
 			return errors.Wrap(err, "print")
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -54,7 +54,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			story := explain.Tell(tc.subject, lines)
+			story := explain.NewTimeline(tc.subject, lines)
 			var events []string
 			for _, line := range story.Lines {
 				events = append(events, line.Event)
@@ -75,7 +75,7 @@
 			return
 		}
 		for _, line := range lines {
-			explain.Tell(line.ID, lines)
+			explain.NewTimeline(line.ID, lines)
 		}
 	})
 }
--- a/internal/explain/prompts.go
+++ b/internal/explain/prompts.go
@@ -14,7 +14,7 @@
 
 // PromptUse sums up the shared parts of prompts that targets got in one way.
 type PromptUse struct {
-	How    string `json:"how"`
+	Origin string `json:"how"`
 	Parts  int    `json:"parts"`
 	Tokens int    `json:"tokens"`
 }
@@ -57,7 +57,7 @@
 		for _, shared := range known.parts {
 			how := known.how(held[shared.id], source, last)
 			if sums[how] == nil {
-				sums[how] = &PromptUse{How: how}
+				sums[how] = &PromptUse{Origin: how}
 			}
 			sums[how].Parts++
 			sums[how].Tokens += shared.tokens
@@ -71,7 +71,7 @@
 		result = append(result, *sum)
 	}
 	slices.SortFunc(result, func(a, b PromptUse) int {
-		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.How, b.How))
+		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Origin, b.Origin))
 	})
 	return result
 }
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -106,7 +106,7 @@
 	summary := &Summary{Prompts: promptUses(lines)}
 	for _, line := range lines {
 		switch line.Event {
-		case observe.EventSampled:
+		case observe.EventRequestsNotLogged:
 			summary.NotLogged += line.Count
 		case observe.EventRequest:
 			whole.add(line)
@@ -205,7 +205,7 @@
 		text.WriteString("\nshared parts of prompts\tparts\ttokens\n")
 	}
 	for _, prompt := range s.Prompts {
-		fmt.Fprintf(&text, "%s\t%d\t%d\n", prompt.How, prompt.Parts, prompt.Tokens)
+		fmt.Fprintf(&text, "%s\t%d\t%d\n", prompt.Origin, prompt.Parts, prompt.Tokens)
 	}
 	return text.String()
 }
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -99,7 +99,7 @@
 			is.NoErr(err)
 			ways := make(map[string]int)
 			for _, use := range explain.Summarize(lines, time.Second).Prompts {
-				ways[use.How] += use.Tokens
+				ways[use.Origin] += use.Tokens
 			}
 			is.Equal(ways["read for the first time"] >= 5000, true)
 			is.Equal(ways[tc.want], 5000)
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -16,38 +16,38 @@
 
 // Events of the log.
 const (
-	EventRequest    = "request"
-	EventConfig     = "config_applied"
-	EventTarget     = "target_changed"
-	EventTargets    = "targets_listed"
-	EventTargetGone = "target_gone"
-	EventUnusable   = "target_unusable"
-	EventLeaving    = "target_leaves"
-	EventRests      = "target_rests"
-	EventSlow       = "caller_ended"
-	EventUnreadable = "target_notice_unreadable"
-	EventEjected    = "target_ejected"
-	EventEvacuated  = "data_center_evacuated"
-	EventReturned   = "data_center_returned"
-	EventStoreLost  = "store_lost"
-	EventStoreBack  = "store_back"
-	EventBadValue   = "store_value_unreadable"
-	EventPeerFound  = "peer_found"
-	EventPeerLost   = "peer_lost"
-	EventReplica    = "replica_fetched"
-	EventRefused    = "target_refused"
-	EventDoubted    = "target_doubted"
-	EventStart      = "started"
-	EventDrain      = "draining"
-	EventStop       = "stopped"
-	EventReload     = "settings_reloaded"
-	EventLate       = "process_late"
-	EventInTime     = "process_in_time"
-	EventSampled    = "requests_not_logged"
-	EventCrash      = "target_crashed"
-	EventHeldBack   = "request_held_back"
-	EventCleared    = "request_cleared"
-	EventTrial      = "trial_began"
+	EventRequest           = "request"
+	EventConfig            = "config_applied"
+	EventTargetChanged     = "target_changed"
+	EventTargetsListed     = "targets_listed"
+	EventTargetGone        = "target_gone"
+	EventUnusable          = "target_unusable"
+	EventLeaving           = "target_leaves"
+	EventTargetResting     = "target_rests"
+	EventCallerEnded       = "caller_ended"
+	EventNoticeUnreadable  = "target_notice_unreadable"
+	EventEjected           = "target_ejected"
+	EventEvacuated         = "data_center_evacuated"
+	EventReturned          = "data_center_returned"
+	EventStoreLost         = "store_lost"
+	EventStoreBack         = "store_back"
+	EventBadValue          = "store_value_unreadable"
+	EventPeerFound         = "peer_found"
+	EventPeerLost          = "peer_lost"
+	EventReplica           = "replica_fetched"
+	EventRefused           = "target_refused"
+	EventTargetSuspected   = "target_doubted"
+	EventStart             = "started"
+	EventDrain             = "draining"
+	EventStop              = "stopped"
+	EventReload            = "settings_reloaded"
+	EventProcessLate       = "process_late"
+	EventProcessInTime     = "process_in_time"
+	EventRequestsNotLogged = "requests_not_logged"
+	EventCrash             = "target_crashed"
+	EventHeldBack          = "request_held_back"
+	EventCleared           = "request_cleared"
+	EventTrial             = "trial_began"
 
 	// RolloutEvents begins the events of roll-outs.
 	RolloutEvents            = "rollout_"
@@ -61,9 +61,9 @@
 // Events lists the events of the log.
 func Events() []string {
 	return []string{
-		EventRequest, EventConfig, EventTarget, EventTargets, EventTargetGone, EventEjected, EventStoreLost, EventStoreBack,
-		EventBadValue, EventEvacuated, EventReturned, EventPeerFound, EventPeerLost, EventReplica, EventRefused, EventDoubted, EventStart, EventDrain, EventStop, EventReload, EventLate, EventInTime, EventSampled,
-		EventUnusable, EventLeaving, EventRests, EventSlow, EventUnreadable, EventCrash, EventHeldBack, EventCleared, EventTrial,
+		EventRequest, EventConfig, EventTargetChanged, EventTargetsListed, EventTargetGone, EventEjected, EventStoreLost, EventStoreBack,
+		EventBadValue, EventEvacuated, EventReturned, EventPeerFound, EventPeerLost, EventReplica, EventRefused, EventTargetSuspected, EventStart, EventDrain, EventStop, EventReload, EventProcessLate, EventProcessInTime, EventRequestsNotLogged,
+		EventUnusable, EventLeaving, EventTargetResting, EventCallerEnded, EventNoticeUnreadable, EventCrash, EventHeldBack, EventCleared, EventTrial,
 		EventRolloutOrdered, EventRolloutStage, EventRolloutHalted, EventRolloutRecorded, EventRolloutCommitFailed,
 	}
 }
@@ -112,7 +112,7 @@
 		return
 	}
 	if skipped := o.skipped.take(); skipped > 0 {
-		o.log.Warn(EventSampled, "count", skipped)
+		o.log.Warn(EventRequestsNotLogged, "count", skipped)
 	}
 	o.log.Info(EventRequest,
 		"id", record.ID, "ending", record.Ending, "status", record.Status,
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -58,16 +58,16 @@
 // Lateness logs that the process begins or ceases to lack processor time; while
 // it does and another gateway does not, it takes no new callers.
 func (o *Observer) Lateness(late, othersInTime bool, lag time.Duration) {
-	event := EventInTime
+	event := EventProcessInTime
 	if late {
-		event = EventLate
+		event = EventProcessLate
 	}
 	o.log.Warn(event, "lag_ms", wholeMillis(lag), "others_in_time", othersInTime)
 }
 
 // CallerEnded logs that an answer was broken off since its caller read too slowly.
 func (o *Observer) CallerEnded(unread int, reason error) {
-	o.log.Warn(EventSlow, "unread", unread, "reason", reason.Error())
+	o.log.Warn(EventCallerEnded, "unread", unread, "reason", reason.Error())
 }
 
 // BadValue logs a value of the store that could not be read; what was known
@@ -79,7 +79,7 @@
 
 // TargetChanged logs a target that was added or changed.
 func (o *Observer) TargetChanged(target balance.Target) {
-	o.log.Info(EventTarget, "target", target.ID, "address", target.Address, "service", target.Service, "version", target.Version, "data_center", target.DataCenter, "leaving", target.Leaving, "slots", target.Slots)
+	o.log.Info(EventTargetChanged, "target", target.ID, "address", target.Address, "service", target.Service, "version", target.Version, "data_center", target.DataCenter, "leaving", target.Leaving, "slots", target.Slots)
 }
 
 // Notice logs what a target has said of itself in an answer, and counts it.
@@ -90,17 +90,17 @@
 	}
 	if record.News.Resting {
 		o.metrics.notices.WithLabelValues(record.Service, noticeRest).Inc()
-		o.log.Info(EventRests, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.Rest))
+		o.log.Info(EventTargetResting, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.Rest))
 	}
 	if record.News.Unreadable {
 		o.metrics.notices.WithLabelValues(record.Service, noticeUnreadable).Inc()
-		o.log.Warn(EventUnreadable, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
+		o.log.Warn(EventNoticeUnreadable, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
 	}
 }
 
 // TargetsListed logs how many targets were known at the process's beginning.
 func (o *Observer) TargetsListed(count int) {
-	o.log.Info(EventTargets, "targets", count)
+	o.log.Info(EventTargetsListed, "targets", count)
 }
 
 // TargetUnusable logs a target whose entry has become one that names no target.
@@ -142,7 +142,7 @@
 // TargetSuspected logs that a target is left out since several gateways got no answer
 // from it.
 func (o *Observer) TargetSuspected(target, from string) {
-	o.log.Info(EventDoubted, "target", target, "peer", from)
+	o.log.Info(EventTargetSuspected, "target", target, "peer", from)
 }
 
 // ReplicaFetched logs the fetching of the store's content from a peer.
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -110,7 +110,7 @@
 	p.gateway.Crashes = p.crashes
 	p.store = p.observer.NewStoreDependency()
 	p.feed = platform.NewFeed(platform.NewStore(s.Store), &sink{process: p, urge: p.urge}, p.storeRole, p.yields)
-	p.front = &platform.Front{Gateway: p.gateway, Held: p.held}
+	p.front = &platform.Front{Gateway: p.gateway, BodyBudget: p.held}
 	observe.RegisterGauges(registry, p.gauges())
 	steps := []func() error{
 		func() error { return p.kernel.Register("lag", p.lag) },
--- a/internal/process/gateway_begin_test.go
+++ b/internal/process/gateway_begin_test.go
@@ -44,7 +44,7 @@
 				s.Target(targetOf(id))
 			}
 			is.Equal(len(balancer.Targets()), len(tc.listed))
-			s.Begun()
+			s.Loaded()
 			exclude := tc.listed
 			_, ok := balancer.Choose(balance.Query{Service: "s", Exclude: exclude}, s.process.started)
 			is.Equal(ok, tc.open)
@@ -127,12 +127,12 @@
 		age   time.Duration
 		role  platform.Role
 	}{
-		"a small host before its moment":       {small, others, moment(smallPatience) / 4, platform.Follows},
-		"after it, and nobody was heard":       {small, others, moment(smallPatience), platform.AsksFirst},
-		"a large host before its moment":       {large, others, 0, platform.Follows},
-		"a large host's moment comes sooner":   {large, others, moment(quickPatience), platform.AsksFirst},
-		"what the host has is not known":       {settings.Host{}, others, 0, platform.AsksFirst},
-		"a small host, and nobody else can be": {small, nil, 0, platform.AsksFirst},
+		"a small host before its moment":       {small, others, moment(smallPatience) / 4, platform.RoleFollower},
+		"after it, and nobody was heard":       {small, others, moment(smallPatience), platform.RolePrimary},
+		"a large host before its moment":       {large, others, 0, platform.RoleFollower},
+		"a large host's moment comes sooner":   {large, others, moment(quickPatience), platform.RolePrimary},
+		"what the host has is not known":       {settings.Host{}, others, 0, platform.RolePrimary},
+		"a small host, and nobody else can be": {small, nil, 0, platform.RolePrimary},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/process/gateway_http.go
+++ b/internal/process/gateway_http.go
@@ -59,7 +59,7 @@
 // come.
 func (p *GatewayProcess) serveReady() error {
 	mux := http.NewServeMux()
-	mux.HandleFunc(platform.Ready(func(context.Context) bool { return p.Ready() }))
+	mux.HandleFunc(platform.ReadinessHandler(func(context.Context) bool { return p.Ready() }))
 	address, err := p.serveHTTP("ready", p.settings.Ready, mux)
 	p.addresses.Ready = address
 	return err
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -264,11 +264,11 @@
 func (p *GatewayProcess) storeRole() platform.Role {
 	switch {
 	case p.awaitsPeer() || p.leavesReading() || p.hasJustRead():
-		return platform.Follows
+		return platform.RoleFollower
 	case p.peers == nil || p.peers.First():
-		return platform.AsksFirst
+		return platform.RolePrimary
 	case p.peers.Asks():
-		return platform.AsksToo
+		return platform.RoleSecondary
 	}
-	return platform.Follows
+	return platform.RoleFollower
 }
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -19,7 +19,7 @@
 	urge func()
 
 	// mu guards learnt and kept, the targets of the last checkpoint, and begun, which says
-	// that they have been used: Begun takes them from the feed, and pages of
+	// that they have been used: Loaded takes them from the feed, and pages of
 	// other gateways bring them too.
 	mu    sync.Mutex
 	kept  []balance.Target
@@ -98,9 +98,9 @@
 	s.urge()
 }
 
-// Begun takes over the targets of the last checkpoint that are not registered:
+// Loaded takes over the targets of the last checkpoint that are not registered:
 // their entries may have lapsed.
-func (s *sink) Begun() {
+func (s *sink) Loaded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.process.gateway.Balancer.Restore(s.kept, clock.Now())
@@ -164,8 +164,8 @@
 	s.process.gateway.Proof.Note(at)
 }
 
-// Trouble notes a value that could not be read.
-func (s *sink) Trouble(what string, err error) {
+// Unreadable notes a value that could not be read.
+func (s *sink) Unreadable(what string, err error) {
 	s.process.observer.BadValue(what, err)
 }
 
--- a/internal/process/rollouts_decider_test.go
+++ b/internal/process/rollouts_decider_test.go
@@ -143,7 +143,7 @@
 	f := trialFleet(t, trialSize)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(f.linesOf(observe.RolloutEvents), f.linesOf(observe.EventLate), f.linesOf(observe.EventPeerLost))
+			t.Log(f.linesOf(observe.RolloutEvents), f.linesOf(observe.EventProcessLate), f.linesOf(observe.EventPeerLost))
 		}
 	})
 	o := &ordered{fleet: f, endings: new(endings), old: f.versionServers}
--- a/pkg/cmd/explain/explain.go
+++ b/pkg/cmd/explain/explain.go
@@ -95,8 +95,8 @@
 	if opts.Summary {
 		return printSummary(opts, explain.Summarize(lines, opts.Every))
 	}
-	story := explain.Tell(opts.Subject, lines)
-	story.Unread = unread
+	story := explain.NewTimeline(opts.Subject, lines)
+	story.Unparsed = unread
 	if len(story.Lines) == 0 {
 		return fault.New(fault.BadRequest, fault.NotRun, "no line of %d tells of %q; look at the logs of all gateways of the time, and at requests_not_logged", len(lines), opts.Subject)
 	}
