--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -20,8 +20,8 @@
 	"github.com/capersaddle/capersaddle/internal/observe"
 )
 
-// mostLine bounds one line, in bytes.
-const mostLine = 1 << 20
+// maxLine bounds one line, in bytes.
+const maxLine = 1 << 20
 
 // Line is one log line.
 type Line struct {
@@ -73,9 +73,9 @@
 // is passed over. Lines that are no log lines are counted.
 func Read(logs io.Reader) (lines []Line, unread int, err error) {
 	scanner := bufio.NewScanner(logs)
-	scanner.Buffer(make([]byte, 0, 1<<16), mostLine)
+	scanner.Buffer(make([]byte, 0, 1<<16), maxLine)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		line, ok := parseLine(scanner.Bytes())
 		if !ok {
 			unread++
 			continue
@@ -85,16 +85,16 @@
 	return lines, unread, errors.Wrap(scanner.Err(), "read logs")
 }
 
-func parse(text []byte) (Line, bool) {
-	at := bytes.IndexByte(text, '{')
-	if at < 0 {
+func parseLine(text []byte) (Line, bool) {
+	start := bytes.IndexByte(text, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var line Line
-	if err := json.Unmarshal(text[at:], &line); err != nil || line.Event == "" {
+	if err := json.Unmarshal(text[start:], &line); err != nil || line.Event == "" {
 		return Line{}, false
 	}
-	line.Raw = string(text[at:])
+	line.Raw = string(text[start:])
 	return line, true
 }
 
@@ -103,95 +103,95 @@
 // as rollout:SERVICE, or whatever became of a request that came again, written as print:P.
 // To the story of a request that was held back belongs why.
 func NewTimeline(subject string, lines []Line) *Timeline {
-	story := &Timeline{Subject: subject}
-	around := aroundRequest(subject, lines)
+	timeline := &Timeline{Subject: subject}
+	context := contextOf(subject, lines)
 	for _, line := range lines {
-		if concerns(subject, line) || around.has(line) || around.holds(line) {
-			story.Lines = append(story.Lines, line)
+		if matches(subject, line) || context.includes(line) || context.explainsHold(line) {
+			timeline.Lines = append(timeline.Lines, line)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return cmp.Compare(a.Time, b.Time) })
-	for _, line := range story.Lines {
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return cmp.Compare(a.Time, b.Time) })
+	for _, line := range timeline.Lines {
 		if line.ID == subject && line.Event == observe.EventRequest {
-			story.Cause = cause(line)
+			timeline.Cause = likelyCause(line)
 		}
 	}
-	return story
+	return timeline
 }
 
 const (
 	// before and after a request's end are lines of its targets part of its
 	// story.
-	before = 10 * time.Second
-	after  = 2 * time.Second
+	windowBefore = 10 * time.Second
+	windowAfter  = 2 * time.Second
 )
 
 // surroundings are the targets of a request and the time around its end.
-type surroundings struct {
+type requestContext struct {
 	targets map[string]bool
 	from    time.Time
 	to      time.Time
 	// held is the request's print if it was held back.
-	held string
+	heldFingerprint string
 	// closed is the service of which the process found no target open; empty if the request
 	// did not end so.
-	closed, process string
+	closedService, process string
 }
 
 // holds says whether a line tells why the request was held back.
-func (s *surroundings) holds(line Line) bool {
-	return s.held != "" && line.Fingerprint == s.held && line.Event != observe.EventRequest
+func (s *requestContext) explainsHold(line Line) bool {
+	return s.heldFingerprint != "" && line.Fingerprint == s.heldFingerprint && line.Event != observe.EventRequest
 }
 
-// aroundRequest finds what surrounds a request; nothing for other subjects.
-func aroundRequest(subject string, lines []Line) *surroundings {
-	around := &surroundings{targets: make(map[string]bool)}
+// contextOf finds what surrounds a request; nothing for other subjects.
+func contextOf(subject string, lines []Line) *requestContext {
+	context := &requestContext{targets: make(map[string]bool)}
 	for _, line := range lines {
 		if line.ID != subject || line.Event != observe.EventRequest {
 			continue
 		}
 		for _, target := range targetsOf(line.Attempts) {
-			around.targets[target] = true
+			context.targets[target] = true
 		}
 		if line.Ending == string(fault.Quarantined) || line.Ending == string(fault.Suspected) {
-			around.held = line.Fingerprint
+			context.heldFingerprint = line.Fingerprint
 		}
 		if line.Ending == string(fault.NoTarget) {
-			around.closed, around.process = line.Service, line.Process
+			context.closedService, context.process = line.Service, line.Process
 		}
 		if end, err := time.Parse(time.RFC3339Nano, line.Time); err == nil {
-			around.from, around.to = end.Add(-before), end.Add(after)
+			context.from, context.to = end.Add(-windowBefore), end.Add(windowAfter)
 		}
 	}
-	return around
+	return context
 }
 
 // closes says whether a line tells that a target of the request's service wanted nothing new.
-func (s *surroundings) closes(line Line) bool {
-	if s.closed == "" || line.Service != s.closed || line.Process != s.process {
+func (s *requestContext) explainsClosed(line Line) bool {
+	if s.closedService == "" || line.Service != s.closedService || line.Process != s.process {
 		return false
 	}
 	return line.Event == observe.EventLeaving || line.Event == observe.EventTargetResting
 }
 
 // has says whether a line tells of one of the targets at the time.
-func (s *surroundings) has(line Line) bool {
-	if line.ID != "" || !s.targets[line.Target] && !s.closes(line) {
+func (s *requestContext) includes(line Line) bool {
+	if line.ID != "" || !s.targets[line.Target] && !s.explainsClosed(line) {
 		return false
 	}
 	at, err := time.Parse(time.RFC3339Nano, line.Time)
 	return err == nil && at.After(s.from) && at.Before(s.to)
 }
 
-func concerns(subject string, line Line) bool {
+func matches(subject string, line Line) bool {
 	if version, ok := strings.CutPrefix(subject, "version:"); ok {
 		return line.Event == observe.EventConfig && string(line.Version) == version
 	}
 	if service, ok := strings.CutPrefix(subject, "rollout:"); ok {
 		return strings.HasPrefix(line.Event, observe.RolloutEvents) && line.Service == service
 	}
-	if print, ok := strings.CutPrefix(subject, "print:"); ok {
-		return line.Fingerprint == print
+	if fingerprint, ok := strings.CutPrefix(subject, "print:"); ok {
+		return line.Fingerprint == fingerprint
 	}
 	return line.ID == subject || line.Target == subject || strings.Contains(line.Attempts, subject+"@")
 }
@@ -229,7 +229,7 @@
 }
 
 // cause names the likely cause of a request's end.
-func cause(line Line) string {
+func likelyCause(line Line) string {
 	text, ok := causes[line.Ending]
 	if !ok {
 		return "ended as " + line.Ending
@@ -242,18 +242,18 @@
 
 // versionsOf names the versions of the targets of attempts, as far as they are logged.
 func versionsOf(attempts string) string {
-	var named []string
+	var versions []string
 	for _, attempt := range attemptPattern.FindAllStringSubmatch(attempts, -1) {
 		// A reason may hold anything; it comes last.
 		details, _, _ := strings.Cut(attempt[4], ",reason:")
 		if version := detailsOf(details)["version"]; version != "" {
-			named = append(named, attempt[1]+" "+version)
+			versions = append(versions, attempt[1]+" "+version)
 		}
 	}
-	if len(named) == 0 {
+	if len(versions) == 0 {
 		return ""
 	}
-	return "; versions: " + strings.Join(named, ", ")
+	return "; versions: " + strings.Join(versions, ", ")
 }
 
 // Print writes a story for a person.
@@ -277,14 +277,14 @@
 	}
 	var fields map[string]any
 	_ = json.Unmarshal([]byte(l.Raw), &fields)
-	var rest []string
+	var details []string
 	for name, value := range fields {
 		switch name {
 		case "time", "level", "msg", "process":
 		default:
-			rest = append(rest, fmt.Sprintf("%s=%v", name, value))
+			details = append(details, fmt.Sprintf("%s=%v", name, value))
 		}
 	}
-	slices.Sort(rest)
-	return l.Event + " " + strings.Join(rest, " ")
+	slices.Sort(details)
+	return l.Event + " " + strings.Join(details, " ")
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -29,7 +29,7 @@
 {"time":"2026-12-02T10:00:15Z","level":"info","msg":"request","process":"gw-1","id":"r6","service":"s","ending":"no_target","status":503}
 `
 
-func TestTell(t *testing.T) {
+func TestTimeline(t *testing.T) {
 	cases := map[string]struct {
 		subject string
 		events  []string
@@ -54,15 +54,15 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			story := explain.NewTimeline(tc.subject, lines)
+			timeline := explain.NewTimeline(tc.subject, lines)
 			var events []string
-			for _, line := range story.Lines {
+			for _, line := range timeline.Lines {
 				events = append(events, line.Event)
 			}
 			is.Equal(events, tc.events)
-			is.True(strings.Contains(story.Cause, tc.cause))
+			is.True(strings.Contains(timeline.Cause, tc.cause))
 			var out strings.Builder
-			is.NoErr(story.Print(&out))
+			is.NoErr(timeline.Print(&out))
 		})
 	}
 }
--- a/internal/explain/prompts.go
+++ b/internal/explain/prompts.go
@@ -21,22 +21,22 @@
 
 // The ways in which a target gets a shared part of a prompt, as far as logs tell.
 const (
-	promptHeld    = "held by the target"
-	promptFetched = "fetched from a target that held it"
-	promptFirst   = "read for the first time"
-	promptBeside  = "read beside its first reading"
-	promptWrong   = "read again: the named source did not hold it"
-	promptUnnamed = "read again: no source was named"
-	promptLost    = "read again: no target that held it answers any more"
+	promptHeld        = "held by the target"
+	promptFetched     = "fetched from a target that held it"
+	promptFirst       = "read for the first time"
+	promptConcurrent  = "read beside its first reading"
+	promptWrongSource = "read again: the named source did not hold it"
+	promptNoSource    = "read again: no source was named"
+	promptHoldersGone = "read again: no target that held it answers any more"
 )
 
 // use is one prompt at the target that answered.
-type use struct {
-	at     time.Time
-	first  time.Time
-	target string
-	source string
-	parts  []part
+type answeredPrompt struct {
+	sentAt     time.Time
+	answeredAt time.Time
+	target     string
+	source     string
+	parts      []part
 }
 
 // part is one shared part of a prompt.
@@ -49,21 +49,21 @@
 // answered. Requests without a line are unknown to it: what they had read counts
 // as read for the first time when it is read again.
 func promptUses(lines []Line) []PromptUse {
-	uses, addresses, last := readUses(lines)
+	prompts, addresses, lastAnswer := readPrompts(lines)
 	held := make(map[string]map[string]time.Time)
 	sums := make(map[string]*PromptUse)
-	for _, known := range uses {
-		source := addresses.at(known.source, known.at)
-		for _, shared := range known.parts {
-			how := known.how(held[shared.id], source, last)
+	for _, prompt := range prompts {
+		source := addresses.ownerAt(prompt.source, prompt.sentAt)
+		for _, shared := range prompt.parts {
+			how := prompt.originOf(held[shared.id], source, lastAnswer)
 			if sums[how] == nil {
 				sums[how] = &PromptUse{Origin: how}
 			}
 			sums[how].Parts++
 			sums[how].Tokens += shared.tokens
 		}
-		for _, shared := range known.parts {
-			noteHeld(held, shared.id, known)
+		for _, shared := range prompt.parts {
+			recordHolder(held, shared.id, prompt)
 		}
 	}
 	result := make([]PromptUse, 0, len(sums))
@@ -76,62 +76,62 @@
 	return result
 }
 
-// noteHeld notes that a target holds a part once it has answered.
-func noteHeld(held map[string]map[string]time.Time, id string, known use) {
+// recordHolder notes that a target holds a part once it has answered.
+func recordHolder(held map[string]map[string]time.Time, id string, prompt answeredPrompt) {
 	if held[id] == nil {
 		held[id] = make(map[string]time.Time)
 	}
-	if since, ok := held[id][known.target]; !ok || known.first.Before(since) {
-		held[id][known.target] = known.first
+	if since, ok := held[id][prompt.target]; !ok || prompt.answeredAt.Before(since) {
+		held[id][prompt.target] = prompt.answeredAt
 	}
 }
 
 // how says how a part came to the target, from the targets that hold it since
 // some time, the named source, and when each target answered last.
-func (u use) how(holders map[string]time.Time, source string, last map[string]time.Time) string {
-	ready := func(target string) bool {
+func (u answeredPrompt) originOf(holders map[string]time.Time, source string, lastAnswer map[string]time.Time) string {
+	holdsPart := func(target string) bool {
 		since, ok := holders[target]
-		return ok && !since.After(u.at)
+		return ok && !since.After(u.sentAt)
 	}
 	switch {
-	case ready(u.target):
+	case holdsPart(u.target):
 		return promptHeld
 	case len(holders) == 0:
 		return promptFirst
-	case ready(source):
+	case holdsPart(source):
 		return promptFetched
 	}
-	read, alive := false, false
+	held, answering := false, false
 	for target := range holders {
-		read = read || ready(target)
-		alive = alive || ready(target) && !last[target].Before(u.at)
+		held = held || holdsPart(target)
+		answering = answering || holdsPart(target) && !lastAnswer[target].Before(u.sentAt)
 	}
 	switch {
-	case !read:
-		return promptBeside
-	case !alive:
-		return promptLost
+	case !held:
+		return promptConcurrent
+	case !answering:
+		return promptHoldersGone
 	case u.source == "":
-		return promptUnnamed
+		return promptNoSource
 	}
-	return promptWrong
+	return promptWrongSource
 }
 
 // life is one target at an address, seen from some time on.
-type life struct {
+type addressOwner struct {
 	from   time.Time
 	target string
 }
 
 // lives are the targets at each address, in order of time.
-type lives map[string][]life
+type addressOwners map[string][]addressOwner
 
 // at is the target at an address at a time; empty if none is known.
-func (l lives) at(address string, when time.Time) string {
+func (l addressOwners) ownerAt(address string, sentAt time.Time) string {
 	found := ""
-	for _, known := range l[address] {
-		if !known.from.After(when) {
-			found = known.target
+	for _, owner := range l[address] {
+		if !owner.from.After(sentAt) {
+			found = owner.target
 		}
 	}
 	return found
@@ -141,54 +141,54 @@
 // and details.
 var attemptPattern = regexp.MustCompile(`(\S+?)@(\S+?)=(\w+)\(([^)]*)\)`)
 
-// readUses gathers the answered prompts in order of time, the targets at each
+// readPrompts gathers the answered prompts in order of time, the targets at each
 // address, and when each target answered last.
-func readUses(lines []Line) (uses []use, addresses lives, last map[string]time.Time) {
-	addresses, last = make(lives), make(map[string]time.Time)
+func readPrompts(lines []Line) (prompts []answeredPrompt, addresses addressOwners, lastAnswer map[string]time.Time) {
+	addresses, lastAnswer = make(addressOwners), make(map[string]time.Time)
 	for _, line := range lines {
-		known, address, ok := readUse(line)
+		prompt, address, ok := readPrompt(line)
 		if !ok {
 			continue
 		}
-		uses = append(uses, known)
-		addresses[address] = append(addresses[address], life{from: known.at, target: known.target})
-		if known.first.After(last[known.target]) {
-			last[known.target] = known.first
+		prompts = append(prompts, prompt)
+		addresses[address] = append(addresses[address], addressOwner{from: prompt.sentAt, target: prompt.target})
+		if prompt.answeredAt.After(lastAnswer[prompt.target]) {
+			lastAnswer[prompt.target] = prompt.answeredAt
 		}
 	}
-	slices.SortStableFunc(uses, func(a, b use) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(prompts, func(a, b answeredPrompt) int { return a.sentAt.Compare(b.sentAt) })
 	for address := range addresses {
-		slices.SortStableFunc(addresses[address], func(a, b life) int { return a.from.Compare(b.from) })
+		slices.SortStableFunc(addresses[address], func(a, b addressOwner) int { return a.from.Compare(b.from) })
 	}
-	return uses, addresses, last
+	return prompts, addresses, lastAnswer
 }
 
-// readUse reads the prompt of an answered request and the target that answered.
-func readUse(line Line) (known use, address string, ok bool) {
+// readPrompt reads the prompt of an answered request and the target that answered.
+func readPrompt(line Line) (prompt answeredPrompt, address string, ok bool) {
 	if line.Event != observe.EventRequest || line.Ending != gateway.EndingAnswered {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	ended, err := time.Parse(time.RFC3339Nano, line.Time)
 	attempts := attemptPattern.FindAllStringSubmatch(line.Attempts, -1)
 	parts := sharedParts(line.Prompt)
 	if err != nil || len(attempts) == 0 || len(parts) == 0 {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	answered := attempts[len(attempts)-1]
 	details := detailsOf(answered[4])
 	took, err := strconv.Atoi(details["took_ms"])
 	if err != nil {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	arrived := ended.Add(-time.Duration(line.TookMs) * time.Millisecond)
-	known = use{
-		at:     ended.Add(-time.Duration(took) * time.Millisecond),
-		first:  arrived.Add(time.Duration(line.FirstMs) * time.Millisecond),
-		target: answered[1],
-		source: details["fetch"],
-		parts:  parts,
-	}
-	return known, answered[2], true
+	prompt = answeredPrompt{
+		sentAt:     ended.Add(-time.Duration(took) * time.Millisecond),
+		answeredAt: arrived.Add(time.Duration(line.FirstMs) * time.Millisecond),
+		target:     answered[1],
+		source:     details["fetch"],
+		parts:      parts,
+	}
+	return prompt, answered[2], true
 }
 
 // detailsOf reads name:value pairs parted by commas; a value may hold colons.
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -98,7 +98,7 @@
 }
 
 // Summarize sums the requests of logs up, as a whole and by spans of time.
-func Summarize(lines []Line, every time.Duration) *Summary {
+func Summarize(lines []Line, interval time.Duration) *Summary {
 	whole := newTally()
 	spans := make(map[time.Time]*tally)
 	centers := make(map[string]*tally)
@@ -110,7 +110,7 @@
 			summary.NotLogged += line.Count
 		case observe.EventRequest:
 			whole.add(line)
-			spanOf(spans, line, every).add(line)
+			spanOf(spans, line, interval).add(line)
 			tallyOf(centers, centerOf[line.Process]).add(line)
 		}
 	}
@@ -147,10 +147,10 @@
 
 // spanOf is the tally of the span in which a request arrived; lines whose time
 // can't be read share the zero one.
-func spanOf(spans map[time.Time]*tally, line Line, every time.Duration) *tally {
+func spanOf(spans map[time.Time]*tally, line Line, interval time.Duration) *tally {
 	from := time.Time{}
 	if ended, err := time.Parse(time.RFC3339Nano, line.Time); err == nil {
-		from = ended.Add(-time.Duration(line.TookMs) * time.Millisecond).Truncate(every)
+		from = ended.Add(-time.Duration(line.TookMs) * time.Millisecond).Truncate(interval)
 	}
 	return tallyOf(spans, from)
 }
@@ -174,8 +174,8 @@
 	return lateTarget
 }
 
-// mostShown bounds how many losses of one span are printed.
-const mostShown = 4
+// maxShownLosses bounds how many losses of one span are printed.
+const maxShownLosses = 4
 
 // Print writes the summary for a person.
 func (s *Summary) Print(out io.Writer) error {
@@ -195,11 +195,11 @@
 	}
 	text.WriteString("\nfrom\trequests\tlost most\n")
 	for _, span := range s.Spans {
-		fmt.Fprintf(&text, "%s\t%d\t%s\n", span.From.Format("15:04:05.0"), span.Requests, most(span.Losses))
+		fmt.Fprintf(&text, "%s\t%d\t%s\n", span.From.Format("15:04:05.0"), span.Requests, describeLosses(span.Losses))
 	}
 	text.WriteString("\ndata centre\trequests\tlost most\n")
 	for _, center := range s.DataCenters {
-		fmt.Fprintf(&text, "%s\t%d\t%s\n", cmp.Or(center.Name, "unknown"), center.Requests, most(center.Losses))
+		fmt.Fprintf(&text, "%s\t%d\t%s\n", cmp.Or(center.Name, "unknown"), center.Requests, describeLosses(center.Losses))
 	}
 	if len(s.Prompts) > 0 {
 		text.WriteString("\nshared parts of prompts\tparts\ttokens\n")
@@ -211,9 +211,9 @@
 }
 
 // most names the largest losses.
-func most(losses []Loss) string {
+func describeLosses(losses []Loss) string {
 	var shown []string
-	for _, loss := range losses[:min(mostShown, len(losses))] {
+	for _, loss := range losses[:min(maxShownLosses, len(losses))] {
 		shown = append(shown, fmt.Sprintf("%d %s (%s)", loss.Count, loss.Reason, loss.Route))
 	}
 	return strings.Join(shown, ", ")
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -77,9 +77,9 @@
 		prompt, target, target, fetch))
 }
 
-// TestHowPromptsCameToTargets: each case is a second reading, or fetch, of a
+// TestPromptOrigins: each case is a second reading, or fetch, of a
 // part that target a read at second 10.
-func TestHowPromptsCameToTargets(t *testing.T) {
+func TestPromptOrigins(t *testing.T) {
 	const prompt = "session:5000,own:10"
 	cases := map[string]struct {
 		lines string
@@ -97,12 +97,12 @@
 			is := is.New(t)
 			lines, _, err := explain.Read(strings.NewReader(tc.lines + promptLine(10, "a", "", prompt)))
 			is.NoErr(err)
-			ways := make(map[string]int)
+			origins := make(map[string]int)
 			for _, use := range explain.Summarize(lines, time.Second).Prompts {
-				ways[use.Origin] += use.Tokens
+				origins[use.Origin] += use.Tokens
 			}
-			is.Equal(ways["read for the first time"] >= 5000, true)
-			is.Equal(ways[tc.want], 5000)
+			is.Equal(origins["read for the first time"] >= 5000, true)
+			is.Equal(origins[tc.want], 5000)
 		})
 	}
 }
--- a/internal/observe/metrics.go
+++ b/internal/observe/metrics.go
@@ -10,13 +10,13 @@
 
 const (
 	namespace = "capersaddle_gateway"
-	// mostWorkspaces bounds the label values of workspaces; the rest share
+	// maxWorkspaces bounds the label values of workspaces; the rest share
 	// otherLabel.
-	mostWorkspaces = 100
-	// mostVersions bounds the versions of services, together; the rest share otherLabel.
+	maxWorkspaces = 100
+	// maxVersions bounds the versions of services, together; the rest share otherLabel.
 	// Each service has one or two at a time, and old ones keep their series.
-	mostVersions = 100
-	otherLabel   = "other"
+	maxVersions = 100
+	otherLabel  = "other"
 )
 
 // Values of the label notice.
@@ -28,67 +28,67 @@
 
 // Metrics are a gateway's counters and histograms.
 type Metrics struct {
-	took          *prometheus.HistogramVec
-	first         *prometheus.HistogramVec
-	endings       *prometheus.CounterVec
-	attempts      *prometheus.CounterVec
-	sendings      *prometheus.CounterVec
-	findings      *prometheus.CounterVec
-	prompts       *prometheus.CounterVec
-	storeCalls    *prometheus.CounterVec
-	replicas      *prometheus.CounterVec
-	badValues     prometheus.Counter
-	crashes       prometheus.Counter
-	notices       *prometheus.CounterVec
-	configVersion prometheus.Gauge
+	requestSeconds  *prometheus.HistogramVec
+	firstSeconds    *prometheus.HistogramVec
+	requests        *prometheus.CounterVec
+	attempts        *prometheus.CounterVec
+	versionAttempts *prometheus.CounterVec
+	holderLookups   *prometheus.CounterVec
+	prompts         *prometheus.CounterVec
+	storeCalls      *prometheus.CounterVec
+	replicas        *prometheus.CounterVec
+	badValues       prometheus.Counter
+	crashes         prometheus.Counter
+	notices         *prometheus.CounterVec
+	configVersion   prometheus.Gauge
 
-	workspaces labels
-	versions   labels
+	workspaces boundedLabel
+	versions   boundedLabel
 }
 
 // labels bounds the values of a label that have series of their own.
-type labels struct {
-	most  int
+type boundedLabel struct {
+	limit int
 	mu    sync.Mutex
 	known map[string]bool
 }
 
 // of is the value of the label for a name; one that is named the same keeps its own.
-func (l *labels) of(name string) string {
-	return l.within(name, name)
+func (l *boundedLabel) value(name string) string {
+	return l.valueOf(name, name)
 }
 
 // within is the same for a name that is unique together with another one only.
-func (l *labels) within(unique, name string) string {
+func (l *boundedLabel) valueOf(key, name string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.known[unique] {
+	if l.known[key] {
 		return name
 	}
-	if len(l.known) >= l.most {
+	if len(l.known) >= l.limit {
 		return otherLabel
 	}
 	if l.known == nil {
 		l.known = make(map[string]bool)
 	}
-	l.known[unique] = true
+	l.known[key] = true
 	return name
 }
 
 // NewMetrics registers a gateway's metrics.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	m := &Metrics{
-		took: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		requestSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "request_seconds",
 			Help:    "Time of requests from arrival to the end of the answer.",
 			Buckets: []float64{0.01, 0.03, 0.1, 0.3, 1, 3, 10},
 		}, []string{"workspace", "kind"}),
-		first: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_seconds",
 			Help:    "Time of answered requests from arrival to the head of the answer.",
 			Buckets: []float64{0.01, 0.03, 0.1, 0.3, 0.6, 1.2, 5},
 		}, []string{"kind"}),
-		endings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "requests_total",
 			Help: "Requests by how they ended.",
 		}, []string{"ending"}),
@@ -96,11 +96,11 @@
 			Namespace: namespace, Name: "attempts_total",
 			Help: "Attempts at targets by service and outcome.",
 		}, []string{"service", "outcome"}),
-		sendings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		versionAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "version_sendings_total",
 			Help: "Sendings to targets that state a version, by service, version and result.",
 		}, []string{"service", "version", "result"}),
-		findings: prometheus.NewCounterVec(prometheus.CounterOpts{
+		holderLookups: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "holder_questions_total",
 			Help: "Questions to other gateways for where a prompt is cached, by outcome.",
 		}, []string{"outcome"}),
@@ -132,27 +132,27 @@
 			Namespace: namespace, Name: "config_version",
 			Help: "Version of the configuration in force.",
 		}),
-		workspaces: labels{most: mostWorkspaces},
-		versions:   labels{most: mostVersions},
+		workspaces: boundedLabel{limit: maxWorkspaces},
+		versions:   boundedLabel{limit: maxVersions},
 	}
-	registry.MustRegister(m.took, m.first, m.endings, m.attempts, m.sendings, m.findings, m.prompts, m.storeCalls, m.replicas, m.badValues, m.crashes, m.notices, m.configVersion)
+	registry.MustRegister(m.requestSeconds, m.firstSeconds, m.requests, m.attempts, m.versionAttempts, m.holderLookups, m.prompts, m.storeCalls, m.replicas, m.badValues, m.crashes, m.notices, m.configVersion)
 	return m
 }
 
-func (m *Metrics) request(record *gateway.RequestRecord) {
-	m.endings.WithLabelValues(record.Ending).Inc()
-	m.took.WithLabelValues(m.workspaces.of(record.Workspace), record.Kind).Observe(record.Took.Seconds())
+func (m *Metrics) recordRequest(record *gateway.RequestRecord) {
+	m.requests.WithLabelValues(record.Ending).Inc()
+	m.requestSeconds.WithLabelValues(m.workspaces.value(record.Workspace), record.Kind).Observe(record.Took.Seconds())
 	if record.TimeToHead > 0 {
-		m.first.WithLabelValues(record.Kind).Observe(record.TimeToHead.Seconds())
+		m.firstSeconds.WithLabelValues(record.Kind).Observe(record.TimeToHead.Seconds())
 	}
 	if record.HolderLookup != "" {
-		m.findings.WithLabelValues(string(record.HolderLookup)).Inc()
+		m.holderLookups.WithLabelValues(string(record.HolderLookup)).Inc()
 	}
 	for _, attempt := range record.Attempts {
 		m.attempts.WithLabelValues(record.Service, attempt.Outcome).Inc()
 		if attempt.Version != "" {
-			version := m.versions.within(record.Service+" "+attempt.Version, attempt.Version)
-			m.sendings.WithLabelValues(record.Service, version, attempt.Outcome).Inc()
+			version := m.versions.valueOf(record.Service+" "+attempt.Version, attempt.Version)
+			m.versionAttempts.WithLabelValues(record.Service, version, attempt.Outcome).Inc()
 		}
 		if attempt.Source != "" {
 			m.prompts.WithLabelValues(string(attempt.Source)).Inc()
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -69,56 +69,56 @@
 }
 
 const (
-	// mostLines is how many lines a second of requests that went well are
+	// maxAnsweredLines is how many lines a second of requests that went well are
 	// written; the others are counted. Requests that ended badly have a
 	// larger bound of their own.
-	mostLines    = 60
-	mostBadLines = 200
+	maxAnsweredLines = 60
+	maxFailedLines   = 200
 )
 
 // Observer logs and counts. It is safe for concurrent use.
 type Observer struct {
-	log     *log.Logger
-	metrics *Metrics
-	good    *rate.Limiter
-	bad     *rate.Limiter
-	skipped skipCounter
+	log             *log.Logger
+	metrics         *Metrics
+	answeredLimiter *rate.Limiter
+	failedLimiter   *rate.Limiter
+	skipped         skipCounter
 }
 
 // New returns an observer.
 func New(logger *log.Logger, metrics *Metrics) *Observer {
 	return &Observer{
-		log:     logger,
-		metrics: metrics,
-		good:    rate.NewLimiter(mostLines, mostLines),
-		bad:     rate.NewLimiter(mostBadLines, mostBadLines),
+		log:             logger,
+		metrics:         metrics,
+		answeredLimiter: rate.NewLimiter(maxAnsweredLines, maxAnsweredLines),
+		failedLimiter:   rate.NewLimiter(maxFailedLines, maxFailedLines),
 	}
 }
 
 // Request logs and counts a request at its end.
 func (o *Observer) Request(record *gateway.RequestRecord) {
-	o.metrics.request(record)
+	o.metrics.recordRequest(record)
 	for _, attempt := range record.Attempts {
 		if attempt.Ejected {
 			o.log.Warn(EventEjected, "target", attempt.Target, "address", attempt.Address, "service", record.Service, "outcome", attempt.Outcome, "reason", attempt.Reason, "request", record.ID)
 		}
 	}
-	limiter := o.bad
+	limiter := o.failedLimiter
 	if record.Ending == gateway.EndingAnswered {
-		limiter = o.good
+		limiter = o.answeredLimiter
 	}
 	if !limiter.Allow() {
 		o.skipped.add()
 		return
 	}
-	if skipped := o.skipped.take(); skipped > 0 {
+	if skipped := o.skipped.reset(); skipped > 0 {
 		o.log.Warn(EventRequestsNotLogged, "count", skipped)
 	}
 	o.log.Info(EventRequest,
 		"id", record.ID, "ending", record.Ending, "status", record.Status,
 		"route", record.Route, "kind", record.Kind, "workspace", record.Workspace, "service", record.Service,
 		"session", record.Session, "prompt", describePrompt(record.Prompt), "print", record.Fingerprint, "config", record.ConfigVersion, "proof_ms", wholeMillis(record.ProofAge), "queued_ms", wholeMillis(record.QueueTime), "waited_ms", wholeMillis(record.PrefillWait), "found", record.HolderLookup, "asked_ms", wholeMillis(record.HolderLookupTime),
-		"wanted_ms", wholeMillis(record.TargetLatency), "first_ms", wholeMillis(record.TimeToHead), "took_ms", wholeMillis(record.Took), "attempts", describe(record.Attempts))
+		"wanted_ms", wholeMillis(record.TargetLatency), "first_ms", wholeMillis(record.TimeToHead), "took_ms", wholeMillis(record.Took), "attempts", describeAttempts(record.Attempts))
 }
 
 func wholeMillis(d time.Duration) int64 {
@@ -141,7 +141,7 @@
 
 // describe writes attempts as target@address=outcome(took,load/mean,...),
 // parted by blanks.
-func describe(attempts []gateway.AttemptRecord) string {
+func describeAttempts(attempts []gateway.AttemptRecord) string {
 	var text strings.Builder
 	for i, attempt := range attempts {
 		if i > 0 {
@@ -193,12 +193,12 @@
 	}
 	if notice.Unreadable != "" {
 		text.WriteString(",rest_unreadable:")
-		text.WriteString(strings.Map(plainRune, notice.Unreadable))
+		text.WriteString(strings.Map(replaceSeparator, notice.Unreadable))
 	}
 }
 
-// plainRune replaces what would part the fields of an attempt.
-func plainRune(r rune) rune {
+// replaceSeparator replaces what would part the fields of an attempt.
+func replaceSeparator(r rune) rune {
 	if strings.ContainsRune(" ,:()=\n\r\t", r) {
 		return '_'
 	}
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -28,23 +28,23 @@
 	}
 }
 
-// TestLinesAreBounded: under load lines are left out, those that tell of
+// TestRequestLinesAreLimited: under load lines are left out, those that tell of
 // failures last, and how many were is told.
-func TestLinesAreBounded(t *testing.T) {
+func TestRequestLinesAreLimited(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	observer := newObserver(&out)
 	for range 1000 {
 		observer.Request(record(gateway.EndingAnswered))
 	}
-	good := strings.Count(out.String(), `"msg":"request"`)
-	is.True(good >= 60 && good < 200)
+	answered := strings.Count(out.String(), `"msg":"request"`)
+	is.True(answered >= 60 && answered < 200)
 	observer.Request(record("target_failed"))
 	is.True(strings.Contains(out.String(), `"ending":"target_failed"`))
 	is.True(strings.Contains(out.String(), `"msg":"requests_not_logged"`))
 }
 
-func TestADependencyIsToldOnceLostAndOnceBack(t *testing.T) {
+func TestDependencyLogsTransitionsOnce(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
 	store := newObserver(&out).NewStoreDependency()
@@ -58,24 +58,24 @@
 	is.Equal(strings.Count(out.String(), `"msg":"store_back"`), 1)
 }
 
-// TestATargetsVersionIsLogged: a roll-out waits for targets that state its version.
-func TestATargetsVersionIsLogged(t *testing.T) {
+// TestTargetChangedLogsVersion: a roll-out waits for targets that state its version.
+func TestTargetChangedLogsVersion(t *testing.T) {
 	var out strings.Builder
 	newObserver(&out).TargetChanged(balance.Target{ID: "i-1", Service: "s", Version: "v2"})
 	is.New(t).True(strings.Contains(out.String(), `"service":"s","version":"v2"`))
 }
 
 // nowhere takes lines; the logger spares itself the work for io.Discard.
-type nowhere struct{}
+type discardWriter struct{}
 
-func (nowhere) Write(data []byte) (int, error) { return len(data), nil }
+func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 
 // BenchmarkRequest is what logging and counting one request costs. Run it with
 // -benchtime 190x: lines over the bound are counted only.
 func BenchmarkRequest(b *testing.B) {
 	for name, level := range map[string]log.Level{"logged": log.InfoLevel, "counted only": log.ErrorLevel} {
 		b.Run(name, func(b *testing.B) {
-			observer := observe.New(log.NewWithOptions(nowhere{}, log.Options{Formatter: log.JSONFormatter, Level: level}), observe.NewMetrics(prometheus.NewRegistry()))
+			observer := observe.New(log.NewWithOptions(discardWriter{}, log.Options{Formatter: log.JSONFormatter, Level: level}), observe.NewMetrics(prometheus.NewRegistry()))
 			b.ReportAllocs()
 			for b.Loop() {
 				observer.Request(record("relayed"))
@@ -84,17 +84,17 @@
 	}
 }
 
-// TestAVersionIsLogged: only where the target's entry states one.
-func TestAVersionIsLogged(t *testing.T) {
+// TestAttemptVersionIsLogged: only where the target's entry states one.
+func TestAttemptVersionIsLogged(t *testing.T) {
 	for name, tc := range map[string]struct {
 		version string
 		logged  bool
 	}{"none stated": {"", false}, "one stated": {"2026.4", true}} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
-			one := record("relayed")
-			one.Attempts[0].Version = tc.version
-			newObserver(&out).Request(one)
+			request := record("relayed")
+			request.Attempts[0].Version = tc.version
+			newObserver(&out).Request(request)
 			is.New(t).Equal(strings.Contains(out.String(), "version:2026.4"), tc.logged)
 			is.New(t).Equal(strings.Contains(out.String(), "version:"), tc.logged)
 		})
--- a/internal/observe/rollouts_test.go
+++ b/internal/observe/rollouts_test.go
@@ -19,7 +19,7 @@
 
 var _ rollout.Watcher = (*observe.Observer)(nil)
 
-func TestStepsOfRollouts(t *testing.T) {
+func TestRolloutSteps(t *testing.T) {
 	step := rollout.Step{Service: "s", Version: "v2", Order: 9, Age: 1500 * time.Millisecond, Requests: 400, Exposed: 31}
 	with := func(change func(*rollout.Step)) rollout.Step {
 		changed := step
@@ -98,8 +98,8 @@
 	return series
 }
 
-// TestGaugesOfRollouts: each service has the series of its last order only.
-func TestGaugesOfRollouts(t *testing.T) {
+// TestRolloutGauges: each service has the series of its last order only.
+func TestRolloutGauges(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
 	var known []rollout.Status
@@ -122,15 +122,15 @@
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_stage"), map[string]float64{"s v3": 2})
 }
 
-// TestSendingsByVersion: versions that come and go share a series in the end.
-func TestSendingsByVersion(t *testing.T) {
+// TestVersionSeriesAreLimited: versions that come and go share a series in the end.
+func TestVersionSeriesAreLimited(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
-	observer := observe.New(log.New(nowhere{}), observe.NewMetrics(registry))
+	observer := observe.New(log.New(discardWriter{}), observe.NewMetrics(registry))
 	send := func(version, outcome string) {
-		made := record(gateway.EndingAnswered)
-		made.Attempts = []gateway.AttemptRecord{{Version: version, Outcome: outcome}}
-		observer.Request(made)
+		request := record(gateway.EndingAnswered)
+		request.Attempts = []gateway.AttemptRecord{{Version: version, Outcome: outcome}}
+		observer.Request(request)
 	}
 	send("", "answered")
 	send("v1", "answered")
--- a/internal/observe/skip.go
+++ b/internal/observe/skip.go
@@ -12,6 +12,6 @@
 	s.count.Add(1)
 }
 
-func (s *skipCounter) take() int64 {
+func (s *skipCounter) reset() int64 {
 	return s.count.Swap(0)
 }
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -11,9 +11,9 @@
 // Dependency tells when something that the process depends on is lost and
 // regained, a line each.
 type Dependency struct {
-	observer *Observer
-	lost     atomic.Bool
-	since    atomic.Int64
+	observer  *Observer
+	lost      atomic.Bool
+	lostSince atomic.Int64
 }
 
 // NewStoreDependency watches calls to the store.
@@ -31,14 +31,14 @@
 	d.observer.StoreCalled(call, err)
 	if err != nil {
 		if !d.lost.Swap(true) {
-			d.since.Store(time.Now().UnixNano())
+			d.lostSince.Store(time.Now().UnixNano())
 			d.observer.log.Warn(EventStoreLost, "call", call, "reason", err.Error())
 		}
 		return
 	}
 	if d.lost.Swap(false) {
-		away := time.Since(time.Unix(0, d.since.Load()))
-		d.observer.log.Info(EventStoreBack, "call", call, "away_ms", away.Milliseconds())
+		outage := time.Since(time.Unix(0, d.lostSince.Load()))
+		d.observer.log.Info(EventStoreBack, "call", call, "away_ms", outage.Milliseconds())
 	}
 }
 
@@ -57,9 +57,9 @@
 
 // Lateness logs that the process begins or ceases to lack processor time; while
 // it does and another gateway does not, it takes no new callers.
-func (o *Observer) Lateness(late, othersInTime bool, lag time.Duration) {
+func (o *Observer) Lateness(lagging, othersInTime bool, lag time.Duration) {
 	event := EventProcessInTime
-	if late {
+	if lagging {
 		event = EventProcessLate
 	}
 	o.log.Warn(event, "lag_ms", wholeMillis(lag), "others_in_time", othersInTime)
@@ -135,14 +135,14 @@
 
 // TargetRefused logs that a target is left out since it refused a connection of
 // another gateway.
-func (o *Observer) TargetRefused(target, from string) {
-	o.log.Info(EventRefused, "target", target, "peer", from)
+func (o *Observer) TargetRefused(target, peer string) {
+	o.log.Info(EventRefused, "target", target, "peer", peer)
 }
 
 // TargetSuspected logs that a target is left out since several gateways got no answer
 // from it.
-func (o *Observer) TargetSuspected(target, from string) {
-	o.log.Info(EventTargetSuspected, "target", target, "peer", from)
+func (o *Observer) TargetSuspected(target, peer string) {
+	o.log.Info(EventTargetSuspected, "target", target, "peer", peer)
 }
 
 // ReplicaFetched logs the fetching of the store's content from a peer.
