--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -35,17 +35,17 @@
 		events  []string
 		cause   string
 	}{
-		"a request":       {"r1", []string{"target_ejected", "request"}, "may not be repeated"},
-		"a target":        {"i-1", []string{"target_ejected", "request"}, ""},
-		"a configuration": {"version:7", []string{"config_applied"}, ""},
-		"versions":        {"r3", []string{"request"}, "; versions: i-3 v2, i-4 v1"},
-		"a roll-out":      {"rollout:s", []string{"rollout_ordered", "rollout_halted"}, ""},
-		"another service": {"rollout:t", []string{"rollout_ordered"}, ""},
-		"held back":       {"r4", []string{"target_crashed", "request_held_back", "request"}, "sent to no other"},
-		"what came again": {"print:00000000000000aa", []string{"target_crashed", "request_held_back", "request", "request"}, ""},
-		"nobody was open": {"r6", []string{"target_rests", "target_leaves", "request"}, "says why none is open"},
-		"one that rests":  {"i-5", []string{"target_rests", "target_rests"}, ""},
-		"nothing":         {"r9", nil, ""},
+		"a request":        {"r1", []string{"target_ejected", "request"}, "may not be repeated"},
+		"a target":         {"i-1", []string{"target_ejected", "request"}, ""},
+		"a configuration":  {"version:7", []string{"config_applied"}, ""},
+		"versions":         {"r3", []string{"request"}, "; versions: i-3 v2, i-4 v1"},
+		"a roll-out":       {"rollout:s", []string{"rollout_ordered", "rollout_halted"}, ""},
+		"another service":  {"rollout:t", []string{"rollout_ordered"}, ""},
+		"a held request":   {"r4", []string{"target_crashed", "request_held_back", "request"}, "sent to no other"},
+		"a fingerprint":    {"print:00000000000000aa", []string{"target_crashed", "request_held_back", "request", "request"}, ""},
+		"no open target":   {"r6", []string{"target_rests", "target_leaves", "request"}, "says why none is open"},
+		"a resting target": {"i-5", []string{"target_rests", "target_rests"}, ""},
+		"nothing":          {"r9", nil, ""},
 	}
 	lines, unread, err := explain.Read(strings.NewReader(logs))
 	if err != nil || unread != 1 {
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -11,7 +11,7 @@
 	"github.com/capersaddle/capersaddle/internal/explain"
 )
 
-// requestLine is a log line of a request that ended at a second of a minute.
+// requestLine returns the log line of a request that ended at a second of a fixed minute.
 func requestLine(second, fields string) string {
 	return `frontend-1 {"time":"2026-12-02T10:00:` + second + `Z","msg":"request","process":"g","route":"chat",` + fields + "}\n"
 }
@@ -21,14 +21,14 @@
 		fields string
 		want   string // empty for no loss
 	}{
-		"in time":              {`"ending":"answered","wanted_ms":300,"first_ms":299`, ""},
-		"no wanted time":       {`"ending":"answered","first_ms":5000`, ""},
-		"refused":              {`"ending":"overloaded","wanted_ms":300`, "overloaded"},
-		"late for the queue":   {`"ending":"answered","wanted_ms":300,"first_ms":400,"queued_ms":250`, "late: waited for room"},
-		"late for a reading":   {`"ending":"answered","wanted_ms":300,"first_ms":400,"waited_ms":250`, "late: waited for its prompt to be read"},
-		"late for an attempt":  {`"ending":"answered","wanted_ms":300,"first_ms":400,"attempts":"a@x=silent(took_ms:300) b@y=answered(took_ms:90)"`, "late: an earlier attempt failed"},
-		"late for its target":  {`"ending":"answered","wanted_ms":300,"first_ms":400,"attempts":"b@y=answered(took_ms:390)"`, "late: the target took long"},
-		"broken off midstream": {`"ending":"cut","wanted_ms":300,"first_ms":80`, "cut"},
+		"in time":           {`"ending":"answered","wanted_ms":300,"first_ms":299`, ""},
+		"no target latency": {`"ending":"answered","first_ms":5000`, ""},
+		"refused":           {`"ending":"overloaded","wanted_ms":300`, "overloaded"},
+		"late: queue":       {`"ending":"answered","wanted_ms":300,"first_ms":400,"queued_ms":250`, "late: waited for room"},
+		"late: prompt":      {`"ending":"answered","wanted_ms":300,"first_ms":400,"waited_ms":250`, "late: waited for its prompt to be read"},
+		"late: attempt":     {`"ending":"answered","wanted_ms":300,"first_ms":400,"attempts":"a@x=silent(took_ms:300) b@y=answered(took_ms:90)"`, "late: an earlier attempt failed"},
+		"late: target":      {`"ending":"answered","wanted_ms":300,"first_ms":400,"attempts":"b@y=answered(took_ms:390)"`, "late: the target took long"},
+		"cut":               {`"ending":"cut","wanted_ms":300,"first_ms":80`, "cut"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -58,15 +58,15 @@
 	is.Equal(summary.NotLogged, 7)
 	is.Equal(summary.Losses[0], explain.Loss{Route: "chat", Reason: "overloaded", Count: 2})
 	is.Equal(len(summary.Spans), 3)
-	is.Equal(summary.Spans[1].From.Second(), 4) // by its arrival, not its end
+	is.Equal(summary.Spans[1].From.Second(), 4) // by arrival, not by end
 	var out strings.Builder
 	is.NoErr(summary.Print(&out))
 	is.True(strings.Contains(out.String(), "4 requests in the logs, 7 more not logged"))
 	is.True(strings.Contains(out.String(), "2 overloaded (chat)"))
 }
 
-// promptLine is the line of an answered prompt whose request came at a second
-// and was answered by a target after 0.2 s.
+// promptLine returns the line of a request that arrived at a second and whose prompt a target
+// answered after 0.2 s.
 func promptLine(second int, target, source, prompt string) string {
 	fetch := ""
 	if source != "" {
@@ -77,20 +77,20 @@
 		prompt, target, target, fetch))
 }
 
-// TestPromptOrigins: each case is a second reading, or fetch, of a
-// part that target a read at second 10.
+// TestPromptOrigins covers the second read, or the fetch, of a part that target a read at second
+// 10.
 func TestPromptOrigins(t *testing.T) {
 	const prompt = "session:5000,own:10"
 	cases := map[string]struct {
 		lines string
 		want  string
 	}{
-		"at the same target":             {promptLine(20, "a", "", prompt), "held by the target"},
-		"fetched":                        {promptLine(20, "b", "a-address", prompt), "fetched from a target that held it"},
-		"fetched from one without it":    {promptLine(20, "b", "c-address", prompt) + promptLine(30, "a", "", "x:1,y:1"), "read again: the named source did not hold it"},
-		"no source":                      {promptLine(20, "b", "", prompt) + promptLine(30, "a", "", "x:1,y:1"), "read again: no source was named"},
-		"its holder answered never more": {promptLine(20, "b", "c-address", prompt), "read again: no target that held it answers any more"},
-		"while the first one read it":    {requestLine("10.6", `"ending":"answered","first_ms":300,"took_ms":500,"prompt":"session:5000,own:10","attempts":"b@b-address=answered(took_ms:500)"`), "read beside its first reading"},
+		"at the same target":        {promptLine(20, "a", "", prompt), "held by the target"},
+		"fetched":                   {promptLine(20, "b", "a-address", prompt), "fetched from a target that held it"},
+		"fetched from a non-holder": {promptLine(20, "b", "c-address", prompt) + promptLine(30, "a", "", "x:1,y:1"), "read again: the named source did not hold it"},
+		"no source":                 {promptLine(20, "b", "", prompt) + promptLine(30, "a", "", "x:1,y:1"), "read again: no source was named"},
+		"holder gone":               {promptLine(20, "b", "c-address", prompt), "read again: no target that held it answers any more"},
+		"during the first read":     {requestLine("10.6", `"ending":"answered","first_ms":300,"took_ms":500,"prompt":"session:5000,own:10","attempts":"b@b-address=answered(took_ms:500)"`), "read beside its first reading"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestRequestLinesAreLimited: under load lines are left out, those that tell of
-// failures last, and how many were is told.
+// TestRequestLinesAreLimited checks that request lines are left out under load, those of failed
+// requests last, and that their number is logged.
 func TestRequestLinesAreLimited(t *testing.T) {
 	is := is.New(t)
 	var out strings.Builder
@@ -58,20 +58,22 @@
 	is.Equal(strings.Count(out.String(), `"msg":"store_back"`), 1)
 }
 
-// TestTargetChangedLogsVersion: a roll-out waits for targets that state its version.
+// TestTargetChangedLogsVersion checks the version in the line of a target: a roll-out waits for
+// targets with its version.
 func TestTargetChangedLogsVersion(t *testing.T) {
 	var out strings.Builder
 	newObserver(&out).TargetChanged(balance.Target{ID: "i-1", Service: "s", Version: "v2"})
 	is.New(t).True(strings.Contains(out.String(), `"service":"s","version":"v2"`))
 }
 
-// nowhere takes lines; the logger spares itself the work for io.Discard.
+// discardWriter discards lines. The logger skips its work for io.Discard, which would spoil the
+// benchmark.
 type discardWriter struct{}
 
 func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 
-// BenchmarkRequest is what logging and counting one request costs. Run it with
-// -benchtime 190x: lines over the bound are counted only.
+// BenchmarkRequest measures logging and counting one request. Run it with -benchtime 190x: lines
+// above the bound are only counted.
 func BenchmarkRequest(b *testing.B) {
 	for name, level := range map[string]log.Level{"logged": log.InfoLevel, "counted only": log.ErrorLevel} {
 		b.Run(name, func(b *testing.B) {
@@ -84,7 +86,8 @@
 	}
 }
 
-// TestAttemptVersionIsLogged: only where the target's entry states one.
+// TestAttemptVersionIsLogged checks that an attempt's version is logged only if the target's entry
+// has one.
 func TestAttemptVersionIsLogged(t *testing.T) {
 	for name, tc := range map[string]struct {
 		version string
--- a/internal/observe/rollouts_test.go
+++ b/internal/observe/rollouts_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// fieldsOf are the fields of a line, without the time.
+// fieldsOf returns the fields of a line, without the time.
 func fieldsOf(t *testing.T, line string) map[string]any {
 	t.Helper()
 	var fields map[string]any
@@ -75,7 +75,8 @@
 	return fields
 }
 
-// seriesOf are the values of a metric by its labels, in the order of their names.
+// seriesOf returns the values of a metric by its label values, which are in the order of the label
+// names.
 func seriesOf(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -98,7 +99,7 @@
 	return series
 }
 
-// TestRolloutGauges: each service has the series of its last order only.
+// TestRolloutGauges checks that each service has only the series of its last order.
 func TestRolloutGauges(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
@@ -117,12 +118,12 @@
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_requests"), map[string]float64{"s v2": 400, "w v9": 0})
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Completed, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_state"), map[string]float64{"s v3": 1})
-	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // it has ended
+	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // the roll-out has ended
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Running, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_stage"), map[string]float64{"s v3": 2})
 }
 
-// TestVersionSeriesAreLimited: versions that come and go share a series in the end.
+// TestVersionSeriesAreLimited checks that versions beyond the limit share one series.
 func TestVersionSeriesAreLimited(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
