--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -138,8 +138,8 @@
 }
 
 // explainsHold reports whether a line says why the request was held back.
-func (s *requestContext) explainsHold(line Line) bool {
-	return s.heldFingerprint != "" && line.Fingerprint == s.heldFingerprint && line.Event != observe.EventRequest
+func (c *requestContext) explainsHold(line Line) bool {
+	return c.heldFingerprint != "" && line.Fingerprint == c.heldFingerprint && line.Event != observe.EventRequest
 }
 
 // contextOf returns the context of a request. It is empty for other subjects.
@@ -167,20 +167,20 @@
 
 // explainsClosed reports whether a line says that a target of the request's service accepted
 // nothing new.
-func (s *requestContext) explainsClosed(line Line) bool {
-	if s.closedService == "" || line.Service != s.closedService || line.Process != s.process {
+func (c *requestContext) explainsClosed(line Line) bool {
+	if c.closedService == "" || line.Service != c.closedService || line.Process != c.process {
 		return false
 	}
 	return line.Event == observe.EventLeaving || line.Event == observe.EventTargetResting
 }
 
 // includes reports whether a line is about one of the targets within the time around the end.
-func (s *requestContext) includes(line Line) bool {
-	if line.ID != "" || !s.targets[line.Target] && !s.explainsClosed(line) {
+func (c *requestContext) includes(line Line) bool {
+	if line.ID != "" || !c.targets[line.Target] && !c.explainsClosed(line) {
 		return false
 	}
 	at, err := time.Parse(time.RFC3339Nano, line.Time)
-	return err == nil && at.After(s.from) && at.Before(s.to)
+	return err == nil && at.After(c.from) && at.Before(c.to)
 }
 
 func matches(subject string, line Line) bool {
@@ -257,16 +257,16 @@
 }
 
 // Print writes the timeline in readable form.
-func (s *Timeline) Print(out io.Writer) error {
-	for _, line := range s.Lines {
+func (t *Timeline) Print(out io.Writer) error {
+	for _, line := range t.Lines {
 		if _, err := fmt.Fprintf(out, "%s %-24s %s\n", line.Time, line.Process, line.summary()); err != nil {
 			return errors.Wrap(err, "print")
 		}
 	}
-	if s.Cause == "" {
+	if t.Cause == "" {
 		return nil
 	}
-	_, err := fmt.Fprintf(out, "\nlikely cause: %s\n", s.Cause)
+	_, err := fmt.Fprintf(out, "\nlikely cause: %s\n", t.Cause)
 	return errors.Wrap(err, "print")
 }
 
--- a/internal/explain/prompts.go
+++ b/internal/explain/prompts.go
@@ -55,12 +55,12 @@
 	for _, prompt := range prompts {
 		source := addresses.ownerAt(prompt.source, prompt.sentAt)
 		for _, shared := range prompt.parts {
-			how := prompt.originOf(held[shared.id], source, lastAnswer)
-			if sums[how] == nil {
-				sums[how] = &PromptUse{Origin: how}
+			origin := prompt.originOf(held[shared.id], source, lastAnswer)
+			if sums[origin] == nil {
+				sums[origin] = &PromptUse{Origin: origin}
 			}
-			sums[how].Parts++
-			sums[how].Tokens += shared.tokens
+			sums[origin].Parts++
+			sums[origin].Tokens += shared.tokens
 		}
 		for _, shared := range prompt.parts {
 			recordHolder(held, shared.id, prompt)
@@ -88,13 +88,13 @@
 
 // originOf returns how a part reached the target. It takes the targets that hold the part with the
 // time since which they do, the named source, and the time at which each target last answered.
-func (u answeredPrompt) originOf(holders map[string]time.Time, source string, lastAnswer map[string]time.Time) string {
+func (p answeredPrompt) originOf(holders map[string]time.Time, source string, lastAnswer map[string]time.Time) string {
 	holdsPart := func(target string) bool {
 		since, ok := holders[target]
-		return ok && !since.After(u.sentAt)
+		return ok && !since.After(p.sentAt)
 	}
 	switch {
-	case holdsPart(u.target):
+	case holdsPart(p.target):
 		return promptHeld
 	case len(holders) == 0:
 		return promptFirst
@@ -104,14 +104,14 @@
 	held, answering := false, false
 	for target := range holders {
 		held = held || holdsPart(target)
-		answering = answering || holdsPart(target) && !lastAnswer[target].Before(u.sentAt)
+		answering = answering || holdsPart(target) && !lastAnswer[target].Before(p.sentAt)
 	}
 	switch {
 	case !held:
 		return promptConcurrent
 	case !answering:
 		return promptHoldersGone
-	case u.source == "":
+	case p.source == "":
 		return promptNoSource
 	}
 	return promptWrongSource
@@ -127,9 +127,9 @@
 type addressOwners map[string][]addressOwner
 
 // ownerAt returns the target at an address at a time; empty if unknown.
-func (l addressOwners) ownerAt(address string, sentAt time.Time) string {
+func (o addressOwners) ownerAt(address string, sentAt time.Time) string {
 	found := ""
-	for _, owner := range l[address] {
+	for _, owner := range o[address] {
 		if !owner.from.After(sentAt) {
 			found = owner.target
 		}
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -98,7 +98,7 @@
 
 // Summarize counts the requests in logs, in total and by intervals of time.
 func Summarize(lines []Line, interval time.Duration) *Summary {
-	whole := newTally()
+	total := newTally()
 	spans := make(map[time.Time]*tally)
 	centers := make(map[string]*tally)
 	centerOf := dataCenters(lines)
@@ -108,12 +108,12 @@
 		case observe.EventRequestsNotLogged:
 			summary.NotLogged += line.Count
 		case observe.EventRequest:
-			whole.add(line)
+			total.add(line)
 			spanOf(spans, line, interval).add(line)
 			tallyOf(centers, centerOf[line.Process]).add(line)
 		}
 	}
-	summary.Requests, summary.Losses = whole.requests, whole.sorted()
+	summary.Requests, summary.Losses = total.requests, total.sorted()
 	for from, counted := range spans {
 		summary.Spans = append(summary.Spans, Span{From: from, Requests: counted.requests, Losses: counted.sorted()})
 	}
--- a/internal/observe/metrics.go
+++ b/internal/observe/metrics.go
@@ -56,24 +56,24 @@
 
 // value returns the label value for a name: the name itself if it is among the first ones up to the
 // limit, otherwise otherLabel.
-func (l *boundedLabel) value(name string) string {
-	return l.valueOf(name, name)
+func (b *boundedLabel) value(name string) string {
+	return b.valueOf(name, name)
 }
 
 // valueOf does the same for a name that is unique only as part of a key.
-func (l *boundedLabel) valueOf(key, name string) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.known[key] {
+func (b *boundedLabel) valueOf(key, name string) string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.known[key] {
 		return name
 	}
-	if len(l.known) >= l.limit {
+	if len(b.known) >= b.limit {
 		return otherLabel
 	}
-	if l.known == nil {
-		l.known = make(map[string]bool)
+	if b.known == nil {
+		b.known = make(map[string]bool)
 	}
-	l.known[key] = true
+	b.known[key] = true
 	return name
 }
 
