--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -29,23 +29,23 @@
 {"time":"2026-12-02T10:00:15Z","level":"info","msg":"request","process":"gw-1","id":"r6","service":"s","ending":"no_target","status":503}
 `
 
-func TestTell(t *testing.T) {
+func TestTimeline(t *testing.T) {
 	cases := map[string]struct {
 		subject string
 		events  []string
 		cause   string
 	}{
-		"a request":       {"r1", []string{"target_ejected", "request"}, "may not be repeated"},
-		"a target":        {"i-1", []string{"target_ejected", "request"}, ""},
-		"a configuration": {"version:7", []string{"config_applied"}, ""},
-		"versions":        {"r3", []string{"request"}, "; versions: i-3 v2, i-4 v1"},
-		"a roll-out":      {"rollout:s", []string{"rollout_ordered", "rollout_halted"}, ""},
-		"another service": {"rollout:t", []string{"rollout_ordered"}, ""},
-		"held back":       {"r4", []string{"target_crashed", "request_held_back", "request"}, "sent to no other"},
-		"what came again": {"print:00000000000000aa", []string{"target_crashed", "request_held_back", "request", "request"}, ""},
-		"nobody was open": {"r6", []string{"target_rests", "target_leaves", "request"}, "says why none is open"},
-		"one that rests":  {"i-5", []string{"target_rests", "target_rests"}, ""},
-		"nothing":         {"r9", nil, ""},
+		"a request":        {"r1", []string{"target_ejected", "request"}, "may not be repeated"},
+		"a target":         {"i-1", []string{"target_ejected", "request"}, ""},
+		"a configuration":  {"version:7", []string{"config_applied"}, ""},
+		"versions":         {"r3", []string{"request"}, "; versions: i-3 v2, i-4 v1"},
+		"a roll-out":       {"rollout:s", []string{"rollout_ordered", "rollout_halted"}, ""},
+		"another service":  {"rollout:t", []string{"rollout_ordered"}, ""},
+		"a held request":   {"r4", []string{"target_crashed", "request_held_back", "request"}, "sent to no other"},
+		"a fingerprint":    {"print:00000000000000aa", []string{"target_crashed", "request_held_back", "request", "request"}, ""},
+		"no open target":   {"r6", []string{"target_rests", "target_leaves", "request"}, "says why none is open"},
+		"a resting target": {"i-5", []string{"target_rests", "target_rests"}, ""},
+		"nothing":          {"r9", nil, ""},
 	}
 	lines, unread, err := explain.Read(strings.NewReader(logs))
 	if err != nil || unread != 1 {
@@ -54,15 +54,15 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			story := explain.Tell(tc.subject, lines)
+			timeline := explain.NewTimeline(tc.subject, lines)
 			var events []string
-			for _, line := range story.Lines {
+			for _, line := range timeline.Lines {
 				events = append(events, line.Event)
 			}
 			is.Equal(events, tc.events)
-			is.True(strings.Contains(story.Cause, tc.cause))
+			is.True(strings.Contains(timeline.Cause, tc.cause))
 			var out strings.Builder
-			is.NoErr(story.Print(&out))
+			is.NoErr(timeline.Print(&out))
 		})
 	}
 }
@@ -75,7 +75,7 @@
 			return
 		}
 		for _, line := range lines {
-			explain.Tell(line.ID, lines)
+			explain.NewTimeline(line.ID, lines)
 		}
 	})
 }
--- a/internal/explain/prompts.go
+++ b/internal/explain/prompts.go
@@ -12,58 +12,58 @@
 	"github.com/capersaddle/capersaddle/internal/observe"
 )
 
-// PromptUse sums up the shared parts of prompts that targets got in one way.
+// PromptUse counts the shared parts of prompts that reached targets in one way.
 type PromptUse struct {
-	How    string `json:"how"`
+	Origin string `json:"how"`
 	Parts  int    `json:"parts"`
 	Tokens int    `json:"tokens"`
 }
 
-// The ways in which a target gets a shared part of a prompt, as far as logs tell.
+// The ways in which a shared part of a prompt reaches a target, as far as the logs show.
 const (
-	promptHeld    = "held by the target"
-	promptFetched = "fetched from a target that held it"
-	promptFirst   = "read for the first time"
-	promptBeside  = "read beside its first reading"
-	promptWrong   = "read again: the named source did not hold it"
-	promptUnnamed = "read again: no source was named"
-	promptLost    = "read again: no target that held it answers any more"
+	promptHeld        = "held by the target"
+	promptFetched     = "fetched from a target that held it"
+	promptFirst       = "read for the first time"
+	promptConcurrent  = "read beside its first reading"
+	promptWrongSource = "read again: the named source did not hold it"
+	promptNoSource    = "read again: no source was named"
+	promptHoldersGone = "read again: no target that held it answers any more"
 )
 
-// use is one prompt at the target that answered.
-type use struct {
-	at     time.Time
-	first  time.Time
-	target string
-	source string
-	parts  []part
+// answeredPrompt is a prompt at the target that answered it.
+type answeredPrompt struct {
+	sentAt     time.Time
+	answeredAt time.Time
+	target     string
+	source     string
+	parts      []part
 }
 
-// part is one shared part of a prompt.
+// part is a shared part of a prompt.
 type part struct {
 	id     string
 	tokens int
 }
 
-// promptUses says how the shared parts of prompts came to the targets that
-// answered. Requests without a line are unknown to it: what they had read counts
-// as read for the first time when it is read again.
+// promptUses counts how the shared parts of prompts reached the targets that answered. It doesn't
+// know requests without a log line: a part that only they read before counts as read for the first
+// time.
 func promptUses(lines []Line) []PromptUse {
-	uses, addresses, last := readUses(lines)
+	prompts, addresses, lastAnswer := readPrompts(lines)
 	held := make(map[string]map[string]time.Time)
 	sums := make(map[string]*PromptUse)
-	for _, known := range uses {
-		source := addresses.at(known.source, known.at)
-		for _, shared := range known.parts {
-			how := known.how(held[shared.id], source, last)
-			if sums[how] == nil {
-				sums[how] = &PromptUse{How: how}
+	for _, prompt := range prompts {
+		source := addresses.ownerAt(prompt.source, prompt.sentAt)
+		for _, shared := range prompt.parts {
+			origin := prompt.originOf(held[shared.id], source, lastAnswer)
+			if sums[origin] == nil {
+				sums[origin] = &PromptUse{Origin: origin}
 			}
-			sums[how].Parts++
-			sums[how].Tokens += shared.tokens
+			sums[origin].Parts++
+			sums[origin].Tokens += shared.tokens
 		}
-		for _, shared := range known.parts {
-			noteHeld(held, shared.id, known)
+		for _, shared := range prompt.parts {
+			recordHolder(held, shared.id, prompt)
 		}
 	}
 	result := make([]PromptUse, 0, len(sums))
@@ -71,127 +71,127 @@
 		result = append(result, *sum)
 	}
 	slices.SortFunc(result, func(a, b PromptUse) int {
-		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.How, b.How))
+		return cmp.Or(cmp.Compare(b.Tokens, a.Tokens), cmp.Compare(a.Origin, b.Origin))
 	})
 	return result
 }
 
-// noteHeld notes that a target holds a part once it has answered.
-func noteHeld(held map[string]map[string]time.Time, id string, known use) {
+// recordHolder records that a target holds a part from the time of its first answer.
+func recordHolder(held map[string]map[string]time.Time, id string, prompt answeredPrompt) {
 	if held[id] == nil {
 		held[id] = make(map[string]time.Time)
 	}
-	if since, ok := held[id][known.target]; !ok || known.first.Before(since) {
-		held[id][known.target] = known.first
+	if since, ok := held[id][prompt.target]; !ok || prompt.answeredAt.Before(since) {
+		held[id][prompt.target] = prompt.answeredAt
 	}
 }
 
-// how says how a part came to the target, from the targets that hold it since
-// some time, the named source, and when each target answered last.
-func (u use) how(holders map[string]time.Time, source string, last map[string]time.Time) string {
-	ready := func(target string) bool {
+// originOf returns how a part reached the target. It takes the targets that hold the part with the
+// time since which they do, the named source, and the time at which each target last answered.
+func (p answeredPrompt) originOf(holders map[string]time.Time, source string, lastAnswer map[string]time.Time) string {
+	holdsPart := func(target string) bool {
 		since, ok := holders[target]
-		return ok && !since.After(u.at)
+		return ok && !since.After(p.sentAt)
 	}
 	switch {
-	case ready(u.target):
+	case holdsPart(p.target):
 		return promptHeld
 	case len(holders) == 0:
 		return promptFirst
-	case ready(source):
+	case holdsPart(source):
 		return promptFetched
 	}
-	read, alive := false, false
+	held, answering := false, false
 	for target := range holders {
-		read = read || ready(target)
-		alive = alive || ready(target) && !last[target].Before(u.at)
+		held = held || holdsPart(target)
+		answering = answering || holdsPart(target) && !lastAnswer[target].Before(p.sentAt)
 	}
 	switch {
-	case !read:
-		return promptBeside
-	case !alive:
-		return promptLost
-	case u.source == "":
-		return promptUnnamed
-	}
-	return promptWrong
+	case !held:
+		return promptConcurrent
+	case !answering:
+		return promptHoldersGone
+	case p.source == "":
+		return promptNoSource
+	}
+	return promptWrongSource
 }
 
-// life is one target at an address, seen from some time on.
-type life struct {
+// addressOwner is the target at an address from some time on.
+type addressOwner struct {
 	from   time.Time
 	target string
 }
 
-// lives are the targets at each address, in order of time.
-type lives map[string][]life
+// addressOwners lists the targets at each address, in order of time.
+type addressOwners map[string][]addressOwner
 
-// at is the target at an address at a time; empty if none is known.
-func (l lives) at(address string, when time.Time) string {
+// ownerAt returns the target at an address at a time; empty if unknown.
+func (o addressOwners) ownerAt(address string, sentAt time.Time) string {
 	found := ""
-	for _, known := range l[address] {
-		if !known.from.After(when) {
-			found = known.target
+	for _, owner := range o[address] {
+		if !owner.from.After(sentAt) {
+			found = owner.target
 		}
 	}
 	return found
 }
 
-// attemptPattern reads one attempt of a request's line: target, address, outcome
-// and details.
+// attemptPattern matches one attempt in a request's line: target, address, outcome and details.
 var attemptPattern = regexp.MustCompile(`(\S+?)@(\S+?)=(\w+)\(([^)]*)\)`)
 
-// readUses gathers the answered prompts in order of time, the targets at each
-// address, and when each target answered last.
-func readUses(lines []Line) (uses []use, addresses lives, last map[string]time.Time) {
-	addresses, last = make(lives), make(map[string]time.Time)
+// readPrompts returns the answered prompts in order of time, the targets at each address, and the
+// time at which each target last answered.
+func readPrompts(lines []Line) (prompts []answeredPrompt, addresses addressOwners, lastAnswer map[string]time.Time) {
+	addresses, lastAnswer = make(addressOwners), make(map[string]time.Time)
 	for _, line := range lines {
-		known, address, ok := readUse(line)
+		prompt, address, ok := readPrompt(line)
 		if !ok {
 			continue
 		}
-		uses = append(uses, known)
-		addresses[address] = append(addresses[address], life{from: known.at, target: known.target})
-		if known.first.After(last[known.target]) {
-			last[known.target] = known.first
+		prompts = append(prompts, prompt)
+		addresses[address] = append(addresses[address], addressOwner{from: prompt.sentAt, target: prompt.target})
+		if prompt.answeredAt.After(lastAnswer[prompt.target]) {
+			lastAnswer[prompt.target] = prompt.answeredAt
 		}
 	}
-	slices.SortStableFunc(uses, func(a, b use) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(prompts, func(a, b answeredPrompt) int { return a.sentAt.Compare(b.sentAt) })
 	for address := range addresses {
-		slices.SortStableFunc(addresses[address], func(a, b life) int { return a.from.Compare(b.from) })
+		slices.SortStableFunc(addresses[address], func(a, b addressOwner) int { return a.from.Compare(b.from) })
 	}
-	return uses, addresses, last
+	return prompts, addresses, lastAnswer
 }
 
-// readUse reads the prompt of an answered request and the target that answered.
-func readUse(line Line) (known use, address string, ok bool) {
+// readPrompt returns the prompt of an answered request and the address of the target that answered
+// it.
+func readPrompt(line Line) (prompt answeredPrompt, address string, ok bool) {
 	if line.Event != observe.EventRequest || line.Ending != gateway.EndingAnswered {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	ended, err := time.Parse(time.RFC3339Nano, line.Time)
 	attempts := attemptPattern.FindAllStringSubmatch(line.Attempts, -1)
 	parts := sharedParts(line.Prompt)
 	if err != nil || len(attempts) == 0 || len(parts) == 0 {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	answered := attempts[len(attempts)-1]
 	details := detailsOf(answered[4])
 	took, err := strconv.Atoi(details["took_ms"])
 	if err != nil {
-		return use{}, "", false
+		return answeredPrompt{}, "", false
 	}
 	arrived := ended.Add(-time.Duration(line.TookMs) * time.Millisecond)
-	known = use{
-		at:     ended.Add(-time.Duration(took) * time.Millisecond),
-		first:  arrived.Add(time.Duration(line.FirstMs) * time.Millisecond),
-		target: answered[1],
-		source: details["fetch"],
-		parts:  parts,
-	}
-	return known, answered[2], true
+	prompt = answeredPrompt{
+		sentAt:     ended.Add(-time.Duration(took) * time.Millisecond),
+		answeredAt: arrived.Add(time.Duration(line.FirstMs) * time.Millisecond),
+		target:     answered[1],
+		source:     details["fetch"],
+		parts:      parts,
+	}
+	return prompt, answered[2], true
 }
 
-// detailsOf reads name:value pairs parted by commas; a value may hold colons.
+// detailsOf parses name:value pairs separated by commas. A value may contain colons.
 func detailsOf(text string) map[string]string {
 	details := make(map[string]string)
 	for _, pair := range strings.Split(text, ",") {
@@ -202,8 +202,8 @@
 	return details
 }
 
-// sharedParts reads a prompt's parts, id:tokens parted by commas, without the
-// last one, which is the request's own.
+// sharedParts parses the parts of a prompt, id:tokens separated by commas, without the last one,
+// which belongs to this request only.
 func sharedParts(prompt string) []part {
 	var parts []part
 	for _, text := range strings.Split(prompt, ",") {
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -1,5 +1,5 @@
-// Package observe turns what a gateway does into log lines and metrics. The
-// closed list of events and their fields stands in docs/LOGS.md.
+// Package observe turns the events of a gateway into log lines and metrics. docs/LOGS.md has the
+// complete list of events and their fields.
 package observe
 
 import (
@@ -14,42 +14,42 @@
 	"github.com/capersaddle/capersaddle/internal/gateway"
 )
 
-// Events of the log.
+// The events of the log.
 const (
-	EventRequest    = "request"
-	EventConfig     = "config_applied"
-	EventTarget     = "target_changed"
-	EventTargets    = "targets_listed"
-	EventTargetGone = "target_gone"
-	EventUnusable   = "target_unusable"
-	EventLeaving    = "target_leaves"
-	EventRests      = "target_rests"
-	EventSlow       = "caller_ended"
-	EventUnreadable = "target_notice_unreadable"
-	EventEjected    = "target_ejected"
-	EventEvacuated  = "data_center_evacuated"
-	EventReturned   = "data_center_returned"
-	EventStoreLost  = "store_lost"
-	EventStoreBack  = "store_back"
-	EventBadValue   = "store_value_unreadable"
-	EventPeerFound  = "peer_found"
-	EventPeerLost   = "peer_lost"
-	EventReplica    = "replica_fetched"
-	EventRefused    = "target_refused"
-	EventDoubted    = "target_doubted"
-	EventStart      = "started"
-	EventDrain      = "draining"
-	EventStop       = "stopped"
-	EventReload     = "settings_reloaded"
-	EventLate       = "process_late"
-	EventInTime     = "process_in_time"
-	EventSampled    = "requests_not_logged"
-	EventCrash      = "target_crashed"
-	EventHeldBack   = "request_held_back"
-	EventCleared    = "request_cleared"
-	EventTrial      = "trial_began"
+	EventRequest           = "request"
+	EventConfig            = "config_applied"
+	EventTargetChanged     = "target_changed"
+	EventTargetsListed     = "targets_listed"
+	EventTargetGone        = "target_gone"
+	EventUnusable          = "target_unusable"
+	EventLeaving           = "target_leaves"
+	EventTargetResting     = "target_rests"
+	EventCallerEnded       = "caller_ended"
+	EventNoticeUnreadable  = "target_notice_unreadable"
+	EventEjected           = "target_ejected"
+	EventEvacuated         = "data_center_evacuated"
+	EventReturned          = "data_center_returned"
+	EventStoreLost         = "store_lost"
+	EventStoreBack         = "store_back"
+	EventBadValue          = "store_value_unreadable"
+	EventPeerFound         = "peer_found"
+	EventPeerLost          = "peer_lost"
+	EventReplica           = "replica_fetched"
+	EventRefused           = "target_refused"
+	EventTargetSuspected   = "target_doubted"
+	EventStart             = "started"
+	EventDrain             = "draining"
+	EventStop              = "stopped"
+	EventReload            = "settings_reloaded"
+	EventProcessLate       = "process_late"
+	EventProcessInTime     = "process_in_time"
+	EventRequestsNotLogged = "requests_not_logged"
+	EventCrash             = "target_crashed"
+	EventHeldBack          = "request_held_back"
+	EventCleared           = "request_cleared"
+	EventTrial             = "trial_began"
 
-	// RolloutEvents begins the events of roll-outs.
+	// RolloutEvents is the prefix of the events of roll-outs.
 	RolloutEvents            = "rollout_"
 	EventRolloutOrdered      = "rollout_ordered"
 	EventRolloutStage        = "rollout_stage"
@@ -58,74 +58,73 @@
 	EventRolloutCommitFailed = "rollout_commit_failed"
 )
 
-// Events lists the events of the log.
+// Events returns all events of the log.
 func Events() []string {
 	return []string{
-		EventRequest, EventConfig, EventTarget, EventTargets, EventTargetGone, EventEjected, EventStoreLost, EventStoreBack,
-		EventBadValue, EventEvacuated, EventReturned, EventPeerFound, EventPeerLost, EventReplica, EventRefused, EventDoubted, EventStart, EventDrain, EventStop, EventReload, EventLate, EventInTime, EventSampled,
-		EventUnusable, EventLeaving, EventRests, EventSlow, EventUnreadable, EventCrash, EventHeldBack, EventCleared, EventTrial,
+		EventRequest, EventConfig, EventTargetChanged, EventTargetsListed, EventTargetGone, EventEjected, EventStoreLost, EventStoreBack,
+		EventBadValue, EventEvacuated, EventReturned, EventPeerFound, EventPeerLost, EventReplica, EventRefused, EventTargetSuspected, EventStart, EventDrain, EventStop, EventReload, EventProcessLate, EventProcessInTime, EventRequestsNotLogged,
+		EventUnusable, EventLeaving, EventTargetResting, EventCallerEnded, EventNoticeUnreadable, EventCrash, EventHeldBack, EventCleared, EventTrial,
 		EventRolloutOrdered, EventRolloutStage, EventRolloutHalted, EventRolloutRecorded, EventRolloutCommitFailed,
 	}
 }
 
 const (
-	// mostLines is how many lines a second of requests that went well are
-	// written; the others are counted. Requests that ended badly have a
-	// larger bound of their own.
-	mostLines    = 60
-	mostBadLines = 200
+	// maxAnsweredLines bounds the lines per second for requests that were answered. Further ones
+	// are only counted. Requests that failed have a larger bound of their own.
+	maxAnsweredLines = 60
+	maxFailedLines   = 200
 )
 
-// Observer logs and counts. It is safe for concurrent use.
+// Observer writes log lines and updates metrics. It is safe for concurrent use.
 type Observer struct {
-	log     *log.Logger
-	metrics *Metrics
-	good    *rate.Limiter
-	bad     *rate.Limiter
-	skipped skipCounter
+	log             *log.Logger
+	metrics         *Metrics
+	answeredLimiter *rate.Limiter
+	failedLimiter   *rate.Limiter
+	skipped         skipCounter
 }
 
 // New returns an observer.
 func New(logger *log.Logger, metrics *Metrics) *Observer {
 	return &Observer{
-		log:     logger,
-		metrics: metrics,
-		good:    rate.NewLimiter(mostLines, mostLines),
-		bad:     rate.NewLimiter(mostBadLines, mostBadLines),
+		log:             logger,
+		metrics:         metrics,
+		answeredLimiter: rate.NewLimiter(maxAnsweredLines, maxAnsweredLines),
+		failedLimiter:   rate.NewLimiter(maxFailedLines, maxFailedLines),
 	}
 }
 
 // Request logs and counts a request at its end.
 func (o *Observer) Request(record *gateway.RequestRecord) {
-	o.metrics.request(record)
+	o.metrics.recordRequest(record)
 	for _, attempt := range record.Attempts {
 		if attempt.Ejected {
 			o.log.Warn(EventEjected, "target", attempt.Target, "address", attempt.Address, "service", record.Service, "outcome", attempt.Outcome, "reason", attempt.Reason, "request", record.ID)
 		}
 	}
-	limiter := o.bad
+	limiter := o.failedLimiter
 	if record.Ending == gateway.EndingAnswered {
-		limiter = o.good
+		limiter = o.answeredLimiter
 	}
 	if !limiter.Allow() {
 		o.skipped.add()
 		return
 	}
-	if skipped := o.skipped.take(); skipped > 0 {
-		o.log.Warn(EventSampled, "count", skipped)
+	if skipped := o.skipped.reset(); skipped > 0 {
+		o.log.Warn(EventRequestsNotLogged, "count", skipped)
 	}
 	o.log.Info(EventRequest,
 		"id", record.ID, "ending", record.Ending, "status", record.Status,
 		"route", record.Route, "kind", record.Kind, "workspace", record.Workspace, "service", record.Service,
 		"session", record.Session, "prompt", describePrompt(record.Prompt), "print", record.Fingerprint, "config", record.ConfigVersion, "proof_ms", wholeMillis(record.ProofAge), "queued_ms", wholeMillis(record.QueueTime), "waited_ms", wholeMillis(record.PrefillWait), "found", record.HolderLookup, "asked_ms", wholeMillis(record.HolderLookupTime),
-		"wanted_ms", wholeMillis(record.TargetLatency), "first_ms", wholeMillis(record.TimeToHead), "took_ms", wholeMillis(record.Took), "attempts", describe(record.Attempts))
+		"wanted_ms", wholeMillis(record.TargetLatency), "first_ms", wholeMillis(record.TimeToHead), "took_ms", wholeMillis(record.Took), "attempts", describeAttempts(record.Attempts))
 }
 
 func wholeMillis(d time.Duration) int64 {
 	return d.Milliseconds()
 }
 
-// describePrompt writes the parts of a prompt as id:tokens, parted by commas.
+// describePrompt formats the parts of a prompt as id:tokens, separated by commas.
 func describePrompt(parts []gateway.Part) string {
 	var text strings.Builder
 	for i, part := range parts {
@@ -139,9 +138,8 @@
 	return text.String()
 }
 
-// describe writes attempts as target@address=outcome(took,load/mean,...),
-// parted by blanks.
-func describe(attempts []gateway.AttemptRecord) string {
+// describeAttempts formats attempts as target@address=outcome(name:value,...), separated by spaces.
+func describeAttempts(attempts []gateway.AttemptRecord) string {
 	var text strings.Builder
 	for i, attempt := range attempts {
 		if i > 0 {
@@ -182,7 +180,7 @@
 	return text.String()
 }
 
-// describeNotice writes what a target said of itself, if it said anything.
+// describeNotice appends what a target reported about itself, if anything.
 func describeNotice(text *strings.Builder, notice balance.Notice) {
 	if notice.Leaving {
 		text.WriteString(",leaving:true")
@@ -193,12 +191,12 @@
 	}
 	if notice.Unreadable != "" {
 		text.WriteString(",rest_unreadable:")
-		text.WriteString(strings.Map(plainRune, notice.Unreadable))
+		text.WriteString(strings.Map(replaceSeparator, notice.Unreadable))
 	}
 }
 
-// plainRune replaces what would part the fields of an attempt.
-func plainRune(r rune) rune {
+// replaceSeparator replaces the characters that separate the fields of an attempt.
+func replaceSeparator(r rune) rune {
 	if strings.ContainsRune(" ,:()=\n\r\t", r) {
 		return '_'
 	}
--- a/internal/observe/rollouts_test.go
+++ b/internal/observe/rollouts_test.go
@@ -19,7 +19,7 @@
 
 var _ rollout.Watcher = (*observe.Observer)(nil)
 
-func TestStepsOfRollouts(t *testing.T) {
+func TestRolloutSteps(t *testing.T) {
 	step := rollout.Step{Service: "s", Version: "v2", Order: 9, Age: 1500 * time.Millisecond, Requests: 400, Exposed: 31}
 	with := func(change func(*rollout.Step)) rollout.Step {
 		changed := step
@@ -64,7 +64,7 @@
 	}
 }
 
-// fieldsOf are the fields of a line, without the time.
+// fieldsOf returns the fields of a line, without the time.
 func fieldsOf(t *testing.T, line string) map[string]any {
 	t.Helper()
 	var fields map[string]any
@@ -75,7 +75,8 @@
 	return fields
 }
 
-// seriesOf are the values of a metric by its labels, in the order of their names.
+// seriesOf returns the values of a metric by its label values, which are in the order of the label
+// names.
 func seriesOf(t *testing.T, registry *prometheus.Registry, name string) map[string]float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -98,8 +99,8 @@
 	return series
 }
 
-// TestGaugesOfRollouts: each service has the series of its last order only.
-func TestGaugesOfRollouts(t *testing.T) {
+// TestRolloutGauges checks that each service has only the series of its last order.
+func TestRolloutGauges(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
 	var known []rollout.Status
@@ -117,20 +118,20 @@
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_requests"), map[string]float64{"s v2": 400, "w v9": 0})
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Completed, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_state"), map[string]float64{"s v3": 1})
-	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // it has ended
+	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // the roll-out has ended
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Running, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_stage"), map[string]float64{"s v3": 2})
 }
 
-// TestSendingsByVersion: versions that come and go share a series in the end.
-func TestSendingsByVersion(t *testing.T) {
+// TestVersionSeriesAreLimited checks that versions beyond the limit share one series.
+func TestVersionSeriesAreLimited(t *testing.T) {
 	is := is.New(t)
 	registry := prometheus.NewRegistry()
-	observer := observe.New(log.New(nowhere{}), observe.NewMetrics(registry))
+	observer := observe.New(log.New(discardWriter{}), observe.NewMetrics(registry))
 	send := func(version, outcome string) {
-		made := record(gateway.EndingAnswered)
-		made.Attempts = []gateway.AttemptRecord{{Version: version, Outcome: outcome}}
-		observer.Request(made)
+		request := record(gateway.EndingAnswered)
+		request.Attempts = []gateway.AttemptRecord{{Version: version, Outcome: outcome}}
+		observer.Request(request)
 	}
 	send("", "answered")
 	send("v1", "answered")
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -109,7 +109,7 @@
 	p.gateway.Crashes = p.crashes
 	p.store = p.observer.NewStoreDependency()
 	p.feed = platform.NewFeed(platform.NewStore(s.Store), &sink{process: p, notifyPeers: p.notifyPeers}, p.storeRole, p.yieldsToPeers)
-	p.front = &platform.Front{Gateway: p.gateway, Held: p.heldBudget}
+	p.front = &platform.Front{Gateway: p.gateway, BodyBudget: p.heldBudget}
 	observe.RegisterGauges(registry, p.gauges())
 	steps := []func() error{
 		func() error { return p.kernel.Register("lag", p.lag) },
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -266,11 +266,11 @@
 func (p *GatewayProcess) storeRole() platform.Role {
 	switch {
 	case p.awaitsPeerCopy() || p.defersReading() || p.mayMissPeers():
-		return platform.Follows
+		return platform.RoleFollower
 	case p.peers == nil || p.peers.First():
-		return platform.AsksFirst
+		return platform.RolePrimary
 	case p.peers.Asks():
-		return platform.AsksToo
+		return platform.RoleSecondary
 	}
-	return platform.Follows
+	return platform.RoleFollower
 }
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -18,7 +18,7 @@
 	// notifyPeers sends changes to the other gateways immediately.
 	notifyPeers func()
 
-	// mu guards checkpointTargets, restored and checkpointTaken: Begun is called by the feed, but
+	// mu guards checkpointTargets, restored and checkpointTaken: Loaded is called by the feed, but
 	// pages from other gateways deliver checkpoints too.
 	mu                sync.Mutex
 	checkpointTargets []balance.Target
@@ -97,9 +97,9 @@
 	s.notifyPeers()
 }
 
-// Begun is called once all entries are known. It restores those targets of the last checkpoint
+// Loaded is called once all entries are known. It restores those targets of the last checkpoint
 // that are not registered: their entries may have lapsed.
-func (s *sink) Begun() {
+func (s *sink) Loaded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.process.gateway.Balancer.Restore(s.checkpointTargets, clock.Now())
@@ -149,7 +149,7 @@
 	return first
 }
 
-// holdTargets keeps the targets of a checkpoint until Begun, unless that was already called.
+// holdTargets keeps the targets of a checkpoint until Loaded, unless that was already called.
 func (s *sink) holdTargets(targets []balance.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +163,8 @@
 	s.process.gateway.Proof.Note(at)
 }
 
-// Trouble records a value that could not be parsed.
-func (s *sink) Trouble(what string, err error) {
+// Unreadable records a value that could not be parsed.
+func (s *sink) Unreadable(what string, err error) {
 	s.process.observer.BadValue(what, err)
 }
 
--- a/internal/process/gateway_start_test.go
+++ b/internal/process/gateway_start_test.go
@@ -43,7 +43,7 @@
 				s.Target(targetOf(id))
 			}
 			is.Equal(len(balancer.Targets()), len(tc.registered))
-			s.Begun()
+			s.Loaded()
 			exclude := tc.registered
 			_, ok := balancer.Choose(balance.Query{Service: "s", Exclude: exclude}, s.process.started)
 			is.Equal(ok, tc.chosen)
@@ -127,12 +127,12 @@
 		age   time.Duration
 		role  platform.Role
 	}{
-		"small host before its offset":          {small, seeds, readOffset(smallReadWindow) / 4, platform.Follows},
-		"small host after its offset, no peers": {small, seeds, readOffset(smallReadWindow), platform.AsksFirst},
-		"large host before its offset":          {large, seeds, 0, platform.Follows},
-		"large host after its shorter offset":   {large, seeds, readOffset(quickReadWindow), platform.AsksFirst},
-		"unknown host resources":                {settings.Host{}, seeds, 0, platform.AsksFirst},
-		"small host without seeds":              {small, nil, 0, platform.AsksFirst},
+		"small host before its offset":          {small, seeds, readOffset(smallReadWindow) / 4, platform.RoleFollower},
+		"small host after its offset, no peers": {small, seeds, readOffset(smallReadWindow), platform.RolePrimary},
+		"large host before its offset":          {large, seeds, 0, platform.RoleFollower},
+		"large host after its shorter offset":   {large, seeds, readOffset(quickReadWindow), platform.RolePrimary},
+		"unknown host resources":                {settings.Host{}, seeds, 0, platform.RolePrimary},
+		"small host without seeds":              {small, nil, 0, platform.RolePrimary},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/process/rollouts_decider_test.go
+++ b/internal/process/rollouts_decider_test.go
@@ -145,7 +145,7 @@
 	f := rolloutFleet(t, rolloutGateways)
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(f.logLinesOf(observe.RolloutEvents), f.logLinesOf(observe.EventLate), f.logLinesOf(observe.EventPeerLost))
+			t.Log(f.logLinesOf(observe.RolloutEvents), f.logLinesOf(observe.EventProcessLate), f.logLinesOf(observe.EventPeerLost))
 		}
 	})
 	o := &orderedRollout{fleet: f, finalStates: new(finalStates), oldServers: f.versionServers}
--- a/pkg/cmd/explain/explain.go
+++ b/pkg/cmd/explain/explain.go
@@ -95,8 +95,8 @@
 	if opts.Summary {
 		return printSummary(opts, explain.Summarize(lines, opts.Interval))
 	}
-	timeline := explain.Tell(opts.Subject, lines)
-	timeline.Unread = skipped
+	timeline := explain.NewTimeline(opts.Subject, lines)
+	timeline.Unparsed = skipped
 	if len(timeline.Lines) == 0 {
 		return fault.New(fault.BadRequest, fault.NotRun, "no line of %d mentions %q; check the logs of all gateways at the time, and requests_not_logged", len(lines), opts.Subject)
 	}
