--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,10 +56,10 @@
 	PieceWait time.Duration
 	// RunTimeout bounds one call of a plain service.
 	RunTimeout time.Duration
-	// MostBody bounds the answer of a not-repeatable call, in bytes.
-	MostBody int64
+	// MaxAnswerBytes bounds the answer of a not-repeatable call, in bytes.
+	MaxAnswerBytes int64
 	// Placing are the times of changes of managed engines' models.
-	Placing PlacingOptions
+	Placement PlacementOptions
 	// Hosts, when set, is the platform's host list; HostID is this host's
 	// entry there.
 	Hosts  external.Hosts
@@ -134,12 +134,12 @@
 		options.PieceWait = defaultPieceWait
 	}
 	options.Cache.defaults()
-	options.Placing.defaults()
+	options.Placement.defaults()
 	if options.RunTimeout == 0 {
 		options.RunTimeout = defaultRunTimeout
 	}
-	if options.MostBody == 0 {
-		options.MostBody = defaultMostBody
+	if options.MaxAnswerBytes == 0 {
+		options.MaxAnswerBytes = defaultMostBody
 	}
 	a := &Agent{
 		options: options,
--- a/internal/agent/held.go
+++ b/internal/agent/held.go
@@ -21,8 +21,8 @@
 	// HomeWaitFactor is how long a chat may wait for a place here, in
 	// multiples of the time that its held prefix saves.
 	HomeWaitFactor float64
-	// MostHomeWait bounds that wait.
-	MostHomeWait time.Duration
+	// MaxHomeWait bounds that wait.
+	MaxHomeWait time.Duration
 	// KeepOnLeave leaves the cache where it is when a target is to stop.
 	KeepOnLeave bool
 }
@@ -48,8 +48,8 @@
 	if o.HomeWaitFactor == 0 {
 		o.HomeWaitFactor = defaultHomeWaitFactor
 	}
-	if o.MostHomeWait == 0 {
-		o.MostHomeWait = defaultMostHomeWait
+	if o.MaxHomeWait == 0 {
+		o.MaxHomeWait = defaultMostHomeWait
 	}
 }
 
@@ -104,7 +104,7 @@
 		return 0
 	}
 	seconds := h.options.HomeWaitFactor * float64(known.tokens) / h.options.PrefillPerSecond
-	return min(time.Duration(seconds*float64(time.Second)), h.options.MostHomeWait)
+	return min(time.Duration(seconds*float64(time.Second)), h.options.MaxHomeWait)
 }
 
 // put notes that the engine has answered a request of a chat and now holds
--- a/internal/agent/placer.go
+++ b/internal/agent/placer.go
@@ -14,8 +14,8 @@
 	"github.com/capersaddle/capersaddle/internal/wait"
 )
 
-// PlacingOptions are the times of changes of managed engines' models.
-type PlacingOptions struct {
+// PlacementOptions are the times of changes of managed engines' models.
+type PlacementOptions struct {
 	// Settle is how long the placements must give an engine the same model
 	// before it changes, so that lists that disagree cause no load.
 	Settle time.Duration
@@ -27,7 +27,7 @@
 	Freshness time.Duration
 }
 
-// Defaults of PlacingOptions.
+// Defaults of PlacementOptions.
 const (
 	defaultSettle    = 15 * time.Second
 	defaultLoads     = 2
@@ -41,7 +41,7 @@
 	tokenSteps = 1000
 )
 
-func (o *PlacingOptions) defaults() {
+func (o *PlacementOptions) defaults() {
 	if o.Settle == 0 {
 		o.Settle = defaultSettle
 	}
@@ -98,7 +98,7 @@
 			continue
 		}
 		if !p.wish.known || p.wish.model != model {
-			due := now + a.options.Placing.Settle + a.turn(id, engines, assigned)
+			due := now + a.options.Placement.Settle + a.turn(id, engines, assigned)
 			p.wish = wish{model: model, due: due, known: true}
 			continue
 		}
@@ -160,7 +160,7 @@
 		}
 	}
 	position := slices.Index(policy.Rank("loads", waiting), id)
-	return time.Duration(float64(max(position, 0)) / a.options.Placing.LoadsPerSecond * float64(time.Second))
+	return time.Duration(float64(max(position, 0)) / a.options.Placement.LoadsPerSecond * float64(time.Second))
 }
 
 // changeModel drains an engine, gives it its new model and opens it again. If
@@ -235,7 +235,7 @@
 // decided.
 func (a *Agent) giveOrder(ctx context.Context, p *place, decided time.Duration, action, model string) error {
 	order := target.Order{Token: a.nextToken(), Action: action, Model: model}
-	if a.options.Clock.Boot()-decided > a.options.Placing.Freshness {
+	if a.options.Clock.Boot()-decided > a.options.Placement.Freshness {
 		return errStale
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -179,7 +179,7 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, a.options.MostBody))
+	body, err := io.ReadAll(io.LimitReader(response.Body, a.options.MaxAnswerBytes))
 	if err != nil {
 		k.end(record, once.InDoubt, once.Outcome{})
 		return
--- a/internal/process/router.go
+++ b/internal/process/router.go
@@ -37,14 +37,14 @@
 	c.addresses.Callers = callers.Addr().String()
 	p := &routerProcess{common: c, metrics: metric.NewRouter(c.registry)}
 	p.router = router.New(router.Options{
-		ID:       s.ID,
-		Members:  c.node.Members,
-		Config:   c.node.Config,
-		Dialer:   c.node.Pool,
-		Log:      c.log,
-		Metrics:  p.metrics,
-		Timeout:  time.Duration(s.Timeout),
-		MostBody: s.MostBody,
+		ID:           s.ID,
+		Members:      c.node.Members,
+		Config:       c.node.Config,
+		Dialer:       c.node.Pool,
+		Log:          c.log,
+		Metrics:      p.metrics,
+		Timeout:      time.Duration(s.Timeout),
+		MaxBodyBytes: s.MostBody,
 	})
 	c.registerGauges()
 	ops := &operators{common: c, editor: config.NewEditor(c.store, c.node.Config), ready: p.router.Ready, routed: p.router.Targets}
--- a/internal/router/httpchat.go
+++ b/internal/router/httpchat.go
@@ -75,7 +75,7 @@
 
 // readChat reads and validates the request.
 func (r *Router) readChat(w http.ResponseWriter, req *http.Request, id string, client caller) (chatRequest, target.ChatBody, *fault.Error) {
-	body, refusal := readBody(w, req, r.options.MostBody)
+	body, refusal := readBody(w, req, r.options.MaxBodyBytes)
 	if refusal != nil {
 		return chatRequest{}, target.ChatBody{}, refusal
 	}
--- a/internal/router/httpservice.go
+++ b/internal/router/httpservice.go
@@ -85,7 +85,7 @@
 	if refusal != nil {
 		return serviceRequest{}, refusal
 	}
-	maxBytes := r.options.MostBody
+	maxBytes := r.options.MaxBodyBytes
 	if service.MostBody > 0 {
 		maxBytes = min(maxBytes, service.MostBody)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,7 +30,7 @@
 	// Timeout limits a request whose caller asks for no shorter timeout.
 	Timeout time.Duration
 	// MaxBodyBytes limits a request's body, in bytes.
-	MostBody int64
+	MaxBodyBytes int64
 	// Seed is the seed of the router's random choices; zero picks a random seed.
 	Seed uint64
 }
@@ -83,8 +83,8 @@
 	if options.Timeout == 0 {
 		options.Timeout = defaultTimeout
 	}
-	if options.MostBody == 0 {
-		options.MostBody = defaultMaxBodyBytes
+	if options.MaxBodyBytes == 0 {
+		options.MaxBodyBytes = defaultMaxBodyBytes
 	}
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
