--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent is the process beside the targets. It alone admits, refuses,
-// drains and remembers for its targets; all it promises it keeps from what it
-// holds itself.
+// Package agent implements the process next to the targets. Only it admits and refuses
+// requests, drains its targets and keeps their records. It can keep every guarantee it
+// gives with its own state alone.
 package agent
 
 import (
@@ -23,20 +23,19 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Target is one back end beside this agent: an engine or a service's server.
+// Target is one back end next to this agent: an engine or a service's server.
 type Target struct {
 	ID string
-	// Pool is the model of an engine or the service's name; empty for a
-	// managed engine.
+	// Pool is the engine's model or the service's name. It is empty for a managed engine.
 	Pool string
-	// Managed engines are given their model by the placements.
+	// Managed is true if the placements assign a model to the engine.
 	Managed bool
-	// Engine or Service is set, never both.
+	// Exactly one of Engine and Service is set.
 	Engine  target.Engine
 	Service target.Service
 }
 
-// Options are what an agent works with.
+// Options configures an agent.
 type Options struct {
 	ID         string
 	Session    string
@@ -51,84 +50,82 @@
 	Dialer     link.Dialer
 	Clock      once.Clock
 	Log        *log.Logger
-	// PieceWait is how long an engine may give nothing before the stream
-	// counts as cut.
+	// PieceWait is how long an engine may produce no piece before its stream counts as
+	// interrupted.
 	PieceWait time.Duration
-	// RunTimeout bounds one call of a plain service.
+	// RunTimeout limits one call of a plain service.
 	RunTimeout time.Duration
-	// MaxAnswerBytes bounds the answer of a not-repeatable call, in bytes.
+	// MaxAnswerBytes limits the answer of a call that must not be repeated, in bytes.
 	MaxAnswerBytes int64
-	// Placing are the times of changes of managed engines' models.
+	// Placement configures when managed engines change their models.
 	Placement PlacementOptions
-	// Hosts, when set, is the platform's host list; HostID is this host's
-	// entry there.
+	// Hosts is the platform's host list, or nil. HostID is this host's entry in it.
 	Hosts  external.Hosts
 	HostID string
 }
 
-// Defaults for options left at zero.
+// Defaults for options that are zero.
 const (
-	defaultPieceWait  = 30 * time.Second
-	defaultRunTimeout = 60 * time.Second
-	defaultMostBody   = 8 << 20
+	defaultPieceWait      = 30 * time.Second
+	defaultRunTimeout     = 60 * time.Second
+	defaultMaxAnswerBytes = 8 << 20
 )
 
-// place is one target with its gate.
-type place struct {
+// localTarget is one target with its admission gate.
+type localTarget struct {
 	Target
 	gate *admission.Gate
-	// model is the pool now; it changes only for managed engines.
+	// model is the current pool. It changes only for managed engines.
 	model atomic.Pointer[string]
-	// scheduled is true from shortly before a managed engine changes its model
-	// until it has, changing while it does.
+	// scheduled is true from shortly before a managed engine changes its model until the
+	// change has ended. changing is true during the change.
 	scheduled atomic.Bool
 	changing  atomic.Bool
-	// wish is the model that the placements give a managed engine; the
-	// placer's loop alone uses it.
-	wish wish
-	// held are the chats whose prefixes an engine has; nil for a service.
-	held *held
-	// foreign is what the engine still runs from before this process's start,
-	// once it is known; the tending loop alone uses it.
+	// pending is the next model of a managed engine. Only the placement loop uses it.
+	pending pendingModel
+	// held tracks the chats whose prefixes an engine has cached. It is nil for a service.
+	held *heldChats
+	// foreign counts the requests that the engine still runs from before this process
+	// started, once that is known. Only the sync loop uses it.
 	foreign      int
 	foreignKnown bool
-	// leaveAt is when a leaving service target's gate closes at the latest;
-	// the agent's lock guards it.
-	leaveAt time.Time
+	// leaveDeadline is when the gate of a leaving service target closes at the latest. It
+	// is guarded by the agent's lock.
+	leaveDeadline time.Time
 }
 
 // Agent serves exchanges for its targets.
 type Agent struct {
-	options Options
-	log     *log.Logger
-	places  map[string]*place
-	order   []string
-	// keepers are by service name.
-	keepers map[string]*keeper
-	lease   *longLease
+	options   Options
+	log       *log.Logger
+	targets   map[string]*localTarget
+	targetIDs []string
+	// slotManagers is keyed by service name.
+	slotManagers map[string]*slotManager
+	lease        *longLease
 
 	mu sync.Mutex
-	// token is that of the last order given.
-	token uint64
-	// cacheMoves counts chats whose KV cache has been handed to others.
+	// lastToken is the token of the last order sent.
+	lastToken uint64
+	// cacheMoves counts chats whose KV cache has been handed over to other targets.
 	cacheMoves int
-	// stopping says that the process itself is to end.
+	// stopping is true if the process itself is about to end.
 	stopping bool
-	// hostLeaving is the host list's word.
+	// hostLeaving is true if the host list marks this host as leaving.
 	hostLeaving bool
-	// told and toldStopping are what the members were last told.
-	told         []*wire.TargetState
-	toldStopping bool
+	// reportedStates and reportedStopping are what the membership list was last given.
+	reportedStates   []*wire.TargetState
+	reportedStopping bool
 
-	// clockWarnings counts exchanges that showed clocks too far apart.
+	// clockWarnings counts exchanges with a host whose wall clock differed too much.
 	clockWarnings atomic.Int64
 
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	runs   sync.WaitGroup
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
+	keyedRuns sync.WaitGroup
 }
 
-// New returns an agent; Start begins its loops.
+// New returns an agent. Start begins its loops.
 func New(options Options) *Agent {
 	if options.PieceWait == 0 {
 		options.PieceWait = defaultPieceWait
@@ -139,40 +136,40 @@
 		options.RunTimeout = defaultRunTimeout
 	}
 	if options.MaxAnswerBytes == 0 {
-		options.MaxAnswerBytes = defaultMostBody
+		options.MaxAnswerBytes = defaultMaxAnswerBytes
 	}
 	a := &Agent{
-		options: options,
-		log:     options.Log,
-		places:  make(map[string]*place),
-		keepers: make(map[string]*keeper),
+		options:      options,
+		log:          options.Log,
+		targets:      make(map[string]*localTarget),
+		slotManagers: make(map[string]*slotManager),
 	}
 	a.lease = &longLease{store: options.Store, agent: options.ID}
 	for _, t := range options.Targets {
-		a.places[t.ID] = newPlace(t, options)
-		a.order = append(a.order, t.ID)
-		if t.Service != nil && a.keepers[t.Pool] == nil {
-			a.keepers[t.Pool] = newKeeper(a, t.Pool)
+		a.targets[t.ID] = newLocalTarget(t, options)
+		a.targetIDs = append(a.targetIDs, t.ID)
+		if t.Service != nil && a.slotManagers[t.Pool] == nil {
+			a.slotManagers[t.Pool] = newSlotManager(a, t.Pool)
 		}
 	}
 	return a
 }
 
-func newPlace(t Target, options Options) *place {
-	p := &place{Target: t, gate: admission.NewGate(options.Admission)}
+func newLocalTarget(t Target, options Options) *localTarget {
+	p := &localTarget{Target: t, gate: admission.NewGate(options.Admission)}
 	p.setPool(t.Pool)
 	if t.Engine != nil {
-		p.held = newHeld(options.Cache)
+		p.held = newHeldChats(options.Cache)
 	}
 	return p
 }
 
-// pool is the model or service that the target serves now.
-func (p *place) pool() string {
+// pool returns the model or service that the target serves at present.
+func (p *localTarget) pool() string {
 	return *p.model.Load()
 }
 
-func (p *place) setPool(pool string) {
+func (p *localTarget) setPool(pool string) {
 	p.model.Store(&pool)
 }
 
@@ -180,63 +177,64 @@
 func (a *Agent) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.cancel = cancel
-	a.tend(ctx)
-	a.wait.Go(func() { a.tendLoop(ctx) })
+	a.syncTargets(ctx)
+	a.wg.Go(func() { a.syncLoop(ctx) })
 	if a.options.Hosts != nil {
-		a.wait.Go(func() { a.hostLoop(ctx) })
+		a.wg.Go(func() { a.hostLoop(ctx) })
 	}
-	if a.manages() {
-		a.wait.Go(func() { a.placeLoop(ctx) })
+	if a.hasManagedTargets() {
+		a.wg.Go(func() { a.placementLoop(ctx) })
 	}
-	for _, k := range a.keepers {
-		a.wait.Go(func() { k.loop(ctx) })
+	for _, manager := range a.slotManagers {
+		a.wg.Go(func() { manager.loop(ctx) })
 	}
 	return nil
 }
 
-// Close ends the loops at once and waits; Drain before it cuts nothing off.
+// Close stops the loops at once and waits for them and for running calls. A Drain before
+// it lets all requests finish.
 func (a *Agent) Close() error {
 	a.cancel()
-	a.wait.Wait()
-	a.runs.Wait()
+	a.wg.Wait()
+	a.keyedRuns.Wait()
 	return nil
 }
 
-// Drain refuses new work, hands over slots and waits for what is in flight.
+// Drain refuses new work, hands over slots and waits for requests in flight.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
 	a.stopping = true
 	a.mu.Unlock()
-	a.tend(ctx)
-	for _, id := range a.order {
+	a.syncTargets(ctx)
+	for _, id := range a.targetIDs {
 		select {
-		case <-a.places[id].gate.Drained():
+		case <-a.targets[id].gate.Drained():
 		case <-ctx.Done():
-			return errors.Newf("%s still has %d requests in flight", id, a.places[id].gate.Load().InFlight)
+			return errors.Newf("%s still has %d requests in flight", id, a.targets[id].gate.Load().InFlight)
 		}
 	}
 	return nil
 }
 
-// Loads gives each target's exact load.
+// Loads returns each target's exact load.
 func (a *Agent) Loads() map[string]admission.Load {
-	loads := make(map[string]admission.Load, len(a.places))
-	for id, p := range a.places {
+	loads := make(map[string]admission.Load, len(a.targets))
+	for id, p := range a.targets {
 		loads[id] = p.gate.Load()
 	}
 	return loads
 }
 
-// ClockWarnings counts exchanges that showed another host's wall clock too far
-// from this one's.
+// ClockWarnings returns the number of exchanges with a host whose wall clock differed too
+// much from this one's.
 func (a *Agent) ClockWarnings() int64 {
 	return a.clockWarnings.Load()
 }
 
-// OwnsKey says whether this agent owns the slot of a workspace's key.
+// OwnsKey reports whether this agent owns the slot of a workspace's key.
 func (a *Agent) OwnsKey(service, workspace, key string) bool {
-	k, ok := a.keepers[service]
-	return ok && k.guard.Owns(once.FullKey(workspace, key))
+	manager, ok := a.slotManagers[service]
+	return ok && manager.guard.Owns(once.FullKey(workspace, key))
 }
 
 // Handle serves one exchange of a link.
@@ -255,26 +253,26 @@
 	case *wire.Open_Export:
 		a.serveExport(ctx, kind.Export, stream)
 	default:
-		refuse(stream, "", 0, fault.New(fault.BadRequest, fault.NotRun, "an agent does not serve this exchange"), nil)
+		refuse(stream, "", 0, fault.New(fault.BadRequest, fault.NotRun, "agents do not support this exchange"), nil)
 	}
 }
 
 func (a *Agent) serveCall(ctx context.Context, call *wire.Call, stream link.Stream) {
-	p, ok := a.places[call.GetTargetId()]
+	p, ok := a.targets[call.GetTargetId()]
 	if !ok {
-		refuse(stream, call.GetRequestId(), call.GetAttempt(), fault.New(fault.NoTarget, fault.NotRun, "target %q is not here", call.GetTargetId()), nil)
+		refuse(stream, call.GetRequestId(), call.GetAttempt(), fault.New(fault.NoTarget, fault.NotRun, "target %q is not on this host", call.GetTargetId()), nil)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeLeftMs())*time.Millisecond)
 	defer cancel()
-	answer := &answer{stream: stream, id: call.GetRequestId(), attempt: call.GetAttempt(), place: p}
+	writer := &replyWriter{stream: stream, id: call.GetRequestId(), attempt: call.GetAttempt(), place: p}
 	switch work := call.GetWork().(type) {
 	case *wire.Call_Chat:
-		a.serveChat(ctx, p, call, work.Chat, answer)
+		a.serveChat(ctx, p, call, work.Chat, writer)
 	case *wire.Call_Service:
-		a.serveService(ctx, p, call, work.Service, answer)
+		a.serveService(ctx, p, call, work.Service, writer)
 	default:
-		answer.refuse(fault.New(fault.BadRequest, fault.NotRun, "the call has no work"))
+		writer.refuse(fault.New(fault.BadRequest, fault.NotRun, "the call has no work"))
 	}
 }
 
--- a/internal/agent/answer.go
+++ b/internal/agent/answer.go
@@ -7,51 +7,51 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// answer writes the replies of one call.
-type answer struct {
+// replyWriter writes the replies of one call.
+type replyWriter struct {
 	stream  link.Stream
 	id      string
 	attempt uint32
-	place   *place
+	place   *localTarget
 }
 
-func (w *answer) reply() *wire.Reply {
+func (w *replyWriter) reply() *wire.Reply {
 	return &wire.Reply{RequestId: w.id, Attempt: w.attempt}
 }
 
-func (w *answer) admitted() error {
+func (w *replyWriter) admitted() error {
 	reply := w.reply()
 	reply.Kind = &wire.Reply_Admitted{Admitted: &wire.Admitted{Load: loadOf(w.place)}}
 	return w.stream.Send(reply)
 }
 
-func (w *answer) head(head *wire.Head) error {
+func (w *replyWriter) head(head *wire.Head) error {
 	reply := w.reply()
 	reply.Kind = &wire.Reply_Head{Head: head}
 	return w.stream.Send(reply)
 }
 
-func (w *answer) data(data *wire.Data) error {
+func (w *replyWriter) data(data *wire.Data) error {
 	reply := w.reply()
 	reply.Kind = &wire.Reply_Data{Data: data}
 	return w.stream.Send(reply)
 }
 
-func (w *answer) end(end *wire.End) {
+func (w *replyWriter) end(end *wire.End) {
 	reply := w.reply()
 	reply.Kind = &wire.Reply_End{End: end}
 	_ = w.stream.Send(reply)
 }
 
-func (w *answer) refuse(refusal *fault.Error) {
+func (w *replyWriter) refuse(refusal *fault.Error) {
 	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.place)})
 }
 
-func (w *answer) refuseTo(refusal *fault.Error, owner string) {
+func (w *replyWriter) refuseWithOwner(refusal *fault.Error, owner string) {
 	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.place), Owner: owner})
 }
 
-// refuse ends an exchange with an error; extra carries further fields.
+// refuse ends an exchange with an error. extra carries further fields, or is nil.
 func refuse(stream link.Stream, id string, attempt uint32, refusal *fault.Error, extra *wire.Refusal) {
 	if extra == nil {
 		extra = &wire.Refusal{}
@@ -64,7 +64,7 @@
 	_ = stream.Send(reply)
 }
 
-// WireState turns a run state into its wire form.
+// WireState converts a run state to its wire form.
 func WireState(state fault.RunState) wire.RunState {
 	switch state {
 	case fault.NotRun:
@@ -76,7 +76,7 @@
 	}
 }
 
-func loadOf(p *place) *wire.Load {
+func loadOf(p *localTarget) *wire.Load {
 	if p == nil {
 		return nil
 	}
--- a/internal/agent/cache.go
+++ b/internal/agent/cache.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// mostCacheMoves bounds the chats whose KV cache a leaving target hands on.
-	mostCacheMoves = 256
-	// cacheTimeout bounds the whole handing-on.
-	cacheTimeout = 30 * time.Second
-	// mostExport bounds what is fetched for one target, in bytes.
-	mostExport = 1 << 30
+	// maxCacheHandOver limits the chats whose KV cache a leaving target hands over.
+	maxCacheHandOver = 256
+	// cacheHandOverTimeout limits the whole hand-over.
+	cacheHandOverTimeout = 30 * time.Second
+	// maxExportBytes limits what is fetched for one target.
+	maxExportBytes = 1 << 30
 )
 
-// successor is one target that gets chats of a leaving one.
+// successor is a target that takes over chats of a leaving one.
 type successor struct {
 	address string
 	chats   []*wire.HeldChat
 }
 
-// handCacheOn lets the next homes of a leaving engine's hottest chats fetch
-// their KV cache, so that the chats find their prefixes there. It goes on
-// beside the drain and is given up without harm.
-func (a *Agent) handCacheOn(ctx context.Context, p *place) {
+// handOverCache lets the next targets of a leaving engine's most recently used chats
+// fetch their KV cache, so that these chats find their prefixes there. It runs
+// concurrently with the drain, and its failure does no harm.
+func (a *Agent) handOverCache(ctx context.Context, p *localTarget) {
 	if p.Engine == nil || a.options.Cache.KeepOnLeave {
 		return
 	}
-	chats := p.held.hottest(mostCacheMoves)
+	chats := p.held.mostRecent(maxCacheHandOver)
 	if len(chats) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cacheTimeout)
-	a.wait.Go(func() {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), cacheHandOverTimeout)
+	a.wg.Go(func() {
 		defer cancel()
 		for id, next := range a.successors(p, chats) {
 			a.offerChats(ctx, p, id, next)
@@ -51,8 +51,8 @@
 	})
 }
 
-// successors sorts chats by the target that comes next for each.
-func (a *Agent) successors(p *place, chats []*wire.HeldChat) map[string]*successor {
+// successors groups chats by the target that comes next for each.
+func (a *Agent) successors(p *localTarget, chats []*wire.HeldChat) map[string]*successor {
 	addresses := make(map[string]string)
 	var names []string
 	a.options.Members.Visit(func(view member.View) {
@@ -69,31 +69,31 @@
 	})
 	next := make(map[string]*successor)
 	for _, chat := range chats {
-		home := policy.Home(chat.GetChat(), names)
-		if home == "" {
+		successorID := policy.Home(chat.GetChat(), names)
+		if successorID == "" {
 			continue
 		}
-		if next[home] == nil {
-			next[home] = &successor{address: addresses[home]}
+		if next[successorID] == nil {
+			next[successorID] = &successor{address: addresses[successorID]}
 		}
-		next[home].chats = append(next[home].chats, chat)
+		next[successorID].chats = append(next[successorID].chats, chat)
 	}
 	return next
 }
 
-func (a *Agent) offerChats(ctx context.Context, p *place, id string, next *successor) {
-	own, ok := a.options.Members.LinkAddress(a.options.ID)
+func (a *Agent) offerChats(ctx context.Context, p *localTarget, id string, next *successor) {
+	ownAddress, ok := a.options.Members.LinkAddress(a.options.ID)
 	if !ok {
 		return
 	}
 	_, err := link.Ask(ctx, a.options.Dialer, next.address, &wire.Open{Kind: &wire.Open_TakeOver{TakeOver: &wire.TakeOver{
 		TargetId:    id,
 		FromTarget:  p.ID,
-		FromAddress: own,
+		FromAddress: ownAddress,
 		Chats:       next.chats,
 	}}})
 	if err != nil {
-		a.log.Debug("cache not handed on", "target", p.ID, "to", id, "error", err)
+		a.log.Debug("KV cache not handed over", "target", p.ID, "to", id, "error", err)
 		return
 	}
 	a.mu.Lock()
@@ -101,8 +101,8 @@
 	a.cacheMoves += len(next.chats)
 }
 
-// CacheMoves counts the chats whose KV cache this agent's targets have handed
-// on.
+// CacheMoves returns the number of chats whose KV cache this agent's targets have handed
+// over.
 func (a *Agent) CacheMoves() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,32 +110,32 @@
 }
 
 // serveTakeOver fetches the KV cache of chats from a leaving target.
-func (a *Agent) serveTakeOver(take *wire.TakeOver, stream link.Stream) {
-	p, ok := a.places[take.GetTargetId()]
+func (a *Agent) serveTakeOver(takeOver *wire.TakeOver, stream link.Stream) {
+	p, ok := a.targets[takeOver.GetTargetId()]
 	if !ok || p.Engine == nil {
-		refuse(stream, "", 0, fault.New(fault.NoTarget, fault.NotRun, "engine %q is not here", take.GetTargetId()), nil)
+		refuse(stream, "", 0, fault.New(fault.NoTarget, fault.NotRun, "engine %q is not on this host", takeOver.GetTargetId()), nil)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), cacheTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), cacheHandOverTimeout)
 	defer cancel()
-	if err := a.fetchCache(ctx, p, take); err != nil {
-		a.log.Debug("cache not fetched", "target", p.ID, "from", take.GetFromTarget(), "error", err)
+	if err := a.fetchCache(ctx, p, takeOver); err != nil {
+		a.log.Debug("KV cache not fetched", "target", p.ID, "from", takeOver.GetFromTarget(), "error", err)
 		refuse(stream, "", 0, fault.New(fault.TargetFailed, fault.NotRun, "%v", err), nil)
 		return
 	}
-	// Coldest first, so that the hottest is the last to be forgotten.
-	for _, chat := range slices.Backward(take.GetChats()) {
-		p.held.put(chat.GetChat(), chat.GetRequestId(), chat.GetTokens())
+	// Add the least recently used first, so that the most recently used is evicted last.
+	for _, chat := range slices.Backward(takeOver.GetChats()) {
+		p.held.add(chat.GetChat(), chat.GetRequestId(), chat.GetTokens())
 	}
 	_ = stream.Send(&wire.Reply{Kind: &wire.Reply_End{End: &wire.End{}}})
 }
 
-func (a *Agent) fetchCache(ctx context.Context, p *place, take *wire.TakeOver) error {
-	export := &wire.Export{TargetId: take.GetFromTarget()}
-	for _, chat := range take.GetChats() {
+func (a *Agent) fetchCache(ctx context.Context, p *localTarget, takeOver *wire.TakeOver) error {
+	export := &wire.Export{TargetId: takeOver.GetFromTarget()}
+	for _, chat := range takeOver.GetChats() {
 		export.RequestIds = append(export.RequestIds, chat.GetRequestId())
 	}
-	stream, err := a.options.Dialer.Open(ctx, take.GetFromAddress(), &wire.Open{Kind: &wire.Open_Export{Export: export}})
+	stream, err := a.options.Dialer.Open(ctx, takeOver.GetFromAddress(), &wire.Open{Kind: &wire.Open_Export{Export: export}})
 	if err != nil {
 		return err
 	}
@@ -153,17 +153,17 @@
 	return errors.CombineErrors(err, <-done)
 }
 
-// readExport writes an export's parts in order; a cut one is an error.
+// readExport writes an export's parts in order. An incomplete export is an error.
 func readExport(stream link.Stream, into io.Writer) error {
 	var length int64
 	for {
 		reply := new(wire.Reply)
 		if err := stream.Recv(reply); err != nil {
-			return errors.Wrap(err, "export broke off")
+			return errors.Wrap(err, "export interrupted")
 		}
 		if end := reply.GetEnd(); end != nil {
 			if end.GetLength() != length {
-				return errors.Newf("export has %d bytes, %d came", end.GetLength(), length)
+				return errors.Newf("export has %d bytes, received %d", end.GetLength(), length)
 			}
 			return nil
 		}
@@ -172,20 +172,20 @@
 		}
 		data := reply.GetData().GetBytes()
 		length += int64(len(data))
-		if length > mostExport {
-			return errors.Newf("export is over %d bytes", mostExport)
+		if length > maxExportBytes {
+			return errors.Newf("export is over %d bytes", maxExportBytes)
 		}
 		if _, err := into.Write(data); err != nil {
-			return errors.Wrap(err, "import broke off")
+			return errors.Wrap(err, "import interrupted")
 		}
 	}
 }
 
 // serveExport streams the KV cache of requests to another agent.
 func (a *Agent) serveExport(ctx context.Context, export *wire.Export, stream link.Stream) {
-	p, ok := a.places[export.GetTargetId()]
+	p, ok := a.targets[export.GetTargetId()]
 	if !ok || p.Engine == nil {
-		refuse(stream, "", 0, fault.New(fault.NoTarget, fault.NotRun, "engine %q is not here", export.GetTargetId()), nil)
+		refuse(stream, "", 0, fault.New(fault.NoTarget, fault.NotRun, "engine %q is not on this host", export.GetTargetId()), nil)
 		return
 	}
 	writer := &exportWriter{stream: stream}
@@ -196,13 +196,13 @@
 	_ = stream.Send(&wire.Reply{Kind: &wire.Reply_End{End: &wire.End{Length: writer.length}}})
 }
 
-// exportWriter sends what is written as parts of an answer.
+// exportWriter sends the bytes written to it as parts of an answer.
 type exportWriter struct {
 	stream link.Stream
 	length int64
 }
 
-// Write sends one or more parts.
+// Write sends data in one or more parts.
 func (w *exportWriter) Write(data []byte) (int, error) {
 	for part := range slices.Chunk(data, frameBytes) {
 		reply := &wire.Reply{Kind: &wire.Reply_Data{Data: &wire.Data{Offset: w.length, Bytes: bytes.Clone(part)}}}
--- a/internal/agent/chat.go
+++ b/internal/agent/chat.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// pieceBuffer is how many pieces wait for a slow link before the engine
-	// is made to wait.
+	// pieceBuffer is how many pieces are buffered for a slow link before the engine is
+	// blocked.
 	pieceBuffer = 64
-	// priorityUrgent and priorityDeferrable are what engines are told.
+	// priorityUrgent and priorityDeferrable are the priorities sent to engines.
 	priorityUrgent     = 0
 	priorityDeferrable = 10
 )
 
-// serveChat runs one chat completion, from its offset on.
-func (a *Agent) serveChat(ctx context.Context, p *place, call *wire.Call, work *wire.ChatWork, answer *answer) {
+// serveChat runs one chat completion, starting at its offset.
+func (a *Agent) serveChat(ctx context.Context, p *localTarget, call *wire.Call, work *wire.ChatWork, writer *replyWriter) {
 	if p.Engine == nil {
-		answer.refuse(fault.New(fault.NoTarget, fault.NotRun, "target %q is no engine", p.ID))
+		writer.refuse(fault.New(fault.NoTarget, fault.NotRun, "target %q is not an engine", p.ID))
 		return
 	}
 	if p.pool() != work.GetModel() {
-		answer.refuse(fault.New(fault.NoTarget, fault.NotRun, "engine %q does not hold model %q", p.ID, work.GetModel()))
+		writer.refuse(fault.New(fault.NoTarget, fault.NotRun, "engine %q does not hold model %q", p.ID, work.GetModel()))
 		return
 	}
-	if work.GetOnlyHeld() && !p.held.has(work.GetChat()) {
-		answer.refuse(fault.New(fault.NotHeld, fault.NotRun, "the chat is not held here"))
+	if work.GetOnlyHeld() && !p.held.contains(work.GetChat()) {
+		writer.refuse(fault.New(fault.NotHeld, fault.NotRun, "the chat's prefix is not cached here"))
 		return
 	}
 	ticket := ticketOf(call, len(work.GetBody()))
-	ticket.HomeWait = p.held.worth(work.GetChat())
+	ticket.HomeWait = p.held.maxWait(work.GetChat())
 	admitted, refusal := p.gate.Admit(ctx, ticket)
 	if refusal != nil {
-		answer.refuse(refusal)
+		writer.refuse(refusal)
 		return
 	}
 	defer admitted.Release()
 	if p.pool() != work.GetModel() {
-		// It waited while the engine changed its model.
-		answer.refuse(fault.New(fault.NoTarget, fault.NotRun, "engine %q no longer holds model %q", p.ID, work.GetModel()))
+		// The engine changed its model while the request was queued.
+		writer.refuse(fault.New(fault.NoTarget, fault.NotRun, "engine %q no longer holds model %q", p.ID, work.GetModel()))
 		return
 	}
-	if answer.admitted() != nil {
+	if writer.admitted() != nil {
 		return
 	}
 	priority := int32(priorityUrgent)
@@ -64,23 +64,24 @@
 		Prefix:    work.GetPrefix(),
 		Priority:  priority,
 	})
-	p.heedRest(target.RestOf(err), err)
+	p.applyOutcome(target.RestOf(err), err)
 	if err != nil {
-		answer.refuse(engineRefusal(err))
+		writer.refuse(engineRefusal(err))
 		return
 	}
 	pump := newPump(generation)
 	defer pump.close(cancel)
-	end := a.stream(ctx, pump, work.GetOffset(), answer)
+	end := a.stream(ctx, pump, work.GetOffset(), writer)
 	if end != nil {
-		p.held.put(work.GetChat(), call.GetRequestId(), end.GetPromptTokens()+end.GetCompletionTokens())
+		p.held.add(work.GetChat(), call.GetRequestId(), end.GetPromptTokens()+end.GetCompletionTokens())
 	}
 }
 
-// engineRefusal tells an engine that took nothing from one that failed.
+// engineRefusal distinguishes an engine that did not accept the request from one that
+// failed.
 func engineRefusal(err error) *fault.Error {
 	if rest := target.RestOf(err); rest > 0 {
-		return fault.New(fault.Overloaded, fault.NotRun, "the engine has asked for rest: %v", err).After(rest)
+		return fault.New(fault.Overloaded, fault.NotRun, "the engine requested a retry delay: %v", err).After(rest)
 	}
 	if errors.Is(err, target.ErrRefused) {
 		return fault.New(fault.TargetFailed, fault.NotRun, "the engine refused: %v", err)
@@ -88,8 +89,8 @@
 	return fault.New(fault.TargetFailed, fault.Unknown, "the engine failed: %v", err)
 }
 
-// pump reads an engine's pieces ahead, so that pieces which come while the
-// link is busy go together in one frame.
+// pump reads an engine's pieces ahead, so that pieces that arrive while the link is busy
+// are sent together in one frame.
 type pump struct {
 	generation target.Generation
 	pieces     chan target.Piece
@@ -136,9 +137,9 @@
 	_ = p.generation.Close()
 }
 
-// stream sends pieces until the answer is whole, and returns its end, or
-// broken.
-func (a *Agent) stream(ctx context.Context, pump *pump, offset int64, answer *answer) *wire.End {
+// stream sends pieces until the answer is complete and returns its end, or nil if the
+// answer was interrupted.
+func (a *Agent) stream(ctx context.Context, pump *pump, offset int64, writer *replyWriter) *wire.End {
 	idle := time.NewTimer(a.options.PieceWait)
 	defer idle.Stop()
 	next := offset
@@ -146,19 +147,19 @@
 		select {
 		case <-ctx.Done():
 			if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-				answer.refuse(fault.New(fault.Deadline, fault.Unknown, "the time ran out after %d pieces", next))
+				writer.refuse(fault.New(fault.Deadline, fault.Unknown, "the request timed out after %d pieces", next))
 			}
 			return nil
 		case <-idle.C:
-			answer.refuse(fault.New(fault.Cut, fault.Unknown, "the engine gave nothing for %v after %d pieces", a.options.PieceWait, next))
+			writer.refuse(fault.New(fault.Cut, fault.Unknown, "the engine sent no piece for %v after %d pieces", a.options.PieceWait, next))
 			return nil
 		case piece, ok := <-pump.pieces:
 			if !ok {
-				answer.refuse(cutRefusal(ctx, pump.err, next))
+				writer.refuse(cutRefusal(ctx, pump.err, next))
 				return nil
 			}
 			idle.Reset(a.options.PieceWait)
-			end, more := sendBatch(pump, piece, &next, answer)
+			end, more := sendBatch(pump, piece, &next, writer)
 			if !more {
 				return end
 			}
@@ -166,10 +167,10 @@
 	}
 }
 
-// cutRefusal says why an answer broke off.
+// cutRefusal returns the refusal for an interrupted answer.
 func cutRefusal(ctx context.Context, err error, next int64) *fault.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return fault.New(fault.Deadline, fault.Unknown, "the time ran out after %d pieces", next)
+		return fault.New(fault.Deadline, fault.Unknown, "the request timed out after %d pieces", next)
 	}
 	if errors.Is(err, io.EOF) {
 		err = target.ErrCut
@@ -177,21 +178,21 @@
 	return fault.New(fault.Cut, fault.Unknown, "the engine's stream broke after %d pieces: %v", next, err)
 }
 
-// sendBatch sends a piece with all that are ready behind it. It returns false
-// when the stream is over, with the answer's end if it was whole.
-func sendBatch(pump *pump, first target.Piece, next *int64, answer *answer) (*wire.End, bool) {
+// sendBatch sends a piece together with all buffered ones. It returns false when the
+// stream has ended, with the answer's end if the answer is complete.
+func sendBatch(pump *pump, first target.Piece, next *int64, writer *replyWriter) (*wire.End, bool) {
 	data := &wire.Data{Offset: *next}
 	piece, more := first, true
 	for more && piece.Finish == "" {
 		if piece.Index != *next {
-			answer.refuse(fault.New(fault.Cut, fault.Unknown, "the engine gave piece %d where %d was due", piece.Index, *next))
+			writer.refuse(fault.New(fault.Cut, fault.Unknown, "the engine sent piece %d, expected piece %d", piece.Index, *next))
 			return nil, false
 		}
 		data.Pieces = append(data.Pieces, piece.Text)
 		*next++
-		piece, more = ready(pump)
+		piece, more = nextBuffered(pump)
 	}
-	if len(data.Pieces) > 0 && answer.data(data) != nil {
+	if len(data.Pieces) > 0 && writer.data(data) != nil {
 		return nil, false
 	}
 	if !more || piece.Finish == "" {
@@ -204,12 +205,12 @@
 		CompletionTokens: piece.Usage.CompletionTokens,
 		CachedTokens:     piece.Usage.CachedTokens,
 	}
-	answer.end(end)
+	writer.end(end)
 	return end, false
 }
 
-// ready gives the next piece if one waits.
-func ready(pump *pump) (target.Piece, bool) {
+// nextBuffered returns the next piece if one is buffered.
+func nextBuffered(pump *pump) (target.Piece, bool) {
 	select {
 	case piece, ok := <-pump.pieces:
 		return piece, ok
--- a/internal/agent/foreign_test.go
+++ b/internal/agent/foreign_test.go
@@ -16,7 +16,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// reportingEngine only reports loads, one after another.
+// reportingEngine returns one load report after another and supports nothing else.
 type reportingEngine struct {
 	target.Engine
 	reports []target.LoadReport
@@ -31,8 +31,8 @@
 	return report, nil
 }
 
-// A restarted agent counts what its engine still runs; a late report that is
-// higher again, or none at all, does not raise that count.
+// TestForeignLoadOnlyFalls checks that a restarted agent counts what its engine still
+// runs, and that a higher later report, or a missing one, does not raise the count.
 func TestForeignLoadOnlyFalls(t *testing.T) {
 	is := is.New(t)
 	engine := &reportingEngine{reports: []target.LoadReport{{Running: 3}, {Running: 5}, {Running: 1}, {}, {Running: 9}}}
@@ -42,8 +42,8 @@
 	})
 	var seen []int
 	for range 6 {
-		a.countForeign(t.Context())
-		seen = append(seen, a.places["e"].gate.Load().InFlight)
+		a.updateForeign(t.Context())
+		seen = append(seen, a.targets["e"].gate.Load().InFlight)
 	}
 	is.Equal(seen, []int{3, 3, 1, 0, 0, 0})
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -12,29 +12,29 @@
 	"github.com/capersaddle/capersaddle/internal/once"
 )
 
-// leaseEvery is the time between two renewals of an agent's long lease.
-const leaseEvery = 10 * time.Minute
+// leaseRenewInterval is the time between two renewals of an agent's long lease.
+const leaseRenewInterval = 10 * time.Minute
 
-// LeaseKey is where an agent's long lease is in the store.
+// LeaseKey returns the store key of an agent's long lease.
 func LeaseKey(agent string) string {
 	return "once/lease/" + agent
 }
 
-// longLease is an agent's one long lease, which all its guards share.
+// longLease is an agent's single long lease, which all its guards share.
 type longLease struct {
 	store  external.Store
 	agent  string
 	guards []*once.Guard
 
-	mu      sync.Mutex
-	renewed time.Time
+	mu        sync.Mutex
+	renewedAt time.Time
 }
 
 // renew writes the lease when it is due.
 func (l *longLease) renew(ctx context.Context) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.renewed.IsZero() && time.Since(l.renewed) < leaseEvery {
+	if !l.renewedAt.IsZero() && time.Since(l.renewedAt) < leaseRenewInterval {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -54,13 +54,13 @@
 	for _, guard := range l.guards {
 		guard.SetLongLease(sentAt)
 	}
-	l.renewed = time.Now()
+	l.renewedAt = time.Now()
 	return nil
 }
 
-// version is the stored lease's version; zero if there is none. A lease of this
-// run that an operator has ended meanwhile makes the guards give their slots
-// up: others may be taking them.
+// version returns the stored lease's version, or zero if there is none. If an operator
+// has ended a lease of this incarnation meanwhile, the guards give up their slots, since
+// other agents may be taking them over.
 func (l *longLease) version(ctx context.Context) (uint64, error) {
 	value, err := l.store.Get(ctx, LeaseKey(l.agent))
 	if errors.Is(err, external.ErrNotFound) {
@@ -69,8 +69,8 @@
 	if err != nil {
 		return 0, errors.Wrap(err, "read long lease")
 	}
-	var held once.LongLease
-	if json.Unmarshal(value.Data, &held) == nil && held.UntilMS == 0 && !l.renewed.IsZero() {
+	var stored once.LongLease
+	if json.Unmarshal(value.Data, &stored) == nil && stored.UntilMS == 0 && !l.renewedAt.IsZero() {
 		for _, guard := range l.guards {
 			guard.GiveUp()
 		}
@@ -78,8 +78,8 @@
 	return value.Version, nil
 }
 
-// read reads another agent's long lease. One that was never written is over:
-// no owner acts without having written its lease first.
+// read reads another agent's long lease. A lease that was never written counts as
+// expired: no owner acts before it has written its lease.
 func (l *longLease) read(ctx context.Context, agent string) (once.LongLease, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -9,9 +9,9 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// heedRest has the gate go by how a call of the target ended: what the target wants binds every
-// call that comes here, whoever sent it.
-func (p *place) heedRest(rest time.Duration, err error) {
+// applyOutcome updates the gate after a call of the target. A retry delay requested by
+// the target applies to every call through this agent, whichever router sent it.
+func (p *localTarget) applyOutcome(rest time.Duration, err error) {
 	switch {
 	case rest > 0:
 		p.gate.Rest(rest)
@@ -20,37 +20,37 @@
 	}
 }
 
-// end records an outcome; if the slot has gone meanwhile, its new owner is
-// told.
-func (k *keeper) end(record *once.Record, state once.State, outcome once.Outcome) {
-	k.guard.End(record, state, outcome)
-	k.tellOutcome(record)
+// recordEnd records an outcome. If the slot has moved meanwhile, it also forwards the
+// outcome to the new owner.
+func (s *slotManager) recordEnd(record *once.Record, state once.State, outcome once.Outcome) {
+	s.guard.End(record, state, outcome)
+	s.forwardOutcome(record)
 }
 
-// reopen takes back a run that never reached the service.
-func (k *keeper) reopen(record *once.Record, why *fault.Error) {
-	k.guard.Reopen(record, why)
-	k.tellOutcome(record)
+// reopen reverts a run that never reached the service.
+func (s *slotManager) reopen(record *once.Record, cause *fault.Error) {
+	s.guard.Reopen(record, cause)
+	s.forwardOutcome(record)
 }
 
-// whyReopened is the refusal that a reopened key's waiters get: the key is
+// reopenedRefusal returns the refusal sent to the waiters of a reopened key: the key is
 // open, so the same request may be sent again.
-func whyReopened(why *fault.Error) *fault.Error {
-	refusal := fault.New(why.Kind, fault.Unknown, "%s; the key is open, send the same request again", why.Message)
-	return refusal.After(max(why.RetryAfter, frozenRetry))
+func reopenedRefusal(cause *fault.Error) *fault.Error {
+	refusal := fault.New(cause.Kind, fault.Unknown, "%s; the key is open, so the same request may be sent again", cause.Message)
+	return refusal.After(max(cause.RetryAfter, minReopenRetryAfter))
 }
 
-// frozenRetry is the least time to come back with an open key.
-const frozenRetry = 250 * time.Millisecond
+// minReopenRetryAfter is the minimum retry delay for an open key.
+const minReopenRetryAfter = 250 * time.Millisecond
 
-func (k *keeper) tellOutcome(record *once.Record) {
-	if k.guard.Owns(record.Key) {
+func (s *slotManager) forwardOutcome(record *once.Record) {
+	if s.guard.Owns(record.Key) {
 		return
 	}
-	owner := k.guard.OwnerOf(record.Key)
-	message := k.guard.Outcome(record)
-	_, err := k.ask(context.Background(), owner, &wire.Open{Kind: &wire.Open_HandOver{HandOver: message}})
+	owner := s.guard.OwnerOf(record.Key)
+	message := s.guard.Outcome(record)
+	_, err := s.askAgent(context.Background(), owner, &wire.Open{Kind: &wire.Open_HandOver{HandOver: message}})
 	if err != nil {
-		k.log.Warn("outcome not passed on to the slot's new owner", "service", k.service, "owner", owner, "error", err)
+		s.log.Warn("outcome not forwarded to the slot's new owner", "service", s.service, "owner", owner, "error", err)
 	}
 }
--- a/internal/agent/placer.go
+++ b/internal/agent/placer.go
@@ -14,31 +14,31 @@
 	"github.com/capersaddle/capersaddle/internal/wait"
 )
 
-// PlacementOptions are the times of changes of managed engines' models.
+// PlacementOptions configures when managed engines change their models.
 type PlacementOptions struct {
-	// Settle is how long the placements must give an engine the same model
-	// before it changes, so that lists that disagree cause no load.
+	// Settle is how long the placements must assign the same model to an engine before it
+	// changes, so that agents whose member lists disagree cause no needless loads.
 	Settle time.Duration
-	// LoadsPerSecond is how many loads the weight store bears from the whole
-	// fleet; engines take turns.
+	// LoadsPerSecond is how many model loads per second the weight store can serve for
+	// the whole fleet. Engines take turns.
 	LoadsPerSecond float64
-	// Freshness bounds the time between a decision and its order. An agent
-	// that was paused longer decides again: not all targets check tokens.
+	// Freshness limits the time between a decision and its order. An agent that was
+	// suspended for longer decides again, because not all targets check tokens.
 	Freshness time.Duration
 }
 
-// Defaults of PlacementOptions.
+// Defaults of PlacementOptions, and the timing of orders.
 const (
-	defaultSettle    = 15 * time.Second
-	defaultLoads     = 2
-	defaultFreshness = 5 * time.Second
-	// placeEvery is the time between two looks at the placements.
-	placeEvery = time.Second
-	// orderTimeout bounds one order.
+	defaultSettle         = 15 * time.Second
+	defaultLoadsPerSecond = 2
+	defaultFreshness      = 5 * time.Second
+	// placementInterval is the time between two evaluations of the placements.
+	placementInterval = time.Second
+	// orderTimeout limits one order.
 	orderTimeout = 10 * time.Minute
-	// tokenSteps is how many orders an agent may give in a millisecond of its
-	// life without meeting a later run's tokens.
-	tokenSteps = 1000
+	// tokensPerMillisecond is how many orders an agent may send per millisecond of its
+	// lifetime without reaching the tokens of a later incarnation.
+	tokensPerMillisecond = 1000
 )
 
 func (o *PlacementOptions) defaults() {
@@ -46,29 +46,28 @@
 		o.Settle = defaultSettle
 	}
 	if o.LoadsPerSecond == 0 {
-		o.LoadsPerSecond = defaultLoads
+		o.LoadsPerSecond = defaultLoadsPerSecond
 	}
 	if o.Freshness == 0 {
 		o.Freshness = defaultFreshness
 	}
 }
 
-// wish is the model that an engine should hold, and when it is to change, on
-// the boot clock.
-type wish struct {
+// pendingModel is the model that an engine should load, and when, on the boot clock.
+type pendingModel struct {
 	model string
-	due   time.Duration
-	known bool
+	dueAt time.Duration
+	set   bool
 }
 
-// Orders that engines understand.
+// Actions of orders to engines.
 const (
 	orderLoad   = "load"
 	orderUnload = "unload"
 )
 
-func (a *Agent) manages() bool {
-	for _, p := range a.places {
+func (a *Agent) hasManagedTargets() bool {
+	for _, p := range a.targets {
 		if p.Managed {
 			return true
 		}
@@ -76,39 +75,39 @@
 	return false
 }
 
-// placeLoop follows the placements for this agent's managed engines.
-func (a *Agent) placeLoop(ctx context.Context) {
-	for wait.For(ctx, placeEvery) {
-		a.placeRound(ctx)
+// placementLoop applies the placements to this agent's managed engines.
+func (a *Agent) placementLoop(ctx context.Context) {
+	for wait.For(ctx, placementInterval) {
+		a.placementRound(ctx)
 	}
 }
 
-func (a *Agent) placeRound(ctx context.Context) {
+func (a *Agent) placementRound(ctx context.Context) {
 	engines := a.managedEngines()
-	assigned := policy.Assign(a.wanted(), engines)
+	assigned := policy.Assign(a.wantedPlacements(), engines)
 	now := a.options.Clock.Boot()
-	for _, id := range a.order {
-		p := a.places[id]
+	for _, id := range a.targetIDs {
+		p := a.targets[id]
 		model, ok := assigned[id]
 		if !p.Managed || !ok || p.scheduled.Load() || a.leaving(id) {
 			continue
 		}
 		if model == p.pool() {
-			p.wish = wish{}
+			p.pending = pendingModel{}
 			continue
 		}
-		if !p.wish.known || p.wish.model != model {
-			due := now + a.options.Placement.Settle + a.turn(id, engines, assigned)
-			p.wish = wish{model: model, due: due, known: true}
+		if !p.pending.set || p.pending.model != model {
+			due := now + a.options.Placement.Settle + a.loadDelay(id, engines, assigned)
+			p.pending = pendingModel{model: model, dueAt: due, set: true}
 			continue
 		}
-		if now+placeEvery < p.wish.due {
+		if now+placementInterval < p.pending.dueAt {
 			continue
 		}
 		p.scheduled.Store(true)
-		due := p.wish.due
-		p.wish = wish{}
-		a.wait.Go(func() {
+		due := p.pending.dueAt
+		p.pending = pendingModel{}
+		a.wg.Go(func() {
 			defer p.scheduled.Store(false)
 			if wait.For(ctx, due-now) {
 				a.changeModel(ctx, p, model)
@@ -117,8 +116,8 @@
 	}
 }
 
-// wanted lists the placements in force.
-func (a *Agent) wanted() []policy.Wanted {
+// wantedPlacements returns the placements in force.
+func (a *Agent) wantedPlacements() []policy.Wanted {
 	view := a.options.Config.View()
 	wanted := make([]policy.Wanted, 0, len(view.Placements))
 	for model, placement := range view.Placements {
@@ -127,8 +126,8 @@
 	return wanted
 }
 
-// managedEngines lists the live managed engines and what they hold, this
-// agent's own from what it knows itself.
+// managedEngines returns the live managed engines and their models. For this agent's own
+// engines it uses local state.
 func (a *Agent) managedEngines() []policy.Holder {
 	var engines []policy.Holder
 	a.options.Members.Visit(func(view member.View) {
@@ -142,7 +141,7 @@
 			}
 		}
 	})
-	for _, p := range a.places {
+	for _, p := range a.targets {
 		if p.Managed {
 			engines = append(engines, policy.Holder{Engine: p.ID, Holds: p.pool()})
 		}
@@ -150,9 +149,9 @@
 	return engines
 }
 
-// turn spreads loads over time: all engines that have a model to load take
-// turns in one order that every agent works out alike.
-func (a *Agent) turn(id string, engines []policy.Holder, assigned map[string]string) time.Duration {
+// loadDelay spreads loads over time: all engines that have a model to load take turns in
+// an order that every agent computes alike.
+func (a *Agent) loadDelay(id string, engines []policy.Holder, assigned map[string]string) time.Duration {
 	var waiting []string
 	for _, engine := range engines {
 		if model := assigned[engine.Engine]; model != "" && model != engine.Holds {
@@ -163,9 +162,9 @@
 	return time.Duration(float64(max(position, 0)) / a.options.Placement.LoadsPerSecond * float64(time.Second))
 }
 
-// changeModel drains an engine, gives it its new model and opens it again. If
-// an order fails the engine holds nothing, and the next round tries again.
-func (a *Agent) changeModel(ctx context.Context, p *place, model string) {
+// changeModel drains an engine, changes its model and admits requests again. If an order
+// fails, the engine has no model and the next round tries again.
+func (a *Agent) changeModel(ctx context.Context, p *localTarget, model string) {
 	p.changing.Store(true)
 	defer p.changing.Store(false)
 	before := p.pool()
@@ -176,20 +175,20 @@
 		return
 	}
 	defer p.gate.Return()
-	// The drain may have taken long: what was wanted then may be so no more.
+	// The drain may have taken long, so the assignment may have changed.
 	decided, ok := a.stillWanted(p, model)
 	if !ok {
 		return
 	}
 	if before != "" {
 		p.setPool("")
-		if err := a.giveOrder(ctx, p, decided, orderUnload, before); err != nil {
-			a.log.Warn("engine did not unload", "target", p.ID, "model", before, "error", err)
+		if err := a.sendOrder(ctx, p, decided, orderUnload, before); err != nil {
+			a.log.Warn("engine could not unload its model", "target", p.ID, "model", before, "error", err)
 		}
 	}
 	if model != "" {
-		if err := a.load(ctx, p, model); err != nil {
-			a.log.Warn("engine did not load", "target", p.ID, "model", model, "error", err)
+		if err := a.loadModel(ctx, p, model); err != nil {
+			a.log.Warn("engine could not load its model", "target", p.ID, "model", model, "error", err)
 			return
 		}
 	}
@@ -197,60 +196,60 @@
 	a.log.Info("engine changed its model", "target", p.ID, "from", before, "to", model)
 }
 
-// loadTries is how often a load is ordered before the assignment is looked at
-// again; the weight store may refuse some for its rate.
-const loadTries = 6
+// loadAttempts is how often a load is ordered before the assignment is evaluated again.
+// The weight store may refuse some loads because of its rate limit.
+const loadAttempts = 6
 
-// load orders a load, again with growing and jittered waits if it is refused.
-func (a *Agent) load(ctx context.Context, p *place, model string) error {
-	waits := backoff.NewExponentialBackOff()
+// loadModel orders a load, and repeats a failed order with growing and jittered delays.
+func (a *Agent) loadModel(ctx context.Context, p *localTarget, model string) error {
+	delays := backoff.NewExponentialBackOff()
 	var err error
-	for range loadTries {
+	for range loadAttempts {
 		decided, ok := a.stillWanted(p, model)
 		if !ok {
-			return errStale
+			return errDecisionStale
 		}
-		if err = a.giveOrder(ctx, p, decided, orderLoad, model); err == nil {
+		if err = a.sendOrder(ctx, p, decided, orderLoad, model); err == nil {
 			return nil
 		}
-		if !wait.For(ctx, waits.NextBackOff()) {
+		if !wait.For(ctx, delays.NextBackOff()) {
 			return err
 		}
 	}
 	return err
 }
 
-// errStale says that the decision behind an order no longer holds, or that the
-// agent was paused since.
-var errStale = errors.New("the decision is too old, another will follow")
+// errDecisionStale is returned when the decision behind an order no longer applies, or
+// the agent was suspended since.
+var errDecisionStale = errors.New("the decision is out of date; the next round decides again")
 
-// stillWanted says whether an engine should still hold a model, and at which
-// boot time that was begun to be worked out.
-func (a *Agent) stillWanted(p *place, model string) (decided time.Duration, ok bool) {
+// stillWanted reports whether an engine should still get a model, and the boot time at
+// which this evaluation began.
+func (a *Agent) stillWanted(p *localTarget, model string) (decided time.Duration, ok bool) {
 	decided = a.options.Clock.Boot()
-	return decided, policy.Assign(a.wanted(), a.managedEngines())[p.ID] == model
+	return decided, policy.Assign(a.wantedPlacements(), a.managedEngines())[p.ID] == model
 }
 
-// giveOrder gives one fenced order, unless the agent was paused since it was
-// decided.
-func (a *Agent) giveOrder(ctx context.Context, p *place, decided time.Duration, action, model string) error {
+// sendOrder sends one order with a fencing token, unless the agent was suspended since
+// the decision.
+func (a *Agent) sendOrder(ctx context.Context, p *localTarget, decided time.Duration, action, model string) error {
 	order := target.Order{Token: a.nextToken(), Action: action, Model: model}
 	if a.options.Clock.Boot()-decided > a.options.Placement.Freshness {
-		return errStale
+		return errDecisionStale
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return p.Engine.Order(ctx, order)
 }
 
-// nextToken gives a token above all those that this agent and its earlier runs
-// have given: it begins with the time of this run's start.
+// nextToken returns a token above all those that this agent and its earlier incarnations
+// have used. Tokens begin with the start time of the process.
 func (a *Agent) nextToken() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.token == 0 {
-		a.token = uint64(a.options.Clock.Wall().UnixMilli()) * tokenSteps
+	if a.lastToken == 0 {
+		a.lastToken = uint64(a.options.Clock.Wall().UnixMilli()) * tokensPerMillisecond
 	}
-	a.token++
-	return a.token
+	a.lastToken++
+	return a.lastToken
 }
--- a/internal/agent/placer_test.go
+++ b/internal/agent/placer_test.go
@@ -17,7 +17,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// pausingClock jumps when it is read for the second time.
+// pausingClock jumps at its second reading.
 type pausingClock struct {
 	reads int
 	jump  time.Duration
@@ -33,7 +33,7 @@
 	return time.Hour + c.jump
 }
 
-// orderedEngine notes the orders that reach it.
+// orderedEngine records the orders that it receives.
 type orderedEngine struct {
 	target.Engine
 	tokens []uint64
@@ -44,9 +44,10 @@
 	return nil
 }
 
-// An agent that was paused between its decision and the order gives none, so
-// that an engine that checks no tokens does not get a late one; tokens rise.
-func TestOrdersAreFreshAndRise(t *testing.T) {
+// TestOrderFreshnessAndTokens checks that an agent that was suspended between a decision
+// and its order does not send the order, so that an engine that checks no tokens gets no
+// late one. Tokens must increase.
+func TestOrderFreshnessAndTokens(t *testing.T) {
 	tests := map[string]struct {
 		pause time.Duration
 		given bool
@@ -65,9 +66,9 @@
 				Members: member.NewList(member.DefaultOptions(), &wire.Member{Id: "a"}), Config: config.NewState(), Clock: clock, Log: log.New(io.Discard),
 			})
 			decided := clock.Boot()
-			err := a.giveOrder(t.Context(), a.places["e"], decided, orderLoad, "m")
+			err := a.sendOrder(t.Context(), a.targets["e"], decided, orderLoad, "m")
 			is.Equal(err == nil, tt.given)
-			is.Equal(errors.Is(err, errStale), !tt.given)
+			is.Equal(errors.Is(err, errDecisionStale), !tt.given)
 			is.Equal(len(engine.tokens) == 1, tt.given)
 			first := a.nextToken()
 			is.True(a.nextToken() > first)
--- a/internal/agent/promise.go
+++ b/internal/agent/promise.go
@@ -13,115 +13,115 @@
 )
 
 // renewPromises asks each witness for its promise.
-func (k *keeper) renewPromises(ctx context.Context) {
+func (s *slotManager) renewPromises(ctx context.Context) {
 	var wait sync.WaitGroup
-	for _, witness := range k.guard.Witnesses() {
-		wait.Go(func() { k.renewPromise(ctx, witness) })
+	for _, witness := range s.guard.Witnesses() {
+		wait.Go(func() { s.renewPromise(ctx, witness) })
 	}
 	wait.Wait()
 }
 
-func (k *keeper) renewPromise(ctx context.Context, witness once.Holder) {
-	self := k.guard.Self()
-	table := k.guard.Table()
-	sentAt := k.guard.BootNow()
-	reply, err := k.ask(ctx, witness.Agent, &wire.Open{Kind: &wire.Open_Promise{Promise: &wire.Promise{
-		Service:            k.service,
+func (s *slotManager) renewPromise(ctx context.Context, witness once.Holder) {
+	self := s.guard.Self()
+	table := s.guard.Table()
+	sentAt := s.guard.BootNow()
+	reply, err := s.askAgent(ctx, witness.Agent, &wire.Open{Kind: &wire.Open_Promise{Promise: &wire.Promise{
+		Service:            s.service,
 		Owner:              self.Agent,
 		OwnerIncarnation:   self.Incarnation,
 		Witness:            witness.Agent,
 		WitnessIncarnation: witness.Incarnation,
-		WallMs:             k.agent.options.Clock.Wall().UnixMilli(),
+		WallMs:             s.agent.options.Clock.Wall().UnixMilli(),
 		TableVersion:       table.Version,
 	}}})
 	if err != nil {
 		return
 	}
 	promise := reply.GetPromise()
-	k.compareClocks(witness.Agent, sentAt, promise.GetWallMs())
+	s.compareClocks(witness.Agent, sentAt, promise.GetWallMs())
 	if promise.GetGranted() {
-		k.guard.Promised(witness, sentAt)
+		s.guard.Promised(witness, sentAt)
 	}
 	if promise.GetTableVersion() > table.Version {
-		k.markStale()
+		s.markStale()
 	}
 }
 
-// compareClocks warns when another host's wall clock is further from this one's
-// than two clocks within the stated error can be. The time of the exchange is
-// given to the other side.
-func (k *keeper) compareClocks(agent string, sentAt time.Duration, theirs int64) {
-	clock := k.agent.options.Clock
-	took := clock.Boot() - sentAt
-	apart := clock.Wall().Sub(time.UnixMilli(theirs)).Abs() - took
-	most := 2 * k.agent.options.Once.ClockError
-	if apart <= most {
+// compareClocks warns when another host's wall clock differs from this one's by more than
+// two clocks within the configured error can. The duration of the exchange is subtracted,
+// in favour of the other host.
+func (s *slotManager) compareClocks(agent string, sentAt time.Duration, peerWallMS int64) {
+	clock := s.agent.options.Clock
+	roundTrip := clock.Boot() - sentAt
+	difference := clock.Wall().Sub(time.UnixMilli(peerWallMS)).Abs() - roundTrip
+	limit := 2 * s.agent.options.Once.ClockError
+	if difference <= limit {
 		return
 	}
-	k.agent.clockWarnings.Add(1)
-	k.log.Warn("wall clocks are too far apart: a request could run twice after a take-over", "agent", agent, "apart", apart.Round(time.Millisecond), "most", most)
+	s.agent.clockWarnings.Add(1)
+	s.log.Warn("wall clocks differ too much: a request could run twice after a slot changes its owner", "agent", agent, "apart", difference.Round(time.Millisecond), "most", limit)
 }
 
-// ask sends one message to another agent and reads its one reply.
-func (k *keeper) ask(ctx context.Context, agent string, open *wire.Open) (*wire.Reply, error) {
-	address, ok := k.agent.options.Members.LinkAddress(agent)
+// askAgent sends one message to another agent and reads its single reply.
+func (s *slotManager) askAgent(ctx context.Context, agent string, open *wire.Open) (*wire.Reply, error) {
+	address, ok := s.agent.options.Members.LinkAddress(agent)
 	if !ok {
-		return nil, errors.Newf("agent %q is not known", agent)
+		return nil, errors.Newf("agent %q is unknown", agent)
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	return link.Ask(ctx, k.agent.options.Dialer, address, open)
+	return link.Ask(ctx, s.agent.options.Dialer, address, open)
 }
 
-// servePromise answers an owner as its witness.
+// servePromise replies to an owner as its witness.
 func (a *Agent) servePromise(promise *wire.Promise, stream link.Stream) {
 	reply := &wire.PromiseReply{WallMs: a.options.Clock.Wall().UnixMilli()}
-	if k, ok := a.keepers[promise.GetService()]; ok {
+	if manager, ok := a.slotManagers[promise.GetService()]; ok {
 		owner := once.Holder{Agent: promise.GetOwner(), Incarnation: promise.GetOwnerIncarnation()}
 		witness := once.Holder{Agent: promise.GetWitness(), Incarnation: promise.GetWitnessIncarnation()}
-		if promise.GetTableVersion() > k.guard.Table().Version {
-			k.catchUp()
+		if promise.GetTableVersion() > manager.guard.Table().Version {
+			manager.refreshTable()
 		}
-		reply.Granted = k.guard.GivePromise(owner, witness)
-		reply.TableVersion = k.guard.Table().Version
+		reply.Granted = manager.guard.GivePromise(owner, witness)
+		reply.TableVersion = manager.guard.Table().Version
 	}
 	_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Promise{Promise: reply}})
 }
 
-// serveHandOver takes records from an owner that hands over.
+// serveHandOver receives records from an owner that hands over slots.
 func (a *Agent) serveHandOver(message *wire.HandOver, stream link.Stream) {
 	reply := &wire.HandOverReply{}
-	if k, ok := a.keepers[message.GetService()]; ok {
-		k.guard.Import(message)
+	if manager, ok := a.slotManagers[message.GetService()]; ok {
+		manager.guard.Import(message)
 		reply.Accepted = true
 		if message.GetTableVersion() > 0 {
-			k.catchUp()
-			a.runs.Go(k.promiseNow)
+			manager.refreshTable()
+			a.keyedRuns.Go(manager.renewPromisesNow)
 		}
 	}
 	_ = stream.Send(&wire.Reply{Kind: &wire.Reply_HandOver{HandOver: reply}})
 }
 
-// catchUp reads a table that another agent has told of; in the next round if the
-// store may not be called now.
-func (k *keeper) catchUp() {
-	k.markStale()
-	if !k.mayCallStore() {
+// refreshTable reads a table that another agent has announced. If the store must not be
+// called now, the next round reads it.
+func (s *slotManager) refreshTable() {
+	s.markStale()
+	if !s.canCallStore() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	if err := k.readTable(ctx); err != nil {
-		k.log.Debug("slot table not read; the next round does", "service", k.service, "error", err)
+	if err := s.readTable(ctx); err != nil {
+		s.log.Debug("slot table not read; the next round tries again", "service", s.service, "error", err)
 	}
 }
 
-// promiseNow asks the witnesses at once. A slot that was handed over is decided
-// about by nobody until its witness has promised the new owner; waiting for the next
-// round, a slot that moves three times as agents begin would refuse its keys for 1.5 s,
-// of the 2 s for which a router looks for an owner.
-func (k *keeper) promiseNow() {
+// renewPromisesNow asks the witnesses at once. Until its witness has given the new owner
+// a promise, no agent decides about a slot that was handed over. With a wait for the next
+// round, a slot that moves three times while agents start would refuse its keys for 1.5 s
+// out of the 2 s for which a router searches for an owner.
+func (s *slotManager) renewPromisesNow() {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	k.renewPromises(ctx)
+	s.renewPromises(ctx)
 }
--- a/internal/agent/rest_test.go
+++ b/internal/agent/retry_after_test.go
@@ -21,22 +21,18 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Seen: at the gateways targets that had asked for rest got requests on. An agent passes calls
-// to its targets by the same kind of answer, and read of one that was turned away its status
-// alone: a service's or engine's Retry-After bound nobody here either.
-//
-// Cause: the same as there; the agent's gate knew bounds and leaving, and no rest. Proved by these
-// calls: each of five within the rest reached the target.
-
-// restingTarget turns away what comes while it rests, and asks for a time.
+// restingTarget rejects requests while it rests, with a Retry-After header. Like the
+// gateways, an agent used to read only the status of such an answer: its gate knew limits
+// and leaving targets but no requested delay, and so each of five calls within the delay
+// reached the target.
 type restingTarget struct {
 	retryAfter string
 	resting    atomic.Bool
-	asked      atomic.Int32
+	requests   atomic.Int32
 }
 
 func (r *restingTarget) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	r.asked.Add(1)
+	r.requests.Add(1)
 	if r.resting.Load() {
 		w.Header().Set("Retry-After", r.retryAfter)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -46,7 +42,7 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-// replies gathers what an agent answers to one call.
+// replies records the agent's replies to one call.
 type replies struct {
 	link.Stream
 	all []*wire.Reply
@@ -59,7 +55,7 @@
 	return nil
 }
 
-// refusal is the refusal among the replies; nil if there is none.
+// refusal returns the refusal among the replies, or nil if there is none.
 func (r *replies) refusal() *wire.Refusal {
 	for _, reply := range r.all {
 		if refusal := reply.GetRefusal(); refusal != nil {
@@ -69,8 +65,8 @@
 	return nil
 }
 
-// restingAgent is an agent of an engine and a plain service at one address.
-func restingAgent(t *testing.T, resting *restingTarget) *Agent {
+// newRestingAgent returns an agent with an engine and a plain service at one address.
+func newRestingAgent(t *testing.T, resting *restingTarget) *Agent {
 	t.Helper()
 	server := httptest.NewServer(resting)
 	t.Cleanup(server.Close)
@@ -84,63 +80,64 @@
 	})
 }
 
-// ask sends a call to one of the agent's targets.
-func ask(t *testing.T, a *Agent, to string) *replies {
+// callTarget sends a call to one of the agent's targets.
+func callTarget(t *testing.T, a *Agent, targetID string) *replies {
 	t.Helper()
 	got := new(replies)
-	place := a.places[to]
-	answer := &answer{stream: got, id: "r", place: place}
-	if to == "engine" {
-		a.serveChat(t.Context(), place, &wire.Call{}, &wire.ChatWork{Model: "m", Body: []byte(`{}`)}, answer)
+	p := a.targets[targetID]
+	writer := &replyWriter{stream: got, id: "r", place: p}
+	if targetID == "engine" {
+		a.serveChat(t.Context(), p, &wire.Call{}, &wire.ChatWork{Model: "m", Body: []byte(`{}`)}, writer)
 		return got
 	}
-	a.serveService(t.Context(), place, &wire.Call{}, &wire.ServiceWork{Service: "s", Method: http.MethodPost, Path: "/"}, answer)
+	a.serveService(t.Context(), p, &wire.Call{}, &wire.ServiceWork{Service: "s", Method: http.MethodPost, Path: "/"}, writer)
 	return got
 }
 
-// TestATargetThatAsksItsAgentForRestGetsIt: the agent refuses what comes meanwhile by itself, as
-// not run and with the time that is left.
-func TestATargetThatAsksItsAgentForRestGetsIt(t *testing.T) {
-	for _, to := range []string{"engine", "plain"} {
-		t.Run(to, func(t *testing.T) {
+// TestAgentHonorsRetryAfter checks that the agent itself refuses requests during the
+// delay that a target has requested, as not run and with the remaining time.
+func TestAgentHonorsRetryAfter(t *testing.T) {
+	for _, targetID := range []string{"engine", "plain"} {
+		t.Run(targetID, func(t *testing.T) {
 			is := is.New(t)
 			resting := &restingTarget{retryAfter: "30"}
 			resting.resting.Store(true)
-			a := restingAgent(t, resting)
-			ask(t, a, to)
+			a := newRestingAgent(t, resting)
+			callTarget(t, a, targetID)
 			for range 5 {
-				refusal := ask(t, a, to).refusal()
+				refusal := callTarget(t, a, targetID).refusal()
 				is.True(refusal != nil)
 				is.Equal(refusal.GetRunState(), wire.RunState_RUN_STATE_NOT_RUN)
 				is.Equal(refusal.GetKind(), string(fault.Overloaded))
 				is.True(refusal.GetRetryAfterMs() > 20_000 && refusal.GetRetryAfterMs() <= 30_000)
 			}
-			is.Equal(resting.asked.Load(), int32(1))
+			is.Equal(resting.requests.Load(), int32(1))
 		})
 	}
 }
 
-// TestATargetIsAskedAgainAfterItsRest: and what is no time asks for none.
-func TestATargetIsAskedAgainAfterItsRest(t *testing.T) {
-	for name, retryAfter := range map[string]string{"a moment": "0.01", "no time": "soon", "none": "0"} {
-		for _, to := range []string{"engine", "plain"} {
-			t.Run(name+", "+to, func(t *testing.T) {
+// TestAgentResumesAfterRetryAfter checks that requests reach the target again after the
+// delay, and that an invalid or zero Retry-After requests none.
+func TestAgentResumesAfterRetryAfter(t *testing.T) {
+	for name, retryAfter := range map[string]string{"10 ms": "0.01", "invalid": "soon", "none": "0"} {
+		for _, targetID := range []string{"engine", "plain"} {
+			t.Run(name+", "+targetID, func(t *testing.T) {
 				is := is.New(t)
 				resting := &restingTarget{retryAfter: retryAfter}
 				resting.resting.Store(true)
-				a := restingAgent(t, resting)
-				ask(t, a, to)
+				a := newRestingAgent(t, resting)
+				callTarget(t, a, targetID)
 				resting.resting.Store(false)
-				until := time.Now().Add(5 * time.Second)
-				for resting.asked.Load() < 2 && time.Now().Before(until) {
-					ask(t, a, to)
+				deadline := time.Now().Add(5 * time.Second)
+				for resting.requests.Load() < 2 && time.Now().Before(deadline) {
+					callTarget(t, a, targetID)
 				}
-				is.True(resting.asked.Load() >= 2)
-				before := resting.asked.Load()
+				is.True(resting.requests.Load() >= 2)
+				before := resting.requests.Load()
 				for range 3 {
-					ask(t, a, to)
+					callTarget(t, a, targetID)
 				}
-				is.Equal(resting.asked.Load(), before+3)
+				is.Equal(resting.requests.Load(), before+3)
 			})
 		}
 	}
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -17,39 +17,39 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// frameBytes is the largest part of a body in one frame.
+// frameBytes is the maximum part of a body in one frame.
 const frameBytes = 32 << 10
 
-// KeyHeader marks a request as not repeatable.
+// KeyHeader marks a request that must not be repeated.
 const KeyHeader = "Idempotency-Key"
 
 // serveService runs one call of a plain service.
-func (a *Agent) serveService(ctx context.Context, p *place, call *wire.Call, work *wire.ServiceWork, answer *answer) {
+func (a *Agent) serveService(ctx context.Context, p *localTarget, call *wire.Call, work *wire.ServiceWork, writer *replyWriter) {
 	if p.Service == nil || p.Pool != work.GetService() {
-		answer.refuse(fault.New(fault.NoTarget, fault.NotRun, "target %q does not serve %q", p.ID, work.GetService()))
+		writer.refuse(fault.New(fault.NoTarget, fault.NotRun, "target %q does not serve %q", p.ID, work.GetService()))
 		return
 	}
 	if work.GetKey() != "" {
-		a.serveKeyed(ctx, p, call, work, answer)
+		a.serveKeyed(ctx, p, call, work, writer)
 		return
 	}
 	admitted, refusal := p.gate.Admit(ctx, ticketOf(call, len(work.GetBody())))
 	if refusal != nil {
-		answer.refuse(refusal)
+		writer.refuse(refusal)
 		return
 	}
 	defer admitted.Release()
-	if answer.admitted() != nil {
+	if writer.admitted() != nil {
 		return
 	}
 	response, err := p.Service.Do(ctx, serviceRequest(work))
-	p.heedRest(response.Rest, err)
+	p.applyOutcome(response.Rest, err)
 	if err != nil {
-		answer.refuse(serviceRefusal(err))
+		writer.refuse(serviceRefusal(err))
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	passBody(response, answer)
+	streamBody(response, writer)
 }
 
 func serviceRequest(work *wire.ServiceWork) target.ServiceRequest {
@@ -80,9 +80,9 @@
 	return head
 }
 
-// passBody streams an answer's body as it comes.
-func passBody(response target.ServiceResponse, answer *answer) {
-	if answer.head(headOf(response)) != nil {
+// streamBody streams an answer's body as it arrives.
+func streamBody(response target.ServiceResponse, writer *replyWriter) {
+	if writer.head(headOf(response)) != nil {
 		return
 	}
 	buffer := make([]byte, frameBytes)
@@ -90,24 +90,24 @@
 	for {
 		n, err := response.Body.Read(buffer)
 		if n > 0 {
-			if answer.data(&wire.Data{Offset: offset, Bytes: buffer[:n]}) != nil {
+			if writer.data(&wire.Data{Offset: offset, Bytes: buffer[:n]}) != nil {
 				return
 			}
 			offset += int64(n)
 		}
 		if errors.Is(err, io.EOF) {
-			answer.end(&wire.End{Length: offset})
+			writer.end(&wire.End{Length: offset})
 			return
 		}
 		if err != nil {
-			answer.refuse(fault.New(fault.Cut, fault.Unknown, "the service's answer broke after %d bytes: %v", offset, err))
+			writer.refuse(fault.New(fault.Cut, fault.Unknown, "the service's answer broke after %d bytes: %v", offset, err))
 			return
 		}
 	}
 }
 
-// printOf hashes what a repeat must have in common with the first request.
-func printOf(work *wire.ServiceWork) uint64 {
+// fingerprintOf hashes what a repeat must have in common with the first request.
+func fingerprintOf(work *wire.ServiceWork) uint64 {
 	digest := xxhash.New()
 	for _, part := range []string{work.GetMethod(), work.GetPath()} {
 		_, _ = digest.WriteString(part)
@@ -117,45 +117,45 @@
 	return digest.Sum64()
 }
 
-// serveKeyed runs a request that may not be repeated, or answers from the
-// record of its run. The run goes on when the caller goes away.
-func (a *Agent) serveKeyed(ctx context.Context, p *place, call *wire.Call, work *wire.ServiceWork, answer *answer) {
-	k := a.keepers[p.Pool]
-	at, err := once.ParseKey(work.GetKey())
+// serveKeyed runs a request that must not be repeated, or answers from the record of its
+// run. The run continues when the caller disconnects.
+func (a *Agent) serveKeyed(ctx context.Context, p *localTarget, call *wire.Call, work *wire.ServiceWork, writer *replyWriter) {
+	manager := a.slotManagers[p.Pool]
+	keyTime, err := once.ParseKey(work.GetKey())
 	if err != nil {
-		answer.refuse(fault.New(fault.NeedsKey, fault.Unknown, "%v", err))
+		writer.refuse(fault.New(fault.NeedsKey, fault.Unknown, "%v", err))
 		return
 	}
 	fullKey := once.FullKey(call.GetWorkspace(), work.GetKey())
-	begun, refusal := k.guard.Begin(fullKey, at, printOf(work))
+	entry, refusal := manager.guard.Begin(fullKey, keyTime, fingerprintOf(work))
 	if refusal != nil {
-		answer.refuseTo(refusal, k.guard.OwnerOf(fullKey))
+		writer.refuseWithOwner(refusal, manager.guard.OwnerOf(fullKey))
 		return
 	}
-	waiting := keyedAnswer{keeper: k, record: begun.Record, replayed: !begun.Run}
-	if begun.Run {
-		// The record keeps only so much of a body; whoever asked first gets
-		// all of it.
-		waiting.whole = new(once.Outcome)
-		a.runs.Go(func() { a.runKeyed(p, k, call, work, waiting) })
+	waiter := keyedWaiter{manager: manager, record: entry.Record, replayed: !entry.Run}
+	if entry.Run {
+		// The record keeps only a limited part of a body. The request that began the run
+		// gets all of it.
+		waiter.fullOutcome = new(once.Outcome)
+		a.keyedRuns.Go(func() { a.runKeyed(p, manager, call, work, waiter) })
 	}
-	waiting.send(ctx, answer)
+	waiter.send(ctx, writer)
 }
 
-// keyedAnswer is one caller's wait for the end of a key's run.
-type keyedAnswer struct {
-	keeper *keeper
-	record *once.Record
-	// replayed says that another request began the run.
+// keyedWaiter is one caller's wait for the end of a key's run.
+type keyedWaiter struct {
+	manager *slotManager
+	record  *once.Record
+	// replayed is true if another request began the run.
 	replayed bool
-	// whole is the untrimmed outcome for the request that began the run; it
-	// is written before the record ends.
-	whole *once.Outcome
+	// fullOutcome is the untrimmed outcome for the request that began the run. It is
+	// written before the record ends.
+	fullOutcome *once.Outcome
 }
 
-// runKeyed admits and runs a keyed request; whatever happens, the record ends.
-func (a *Agent) runKeyed(p *place, k *keeper, call *wire.Call, work *wire.ServiceWork, waiting keyedAnswer) {
-	record := waiting.record
+// runKeyed admits and runs a keyed request. The record ends in every case.
+func (a *Agent) runKeyed(p *localTarget, manager *slotManager, call *wire.Call, work *wire.ServiceWork, waiter keyedWaiter) {
+	record := waiter.record
 	ctx, cancel := context.WithTimeout(context.Background(), a.options.RunTimeout)
 	defer cancel()
 	queueTime := time.Duration(call.GetTimeLeftMs()) * time.Millisecond
@@ -163,91 +163,91 @@
 	defer cancelQueue()
 	admitted, refusal := p.gate.Admit(queueCtx, ticketOf(call, len(work.GetBody())))
 	if refusal != nil {
-		k.reopen(record, refusal)
+		manager.reopen(record, refusal)
 		return
 	}
 	defer admitted.Release()
 	response, err := p.Service.Do(ctx, serviceRequest(work))
-	p.heedRest(response.Rest, err)
+	p.applyOutcome(response.Rest, err)
 	if errors.Is(err, target.ErrRefused) {
-		k.reopen(record, serviceRefusal(err))
+		manager.reopen(record, serviceRefusal(err))
 		return
 	}
 	if err != nil {
 		a.log.Warn("outcome of a keyed request is lost", "target", p.ID, "request", call.GetRequestId(), "error", err)
-		k.end(record, once.InDoubt, once.Outcome{})
+		manager.recordEnd(record, once.InDoubt, once.Outcome{})
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, a.options.MaxAnswerBytes))
 	if err != nil {
-		k.end(record, once.InDoubt, once.Outcome{})
+		manager.recordEnd(record, once.InDoubt, once.Outcome{})
 		return
 	}
-	*waiting.whole = once.Outcome{Head: headOf(response), Body: body}
-	k.end(record, once.Done, *waiting.whole)
+	*waiter.fullOutcome = once.Outcome{Head: headOf(response), Body: body}
+	manager.recordEnd(record, once.Done, *waiter.fullOutcome)
 }
 
-// send waits for the record's end and passes its outcome on.
-func (w keyedAnswer) send(ctx context.Context, answer *answer) {
+// send waits for the record's end and sends its outcome.
+func (w keyedWaiter) send(ctx context.Context, writer *replyWriter) {
 	select {
 	case <-w.record.Ended():
 	case <-ctx.Done():
-		answer.refuse(fault.New(fault.Deadline, fault.Unknown, "the request still runs; ask again with the same key").After(time.Second))
+		writer.refuse(fault.New(fault.Deadline, fault.Unknown, "the request is still running; retry with the same key").After(time.Second))
 		return
 	}
-	state, outcome := w.keeper.guard.Snapshot(w.record)
-	if w.whole != nil && state == once.Done {
-		outcome = *w.whole
+	state, outcome := w.manager.guard.Snapshot(w.record)
+	if w.fullOutcome != nil && state == once.Done {
+		outcome = *w.fullOutcome
 	}
 	switch {
 	case state == once.Done && outcome.Trimmed:
-		answer.refuse(fault.New(fault.Cut, fault.Ran, "the request ran; its answer was too large to keep"))
+		writer.refuse(fault.New(fault.Cut, fault.Ran, "the request ran; its answer was too large to keep"))
 	case state == once.Done:
-		sendOutcome(outcome, w.replayed, answer)
+		sendOutcome(outcome, w.replayed, writer)
 	case state == once.Closed:
-		answer.refuse(fault.New(fault.KeyClosed, fault.NotRun, "the key was closed before it ran; use a new key"))
+		writer.refuse(fault.New(fault.KeyClosed, fault.NotRun, "the key was closed before it ran; use a new key"))
 	case state == once.Reopened:
-		answer.refuse(whyReopened(w.record.Why))
+		writer.refuse(reopenedRefusal(w.record.Why))
 	default:
-		answer.refuse(fault.New(fault.KeyInDoubt, fault.Unknown, "the request was sent to the service and its outcome is lost"))
+		writer.refuse(fault.New(fault.KeyInDoubt, fault.Unknown, "the request was sent to the service and its outcome is lost"))
 	}
 }
 
-func sendOutcome(outcome once.Outcome, replayed bool, answer *answer) {
-	if answer.head(outcome.Head) != nil {
+func sendOutcome(outcome once.Outcome, replayed bool, writer *replyWriter) {
+	if writer.head(outcome.Head) != nil {
 		return
 	}
 	reader := bytes.NewReader(outcome.Body)
 	for offset := int64(0); reader.Len() > 0; {
 		part := make([]byte, min(frameBytes, reader.Len()))
 		n, _ := reader.Read(part)
-		if answer.data(&wire.Data{Offset: offset, Bytes: part[:n]}) != nil {
+		if writer.data(&wire.Data{Offset: offset, Bytes: part[:n]}) != nil {
 			return
 		}
 		offset += int64(n)
 	}
-	answer.end(&wire.End{Length: int64(len(outcome.Body)), Replayed: replayed})
+	writer.end(&wire.End{Length: int64(len(outcome.Body)), Replayed: replayed})
 }
 
-// serveSettle says what became of a key, closing it if it never ran.
+// serveSettle replies with the outcome of a key, and closes the key if it never ran.
 func (a *Agent) serveSettle(ctx context.Context, settle *wire.Settle, stream link.Stream) {
-	answer := &answer{stream: stream, id: settle.GetRequestId()}
-	k, ok := a.keepers[settle.GetService()]
+	writer := &replyWriter{stream: stream, id: settle.GetRequestId()}
+	manager, ok := a.slotManagers[settle.GetService()]
 	if !ok {
-		answer.refuse(fault.New(fault.UnknownService, fault.Unknown, "service %q is not here", settle.GetService()))
+		writer.refuse(fault.New(fault.UnknownService, fault.Unknown, "service %q is not on this host", settle.GetService()))
 		return
 	}
-	at, err := once.ParseKey(settle.GetKey())
+	keyTime, err := once.ParseKey(settle.GetKey())
 	if err != nil {
-		answer.refuse(fault.New(fault.NeedsKey, fault.Unknown, "%v", err))
+		writer.refuse(fault.New(fault.NeedsKey, fault.Unknown, "%v", err))
 		return
 	}
 	fullKey := once.FullKey(settle.GetWorkspace(), settle.GetKey())
-	record, refusal := k.guard.Settle(fullKey, at)
+	record, refusal := manager.guard.Settle(fullKey, keyTime)
 	if refusal != nil {
-		answer.refuseTo(refusal, k.guard.OwnerOf(fullKey))
+		writer.refuseWithOwner(refusal, manager.guard.OwnerOf(fullKey))
 		return
 	}
-	keyedAnswer{keeper: k, record: record, replayed: true}.send(ctx, answer)
+	keyedWaiter{manager: manager, record: record, replayed: true}.send(ctx, writer)
 }
--- a/internal/agent/storm_test.go
+++ b/internal/agent/start_test.go
@@ -21,14 +21,14 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-type virtualClock struct{ began time.Time }
+type virtualClock struct{ start time.Time }
 
 func (c virtualClock) Wall() time.Time     { return time.Now() }
-func (c virtualClock) Boot() time.Duration { return time.Since(c.began) + time.Hour }
+func (c virtualClock) Boot() time.Duration { return time.Since(c.start) + time.Hour }
 
-// fleetOf starts n agents of one service that know each other.
-func fleetOf(n int, store *fakestore.Store, network *link.Memory) []*Agent {
-	clock := virtualClock{began: time.Now()}
+// newFleet returns n agents of one service that know each other.
+func newFleet(n int, store *fakestore.Store, network *link.Memory) []*Agent {
+	clock := virtualClock{start: time.Now()}
 	var members []*wire.Member
 	for i := range n {
 		id := fmt.Sprintf("host-%03d", i)
@@ -54,32 +54,33 @@
 	return agents
 }
 
-// Sixty agents of one service that start at once share 64 slots out within the
-// store's rate of 100 writes and 2,000 reads a second.
-func TestStartAtOnceKeepsTheStoresRate(t *testing.T) {
+// TestSimultaneousStartStaysWithinStoreRate checks that sixty agents of one service that
+// start at once distribute 64 slots within the store's rate limit of 100 writes and 2,000
+// reads a second.
+func TestSimultaneousStartStaysWithinStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := fakestore.New()
 		store.SetRates(2000, 100)
 		network := link.NewMemory()
-		agents := fleetOf(60, store, network)
+		agents := newFleet(60, store, network)
 		for _, a := range agents {
 			is.NoErr(a.Start(context.Background()))
 		}
-		began := time.Now()
+		start := time.Now()
 		owned := 0
 		for owned < 64 {
 			time.Sleep(500 * time.Millisecond)
 			owned = 0
 			for _, a := range agents {
-				owned += a.keepers["topup"].guard.OwnedSlots()
+				owned += a.slotManagers["topup"].guard.OwnedSlots()
 			}
-			is.True(time.Since(began) < 3*time.Minute)
+			is.True(time.Since(start) < 3*time.Minute)
 		}
-		took := time.Since(began)
+		elapsed := time.Since(start)
 		counts := store.Counts()
-		t.Logf("all slots owned after %v, %d writes, %d reads", took, counts.Writes, counts.Reads)
-		is.True(float64(counts.Writes)/took.Seconds() < 100)
+		t.Logf("all slots owned after %v, %d writes, %d reads", elapsed, counts.Writes, counts.Reads)
+		is.True(float64(counts.Writes)/elapsed.Seconds() < 100)
 		before := store.Counts()
 		time.Sleep(10 * time.Minute)
 		after := store.Counts()
