--- a/internal/link/ask.go
+++ b/internal/link/ask.go
@@ -6,7 +6,7 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// Ask opens an exchange of one message and one reply.
+// Ask opens an exchange that consists of one message and one reply.
 func Ask(ctx context.Context, dialer Dialer, address string, open *wire.Open) (*wire.Reply, error) {
 	stream, err := dialer.Open(ctx, address, open)
 	if err != nil {
--- a/internal/link/coalesce.go
+++ b/internal/link/coalesce.go
@@ -7,24 +7,23 @@
 	"time"
 )
 
-// coalesceMost bounds the bytes that wait to be written on one connection;
-// beyond it writers wait.
-const coalesceMost = 256 << 10
+// maxPendingBytes limits the bytes waiting to be written on one connection. Writers block
+// above it.
+const maxPendingBytes = 256 << 10
 
-// coalescer is a connection whose writes are gathered: while one write is
-// under way, what comes behind it goes out together in the next. A session
-// writes each frame in two small parts, so that this saves most system calls
-// under load and adds no wait without.
+// coalescer is a connection that batches writes: data written while another write is in
+// progress goes out together in the next one. A session writes each frame in two small
+// parts, so that this saves most system calls under load and adds no delay otherwise.
 type coalescer struct {
 	net.Conn
-	// heardAt is when bytes last came, in Unix nanoseconds.
-	heardAt atomic.Int64
+	// lastReadAt is when bytes were last received, in Unix nanoseconds.
+	lastReadAt atomic.Int64
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	// pending is what waits; spare is the buffer that was written last.
+	// pending is the data to write; spare is the buffer of the previous write, for reuse.
 	pending, spare []byte
-	// err is the first failure to write; it ends the connection.
+	// err is the first write error. It ends the connection.
 	err    error
 	closed bool
 	done   chan struct{}
@@ -32,31 +31,31 @@
 
 func newCoalescer(conn net.Conn) *coalescer {
 	c := &coalescer{Conn: conn, done: make(chan struct{})}
-	c.heardAt.Store(time.Now().UnixNano())
+	c.lastReadAt.Store(time.Now().UnixNano())
 	c.changed = sync.NewCond(&c.mu)
 	go c.flushLoop()
 	return c
 }
 
-// Read notes when bytes come.
-func (c *coalescer) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+// Read reads from the connection and records the time.
+func (c *coalescer) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.heardAt.Store(time.Now().UnixNano())
+		c.lastReadAt.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-// silent is how long nothing has come.
-func (c *coalescer) silent(now time.Time) time.Duration {
-	return now.Sub(time.Unix(0, c.heardAt.Load()))
+// silence returns the time since bytes were last received.
+func (c *coalescer) silence(now time.Time) time.Duration {
+	return now.Sub(time.Unix(0, c.lastReadAt.Load()))
 }
 
-// Write takes the bytes and returns; a failure shows in a later call.
+// Write queues the data and returns. A later call returns the error of a failed write.
 func (c *coalescer) Write(data []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.pending) >= coalesceMost && c.err == nil && !c.closed {
+	for len(c.pending) >= maxPendingBytes && c.err == nil && !c.closed {
 		c.changed.Wait()
 	}
 	if c.closed {
@@ -73,7 +72,7 @@
 func (c *coalescer) flushLoop() {
 	defer close(c.done)
 	for {
-		batch, ok := c.take()
+		batch, ok := c.nextBatch()
 		if !ok {
 			return
 		}
@@ -88,8 +87,8 @@
 	}
 }
 
-// take waits for bytes to write; false when there will be none.
-func (c *coalescer) take() ([]byte, bool) {
+// nextBatch waits for data to write. It returns false when there will be none.
+func (c *coalescer) nextBatch() ([]byte, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.pending) == 0 && !c.closed && c.err == nil {
@@ -104,7 +103,7 @@
 	return batch, true
 }
 
-// Close ends the connection and waits for the writer.
+// Close closes the connection and waits for the writer.
 func (c *coalescer) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,7 +1,7 @@
-// Package link carries typed messages between the project's own processes:
-// one yamux session for each pair, opened on demand, with one stream for each
-// exchange and protobuf messages of bounded size. A memory network with
-// switchable faults stands in for it in tests.
+// Package link carries typed messages between the project's own processes: one yamux
+// session for each pair, opened on demand, with one stream for each exchange and protobuf
+// messages of limited size. Tests can replace it by an in-memory network with fault
+// injection.
 package link
 
 import (
@@ -11,18 +11,18 @@
 )
 
 const (
-	// Version is the link protocol's version; a peer with another is dropped.
+	// Version is the link protocol's version. Peers with another version are dropped.
 	Version = 1
-	// MaxMessage bounds one message, in bytes.
+	// MaxMessage limits one message, in bytes.
 	MaxMessage = 4 << 20
 )
 
-// Stream is one exchange: an Open from the caller, replies from the server.
-// Send and Recv may be used from one goroutine each.
+// Stream is one exchange: an Open from the caller, followed by replies from the server.
+// Send and Recv may be used by one goroutine each.
 type Stream interface {
-	// Send writes one message and returns when it is handed to the session.
+	// Send writes one message and returns once the session has accepted it.
 	Send(msg Message) error
-	// Recv reads one message into msg; io.EOF when the peer closed cleanly.
+	// Recv reads one message into msg. It returns io.EOF when the peer closed cleanly.
 	Recv(msg Message) error
 	// Close ends the exchange on both sides.
 	Close() error
@@ -33,6 +33,6 @@
 	Open(ctx context.Context, address string, open *wire.Open) (Stream, error)
 }
 
-// Handler serves one exchange; the stream is closed when it returns. The
-// context ends when the peer closes the stream or the session is lost.
+// Handler serves one exchange. The stream is closed when it returns. The context ends
+// when the peer closes the stream or the session is lost.
 type Handler func(ctx context.Context, open *wire.Open, stream Stream)
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -43,7 +43,7 @@
 	return p
 }
 
-func callOf(id string) *wire.Open {
+func newCall(id string) *wire.Open {
 	return &wire.Open{Kind: &wire.Open_Call{Call: &wire.Call{RequestId: id}}}
 }
 
@@ -51,91 +51,92 @@
 	_ = stream.Send(&wire.Reply{RequestId: open.GetCall().GetRequestId()})
 }
 
-func TestOneSessionServesAllExchanges(t *testing.T) {
+func TestExchangesShareOneSession(t *testing.T) {
 	is := is.New(t)
 	server, pool := startServer(t, echo), startPool(t)
 	for _, id := range []string{"a", "b", "c"} {
-		reply, err := Ask(t.Context(), pool, server.Address(), callOf(id))
+		reply, err := Ask(t.Context(), pool, server.Address(), newCall(id))
 		is.NoErr(err)
 		is.Equal(reply.GetRequestId(), id)
 	}
 	is.Equal(pool.Sessions(), 1)
 }
 
-// A caller that closes ends the handler's context.
-func TestCloseReachesTheHandler(t *testing.T) {
+// TestCloseCancelsHandler checks that a caller's close ends the handler's context.
+func TestCloseCancelsHandler(t *testing.T) {
 	is := is.New(t)
 	cause := make(chan error, 1)
 	server, pool := startServer(t, func(ctx context.Context, _ *wire.Open, _ Stream) {
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
 	}), startPool(t)
-	stream, err := pool.Open(t.Context(), server.Address(), callOf("a"))
+	stream, err := pool.Open(t.Context(), server.Address(), newCall("a"))
 	is.NoErr(err)
 	is.NoErr(stream.Close())
 	is.Equal(<-cause, ErrPeerClosed)
 }
 
-// A slow reader stalls only its own exchange.
-func TestSlowReaderStallsOnlyItself(t *testing.T) {
+// TestSlowReaderBlocksOnlyItsExchange checks that other exchanges proceed while one has a
+// slow reader.
+func TestSlowReaderBlocksOnlyItsExchange(t *testing.T) {
 	is := is.New(t)
-	stuck := make(chan struct{})
+	handlerDone := make(chan struct{})
 	server, pool := startServer(t, func(_ context.Context, open *wire.Open, stream Stream) {
 		if open.GetCall().GetRequestId() != "slow" {
 			echo(t.Context(), open, stream)
 			return
 		}
-		defer close(stuck)
+		defer close(handlerDone)
 		part := &wire.Reply{Kind: &wire.Reply_Data{Data: &wire.Data{Bytes: make([]byte, 64<<10)}}}
 		sendForever(stream, part)
 	}), startPool(t)
-	slow, err := pool.Open(t.Context(), server.Address(), callOf("slow"))
+	slow, err := pool.Open(t.Context(), server.Address(), newCall("slow"))
 	is.NoErr(err)
 	for range 100 {
-		_, err := Ask(t.Context(), pool, server.Address(), callOf("quick"))
+		_, err := Ask(t.Context(), pool, server.Address(), newCall("quick"))
 		is.NoErr(err)
 	}
 	is.NoErr(slow.Close())
-	<-stuck
+	<-handlerDone
 }
 
-// A peer that falls silent with an exchange open, without closing, is probed
-// and given up.
-func TestSilentPeerIsGivenUp(t *testing.T) {
+// TestSilentPeerIsDropped checks that a peer which stops responding during an exchange,
+// without closing, is probed and dropped.
+func TestSilentPeerIsDropped(t *testing.T) {
 	is := is.New(t)
 	server, pool := startServer(t, func(ctx context.Context, _ *wire.Open, _ Stream) { <-ctx.Done() }), startPool(t)
 	relay := newRelay(t, server.Address())
-	stream, err := pool.Open(t.Context(), relay.address(), callOf("a"))
+	stream, err := pool.Open(t.Context(), relay.address(), newCall("a"))
 	is.NoErr(err)
 	relay.freeze()
 	is.True(stream.Recv(new(wire.Reply)) != nil)
 }
 
-// relay passes bytes on until it is frozen; its connections stay open.
+// relay forwards bytes until it is frozen. Its connections stay open.
 type relay struct {
 	listener net.Listener
 	frozen   chan struct{}
 	once     sync.Once
 }
 
-func newRelay(t *testing.T, to string) *relay {
+func newRelay(t *testing.T, target string) *relay {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	r := &relay{listener: listener, frozen: make(chan struct{})}
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	var conns []net.Conn
-	wait.Go(func() {
-		near, err := listener.Accept()
+	wg.Go(func() {
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", to)
+		server, err := net.Dial("tcp", target)
 		if err != nil {
 			return
 		}
-		conns = append(conns, near, far)
-		wait.Go(func() { r.pass(near, far) })
-		wait.Go(func() { r.pass(far, near) })
+		conns = append(conns, client, server)
+		wg.Go(func() { r.pass(client, server) })
+		wg.Go(func() { r.pass(server, client) })
 	})
 	t.Cleanup(func() {
 		r.freeze()
@@ -143,7 +144,7 @@
 		for _, conn := range conns {
 			_ = conn.Close()
 		}
-		wait.Wait()
+		wg.Wait()
 	})
 	return r
 }
@@ -168,23 +169,23 @@
 	}
 }
 
-// After the server has gone, an exchange fails as not run, and works again
+// TestReconnect checks that an exchange fails after the server has closed, and succeeds
 // once a server is back.
 func TestReconnect(t *testing.T) {
 	is := is.New(t)
 	server, pool := startServer(t, echo), startPool(t)
 	address := server.Address()
-	_, err := Ask(t.Context(), pool, address, callOf("a"))
+	_, err := Ask(t.Context(), pool, address, newCall("a"))
 	is.NoErr(err)
 	is.NoErr(server.Close())
-	_, err = Ask(t.Context(), pool, address, callOf("b"))
+	_, err = Ask(t.Context(), pool, address, newCall("b"))
 	is.True(err != nil)
 	listener, err := net.Listen("tcp", address)
 	is.NoErr(err)
-	again := NewServer(listener, hello(), nil, log.New(io.Discard), echo)
-	defer func() { _ = again.Close() }()
+	restarted := NewServer(listener, hello(), nil, log.New(io.Discard), echo)
+	defer func() { _ = restarted.Close() }()
 	for {
-		if _, err = Ask(t.Context(), pool, address, callOf("c")); err == nil {
+		if _, err = Ask(t.Context(), pool, address, newCall("c")); err == nil {
 			return
 		}
 		if t.Context().Err() != nil {
@@ -193,7 +194,7 @@
 	}
 }
 
-// sendForever sends one message again and again until the stream ends.
+// sendForever sends a message repeatedly until the stream ends.
 func sendForever(stream Stream, msg Message) {
 	err := stream.Send(msg)
 	for err == nil {
@@ -210,8 +211,8 @@
 	return session
 }
 
-// Peers that send garbage, huge frames or another version are dropped and
-// counted, and the handler never sees them.
+// TestBadPeersAreDropped checks that peers which send garbage, huge frames or another
+// version are dropped and counted, and that the handler is not called for them.
 func TestBadPeersAreDropped(t *testing.T) {
 	tests := map[string]func(conn net.Conn){
 		"garbage": func(conn net.Conn) {
@@ -246,8 +247,9 @@
 	}
 }
 
-// A message that is cut short is an error, never a clean end.
-func TestTruncationIsNoEnd(t *testing.T) {
+// TestTruncatedMessageIsNotEOF checks that a truncated message is an error and not a
+// clean end.
+func TestTruncatedMessageIsNotEOF(t *testing.T) {
 	is := is.New(t)
 	ours, theirs := net.Pipe()
 	go func() {
@@ -262,7 +264,7 @@
 }
 
 func FuzzFrames(f *testing.F) {
-	data, _ := proto.Marshal(callOf("seed"))
+	data, _ := proto.Marshal(newCall("seed"))
 	f.Add(append(binary.AppendUvarint(nil, uint64(len(data))), data...))
 	f.Add([]byte{0})
 	f.Add([]byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff\xff"))
@@ -282,7 +284,7 @@
 	})
 }
 
-// BenchmarkStream is pieces passed through one session, a frame each.
+// BenchmarkStream measures pieces sent through one session, one per frame.
 func BenchmarkStream(b *testing.B) {
 	piece := &wire.Reply{RequestId: "request-0123456789", Attempt: 1, Kind: &wire.Reply_Data{Data: &wire.Data{Offset: 100, Pieces: []string{" kitchen"}}}}
 	listener, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -292,7 +294,7 @@
 	defer func() { _ = server.Close() }()
 	pool := NewPool(hello(), nil)
 	defer func() { _ = pool.Close() }()
-	stream, err := pool.Open(b.Context(), server.Address(), callOf("a"))
+	stream, err := pool.Open(b.Context(), server.Address(), newCall("a"))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/link/memory.go
+++ b/internal/link/memory.go
@@ -12,34 +12,34 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// memoryBuffer is how many messages one direction of a memory stream holds.
+// memoryBuffer is how many messages one direction of a memory stream buffers.
 const memoryBuffer = 16
 
-// Hop names the place of a message in an exchange, for faults.
+// Hop is the point of an exchange at which a fault can be injected.
 type Hop string
 
-// The hops at which a fault can be switched on.
+// Hops at which a fault can be injected.
 const (
-	// BeforeSend: the Open has not left the caller.
+	// BeforeSend is before the Open leaves the caller.
 	BeforeSend Hop = "before_send"
-	// AfterSend: the Open has reached the server; its answers are lost.
+	// AfterSend is after the Open has reached the server, whose replies are lost.
 	AfterSend Hop = "after_send"
-	// OnReply: a reply is about to reach the caller.
+	// OnReply is before a reply reaches the caller.
 	OnReply Hop = "on_reply"
 )
 
-// Cut decides whether the exchange breaks at a hop. For OnReply, reply is the
-// message about to arrive.
+// Cut decides whether to interrupt the exchange at a hop. For OnReply, reply is the
+// message about to be delivered.
 type Cut func(address string, hop Hop, open *wire.Open, reply Message) bool
 
-// Memory is a network inside one process; it works under virtual time.
+// Memory is an in-process network. It works under the virtual time of synctest.
 type Memory struct {
 	mu       sync.Mutex
 	handlers map[string]Handler
 	down     map[string]bool
 	cut      Cut
-	live     map[*memoryStream]string
-	wait     sync.WaitGroup
+	streams  map[*memoryStream]string
+	wg       sync.WaitGroup
 }
 
 // NewMemory returns an empty network.
@@ -47,25 +47,26 @@
 	return &Memory{
 		handlers: make(map[string]Handler),
 		down:     make(map[string]bool),
-		live:     make(map[*memoryStream]string),
+		streams:  make(map[*memoryStream]string),
 	}
 }
 
-// Serve answers exchanges at an address.
+// Serve registers the handler of exchanges at an address.
 func (m *Memory) Serve(address string, handler Handler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.handlers[address] = handler
 }
 
-// SetCut installs the fault decision; nil switches faults off.
+// SetCut installs the fault injection; nil removes it.
 func (m *Memory) SetCut(cut Cut) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cut = cut
 }
 
-// SetDown cuts an address off, or connects it again; live exchanges break.
+// SetDown disconnects an address or connects it again. Disconnecting interrupts the open
+// exchanges with it.
 func (m *Memory) SetDown(address string, down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,22 +74,22 @@
 	if !down {
 		return
 	}
-	for stream, at := range m.live {
-		if at == address {
-			stream.breakOff()
+	for stream, streamAddress := range m.streams {
+		if streamAddress == address {
+			stream.disconnect()
 		}
 	}
 }
 
-func (m *Memory) cuts(address string, hop Hop, open *wire.Open, reply Message) bool {
+func (m *Memory) shouldCut(address string, hop Hop, open *wire.Open, reply Message) bool {
 	m.mu.Lock()
 	cut := m.cut
 	m.mu.Unlock()
 	return cut != nil && cut(address, hop, open, reply)
 }
 
-// From returns the dialer of the process at an address: when that is cut off,
-// its exchanges fail too.
+// From returns the dialer of the process at an address. While that address is
+// disconnected, its exchanges fail too.
 func (m *Memory) From(source string) Dialer {
 	return &memoryDialer{network: m, source: source}
 }
@@ -109,8 +110,8 @@
 	handler := m.handlers[address]
 	down := m.down[address] || m.down[source]
 	m.mu.Unlock()
-	if handler == nil || down || m.cuts(address, BeforeSend, open, nil) {
-		return nil, fault.New(fault.LinkFailed, fault.NotRun, "%s: no link", address)
+	if handler == nil || down || m.shouldCut(address, BeforeSend, open, nil) {
+		return nil, fault.New(fault.LinkFailed, fault.NotRun, "%s: no connection", address)
 	}
 	serverCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stream := &memoryStream{
@@ -122,35 +123,35 @@
 		cancel:  cancel,
 	}
 	m.mu.Lock()
-	m.live[stream] = address
+	m.streams[stream] = address
 	m.mu.Unlock()
-	m.wait.Go(func() {
-		handler(serverCtx, proto.CloneOf(open), &memoryServerEnd{stream: stream})
+	m.wg.Go(func() {
+		handler(serverCtx, proto.CloneOf(open), &memoryServerStream{stream: stream})
 		close(stream.replies)
 		cancel(nil)
 		m.mu.Lock()
-		delete(m.live, stream)
+		delete(m.streams, stream)
 		m.mu.Unlock()
 	})
-	if m.cuts(address, AfterSend, open, nil) {
-		stream.breakOff()
+	if m.shouldCut(address, AfterSend, open, nil) {
+		stream.disconnect()
 		return nil, fault.New(fault.LinkFailed, fault.Unknown, "%s: link lost after send", address)
 	}
 	return stream, nil
 }
 
-// Close waits for the handlers to end.
+// Close interrupts the open exchanges and waits for the handlers.
 func (m *Memory) Close() error {
 	m.mu.Lock()
-	for stream := range m.live {
-		stream.breakOff()
+	for stream := range m.streams {
+		stream.disconnect()
 	}
 	m.mu.Unlock()
-	m.wait.Wait()
+	m.wg.Wait()
 	return nil
 }
 
-// memoryStream is the caller's end.
+// memoryStream is the caller's end of an exchange.
 type memoryStream struct {
 	network *Memory
 	address string
@@ -161,7 +162,7 @@
 	cancel  context.CancelCauseFunc
 }
 
-func (s *memoryStream) breakOff() {
+func (s *memoryStream) disconnect() {
 	s.end(ErrLinkLost)
 }
 
@@ -172,7 +173,7 @@
 	})
 }
 
-// Send is refused: a caller sends nothing after its Open.
+// Send returns an error: a caller sends nothing after its Open.
 func (s *memoryStream) Send(Message) error {
 	return errors.New("a caller sends only its first message")
 }
@@ -182,16 +183,16 @@
 	select {
 	case <-s.done:
 		return errors.Wrap(ErrLinkLost, "read message")
-	case got, ok := <-s.replies:
+	case reply, ok := <-s.replies:
 		if !ok {
 			return io.EOF
 		}
-		if s.network.cuts(s.address, OnReply, s.open, got) {
-			s.breakOff()
+		if s.network.shouldCut(s.address, OnReply, s.open, reply) {
+			s.disconnect()
 			return errors.Wrap(ErrLinkLost, "read message")
 		}
 		proto.Reset(msg)
-		proto.Merge(msg, got)
+		proto.Merge(msg, reply)
 		return nil
 	}
 }
@@ -202,13 +203,13 @@
 	return nil
 }
 
-// memoryServerEnd is the server's end.
-type memoryServerEnd struct {
+// memoryServerStream is the server's end of an exchange.
+type memoryServerStream struct {
 	stream *memoryStream
 }
 
-// Send passes one reply on.
-func (s *memoryServerEnd) Send(msg Message) error {
+// Send delivers one reply.
+func (s *memoryServerStream) Send(msg Message) error {
 	select {
 	case <-s.stream.done:
 		return errors.Wrap(ErrLinkLost, "write message")
@@ -217,12 +218,12 @@
 	}
 }
 
-// Recv is refused: a server reads only the first message.
-func (s *memoryServerEnd) Recv(Message) error {
+// Recv returns io.EOF: a server reads only the first message.
+func (s *memoryServerStream) Recv(Message) error {
 	return io.EOF
 }
 
 // Close does nothing: the exchange ends when the handler returns.
-func (s *memoryServerEnd) Close() error {
+func (s *memoryServerStream) Close() error {
 	return nil
 }
--- a/internal/link/memory_bench_test.go
+++ b/internal/link/memory_bench_test.go
@@ -16,16 +16,15 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// inUse is the heap and stacks of the process.
-func inUse() float64 {
+// memoryInUse returns the size of the process's heap and stacks.
+func memoryInUse() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// BenchmarkIdleLink is the memory of a session with no stream, both ends
-// together.
+// BenchmarkIdleLink measures the memory of a session without streams, both ends together.
 func BenchmarkIdleLink(b *testing.B) {
 	authority, err := secure.NewAuthority()
 	if err != nil {
@@ -62,21 +61,21 @@
 		servers = append(servers, NewServer(listener, hello(), config, log.New(io.Discard), echo))
 	}
 	pool := NewPool(hello(), config)
-	before := inUse()
+	before := memoryInUse()
 	for _, server := range servers {
-		if _, err := Ask(b.Context(), pool, server.Address(), callOf("a")); err != nil {
+		if _, err := Ask(b.Context(), pool, server.Address(), newCall("a")); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric((inUse()-before)/float64(n), "bytes/link-both-ends")
+	b.ReportMetric((memoryInUse()-before)/float64(n), "bytes/link-both-ends")
 	_ = pool.Close()
 	for _, server := range servers {
 		_ = server.Close()
 	}
 }
 
-// BenchmarkOpenExchange is the memory of one exchange in flight on a session,
-// both ends together.
+// BenchmarkOpenExchange measures the memory of one exchange in flight on a session, both
+// ends together.
 func BenchmarkOpenExchange(b *testing.B) {
 	const n = 500
 	for b.Loop() {
@@ -91,16 +90,16 @@
 		})
 		pool := NewPool(hello(), nil)
 		var streams []Stream
-		before := inUse()
+		before := memoryInUse()
 		for range n {
-			stream, err := pool.Open(b.Context(), server.Address(), callOf("a"))
+			stream, err := pool.Open(b.Context(), server.Address(), newCall("a"))
 			if err != nil {
 				b.Fatal(err)
 			}
 			_ = stream.Recv(new(wire.Reply))
 			streams = append(streams, stream)
 		}
-		b.ReportMetric((inUse()-before)/n, "bytes/exchange-both-ends")
+		b.ReportMetric((memoryInUse()-before)/n, "bytes/exchange-both-ends")
 		close(release)
 		for _, stream := range streams {
 			_ = stream.Close()
--- a/internal/link/pool.go
+++ b/internal/link/pool.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// dialTimeout bounds the making of a session.
+	// dialTimeout limits each step of opening a session: the dial, the TLS handshake and
+	// the hello.
 	dialTimeout = 2 * time.Second
-	// idleAfter is how long a session without streams is kept. At the planned
-	// size a router meets each agent about once a minute and a half: closing
-	// sooner would cost more bytes in new sessions than all other control.
-	idleAfter = 10 * time.Minute
-	// sweepEvery is how often idle and silent sessions are looked for.
-	sweepEvery = time.Second
-	// redialFirst and redialMost bound the wait after failed dials.
-	redialFirst = 50 * time.Millisecond
-	redialMost  = 5 * time.Second
+	// idleTimeout is how long a session without streams is kept open. At the planned size
+	// a router contacts each agent about once every 90 seconds. Closing sooner would cost
+	// more bytes for new sessions than all other control traffic.
+	idleTimeout = 10 * time.Minute
+	// sweepInterval is the time between two checks for idle and silent sessions.
+	sweepInterval = time.Second
+	// minRedialBackoff and maxRedialBackoff limit the delay after failed dials.
+	minRedialBackoff = 50 * time.Millisecond
+	maxRedialBackoff = 5 * time.Second
 )
 
 // Pool keeps one session for each peer address, opened on demand.
@@ -41,35 +42,36 @@
 	peers  map[string]*peer
 	closed bool
 	stop   chan struct{}
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// peer is what the pool knows of one address.
+// peer is the pool's state of one address.
 type peer struct {
-	// dialing is held while a session is made, so that one dial serves all.
+	// dialing is held while a session is opened, so that concurrent calls share one dial.
 	dialing sync.Mutex
-	// session is nil until the first dial and after a loss.
+	// session is nil until the first dial, and closed after a loss.
 	session *yamux.Session
 	// conn is the session's connection.
-	conn *coalescer
-	used time.Time
-	// probing is true while a probe is under way.
+	conn     *coalescer
+	lastUsed time.Time
+	// probing is true while a probe is in progress.
 	probing atomic.Bool
-	// notBefore holds dials back after failures.
+	// notBefore delays dials after failures.
 	notBefore time.Time
-	waits     *backoff.ExponentialBackOff
+	backoff   *backoff.ExponentialBackOff
 }
 
-// NewPool returns a pool that introduces itself with hello. With a nil TLS
-// configuration its links are not encrypted.
+// NewPool returns a pool that sends hello on new sessions. With a nil TLS configuration
+// its links are not encrypted.
 func NewPool(hello *wire.Hello, config *tls.Config) *Pool {
 	p := &Pool{hello: hello, tls: config, peers: make(map[string]*peer), stop: make(chan struct{})}
-	p.wait.Go(p.sweep)
+	p.wg.Go(p.sweep)
 	return p
 }
 
-// Open starts an exchange with the process at address. It fails with
-// fault.LinkFailed and run state NotRun: nothing was sent.
+// Open starts an exchange with the process at address. If no stream could be opened, it
+// fails with fault.LinkFailed and run state NotRun: nothing was sent. If the first
+// message could not be written, the run state is Unknown.
 func (p *Pool) Open(ctx context.Context, address string, open *wire.Open) (Stream, error) {
 	session, err := p.session(ctx, address)
 	if err != nil {
@@ -95,13 +97,13 @@
 	}
 	known, ok := p.peers[address]
 	if !ok {
-		waits := backoff.NewExponentialBackOff()
-		waits.InitialInterval = redialFirst
-		waits.MaxInterval = redialMost
-		known = &peer{waits: waits}
+		dialBackoff := backoff.NewExponentialBackOff()
+		dialBackoff.InitialInterval = minRedialBackoff
+		dialBackoff.MaxInterval = maxRedialBackoff
+		known = &peer{backoff: dialBackoff}
 		p.peers[address] = known
 	}
-	known.used = time.Now()
+	known.lastUsed = time.Now()
 	return known, nil
 }
 
@@ -115,15 +117,15 @@
 	if peer.session != nil && !peer.session.IsClosed() {
 		return peer.session, nil
 	}
-	if wait := time.Until(peer.notBefore); wait > 0 {
-		return nil, errors.Newf("next dial in %v", wait.Round(time.Millisecond))
+	if delay := time.Until(peer.notBefore); delay > 0 {
+		return nil, errors.Newf("next dial attempt in %v", delay.Round(time.Millisecond))
 	}
 	session, conn, err := p.dial(ctx, address)
 	if err != nil {
-		peer.notBefore = time.Now().Add(peer.waits.NextBackOff())
+		peer.notBefore = time.Now().Add(peer.backoff.NextBackOff())
 		return nil, err
 	}
-	peer.waits.Reset()
+	peer.backoff.Reset()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -135,7 +137,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*yamux.Session, *coalescer, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive(), Control: socket.UserTimeout(silentFor)}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive(), Control: socket.UserTimeout(maxSilence)}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "dial")
@@ -143,18 +145,18 @@
 	if conn, err = p.encrypt(ctx, conn); err != nil {
 		return nil, nil, err
 	}
-	gathered := newCoalescer(conn)
-	session, err := yamux.Client(gathered, sessionConfig())
+	coalesced := newCoalescer(conn)
+	session, err := yamux.Client(coalesced, sessionConfig())
 	if err != nil {
-		return nil, nil, errors.CombineErrors(errors.Wrap(err, "start session"), gathered.Close())
+		return nil, nil, errors.CombineErrors(errors.Wrap(err, "start session"), coalesced.Close())
 	}
-	if err := p.introduce(session); err != nil {
+	if err := p.exchangeHello(session); err != nil {
 		return nil, nil, errors.CombineErrors(err, session.Close())
 	}
-	return session, gathered, nil
+	return session, coalesced, nil
 }
 
-// encrypt runs the TLS handshake, if links are encrypted.
+// encrypt performs the TLS handshake if links are encrypted.
 func (p *Pool) encrypt(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if p.tls == nil {
 		return conn, nil
@@ -168,8 +170,8 @@
 	return encrypted, nil
 }
 
-// introduce sends Hello and waits for the server's clean close in answer.
-func (p *Pool) introduce(session *yamux.Session) error {
+// exchangeHello sends Hello and checks the version in the server's Hello.
+func (p *Pool) exchangeHello(session *yamux.Session) error {
 	conn, err := session.OpenStream()
 	if err != nil {
 		return errors.Wrap(err, "open stream")
@@ -181,19 +183,19 @@
 	if err := stream.Send(open); err != nil {
 		return err
 	}
-	answer := new(wire.Hello)
-	if err := stream.Recv(answer); err != nil {
+	reply := new(wire.Hello)
+	if err := stream.Recv(reply); err != nil {
 		return errors.Wrap(err, "peer did not answer hello")
 	}
-	if answer.GetVersion() != Version {
-		return errors.Newf("peer speaks version %d, this process %d", answer.GetVersion(), Version)
+	if reply.GetVersion() != Version {
+		return errors.Newf("peer uses version %d, this process uses version %d", reply.GetVersion(), Version)
 	}
 	return nil
 }
 
-// sweep closes sessions that have had no stream for idleAfter.
+// sweep periodically closes idle sessions and probes silent ones.
 func (p *Pool) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -211,10 +213,10 @@
 	defer p.mu.Unlock()
 	for address, peer := range p.peers {
 		if peer.session != nil && peer.session.NumStreams() > 0 {
-			peer.used = now
+			peer.lastUsed = now
 			continue
 		}
-		if now.Sub(peer.used) < idleAfter {
+		if now.Sub(peer.lastUsed) < idleTimeout {
 			continue
 		}
 		if peer.session != nil {
@@ -224,20 +226,20 @@
 	}
 }
 
-// probeSilent probes sessions with open streams from which nothing has come
-// for a while, and ends those that do not answer.
+// probeSilent probes sessions that have open streams but have received nothing for a
+// while, and closes those that do not answer.
 func (p *Pool) probeSilent(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range p.peers {
 		session := peer.session
-		if session == nil || session.NumStreams() == 0 || peer.conn.silent(now) < silentFor {
+		if session == nil || session.NumStreams() == 0 || peer.conn.silence(now) < maxSilence {
 			continue
 		}
 		if !peer.probing.CompareAndSwap(false, true) {
 			continue
 		}
-		p.wait.Go(func() {
+		p.wg.Go(func() {
 			defer peer.probing.Store(false)
 			if _, err := session.Ping(); err != nil {
 				_ = session.Close()
@@ -246,7 +248,7 @@
 	}
 }
 
-// Sessions counts the sessions that are open.
+// Sessions returns the number of open sessions.
 func (p *Pool) Sessions() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -259,7 +261,7 @@
 	return open
 }
 
-// Close ends all sessions and waits for the pool's goroutines.
+// Close closes all sessions and waits for the pool's goroutines.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	if p.closed {
@@ -274,6 +276,6 @@
 		}
 	}
 	p.mu.Unlock()
-	p.wait.Wait()
+	p.wg.Wait()
 	return nil
 }
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -17,16 +17,16 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// ErrLinkLost is the cause of a handler's context when the session broke.
+// ErrLinkLost is the cause of a handler's canceled context when the session was lost.
 var ErrLinkLost = errors.New("link lost")
 
 // ErrPeerClosed is the cause when the peer closed the exchange.
 var ErrPeerClosed = errors.New("peer closed the exchange")
 
-// openTimeout bounds the wait for a stream's first message.
+// openTimeout limits the wait for a stream's first message, and the TLS handshake.
 const openTimeout = 5 * time.Second
 
-// Server accepts sessions and hands each exchange to a handler.
+// Server accepts sessions and passes each exchange to a handler.
 type Server struct {
 	listener net.Listener
 	handler  Handler
@@ -36,15 +36,15 @@
 	log      *log.Logger
 	badPeers atomic.Int64
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	open   map[*yamux.Session]struct{}
-	wait   sync.WaitGroup
+	ctx      context.Context
+	cancel   context.CancelFunc
+	mu       sync.Mutex
+	sessions map[*yamux.Session]struct{}
+	wg       sync.WaitGroup
 }
 
-// NewServer serves the listener at once; it owns the listener. With a nil TLS
-// configuration its links are not encrypted.
+// NewServer starts to serve the listener, which it owns. With a nil TLS configuration its
+// links are not encrypted.
 func NewServer(listener net.Listener, hello *wire.Hello, config *tls.Config, logger *log.Logger, handler Handler) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
@@ -55,18 +55,19 @@
 		log:      logger,
 		ctx:      ctx,
 		cancel:   cancel,
-		open:     make(map[*yamux.Session]struct{}),
+		sessions: make(map[*yamux.Session]struct{}),
 	}
-	s.wait.Go(s.accept)
+	s.wg.Go(s.accept)
 	return s
 }
 
-// Address is the listening address, IP:port.
+// Address returns the listening address, IP:port.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// BadPeers counts peers dropped for what they sent.
+// BadPeers returns the number of peers dropped for invalid input or a failed TLS
+// handshake.
 func (s *Server) BadPeers() int64 {
 	return s.badPeers.Load()
 }
@@ -77,7 +78,7 @@
 		if err != nil {
 			return
 		}
-		s.wait.Go(func() { s.serveConn(conn) })
+		s.wg.Go(func() { s.serveConn(conn) })
 	}
 }
 
@@ -92,31 +93,31 @@
 		}
 		conn = encrypted
 	}
-	gathered := newCoalescer(conn)
-	session, err := yamux.Server(gathered, sessionConfig())
+	coalesced := newCoalescer(conn)
+	session, err := yamux.Server(coalesced, sessionConfig())
 	if err != nil {
-		_ = gathered.Close()
+		_ = coalesced.Close()
 		return
 	}
 	if !s.track(session) {
 		_ = session.Close()
 		return
 	}
-	defer s.forget(session)
+	defer s.untrack(session)
 	for {
 		stream, err := session.AcceptStream()
 		if err != nil {
 			return
 		}
-		s.wait.Go(func() { s.serveStream(session, stream) })
+		s.wg.Go(func() { s.serveStream(session, stream) })
 	}
 }
 
-// encrypt runs the TLS handshake; a peer that fails it is counted and dropped,
-// also while the server is being closed.
+// encrypt performs the TLS handshake. A peer that fails it is counted and dropped, even
+// while the server is closing.
 func (s *Server) encrypt(conn net.Conn) (net.Conn, error) {
-	release := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
-	defer release()
+	stop := context.AfterFunc(s.ctx, func() { _ = conn.Close() })
+	defer stop()
 	_ = conn.SetDeadline(time.Now().Add(openTimeout))
 	encrypted := tls.Server(conn, s.tls)
 	err := encrypted.Handshake()
@@ -124,7 +125,7 @@
 		return encrypted, conn.SetDeadline(time.Time{})
 	}
 	_ = conn.Close()
-	if wentAway(err) {
+	if isDisconnect(err) {
 		return nil, err
 	}
 	s.badPeers.Add(1)
@@ -132,14 +133,14 @@
 	return nil, err
 }
 
-// wentAway says whether a handshake ended because the connection did, which
-// says nothing against the peer; one that is silent for too long is none.
-func wentAway(err error) bool {
+// isDisconnect reports whether a handshake failed because the connection ended, which
+// does not count against the peer. A peer that is silent until the deadline does count.
+func isDisconnect(err error) bool {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	var network *net.OpError
-	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &network)
+	var opErr *net.OpError
+	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &opErr)
 }
 
 func (s *Server) track(session *yamux.Session) bool {
@@ -148,15 +149,15 @@
 	if s.ctx.Err() != nil {
 		return false
 	}
-	s.open[session] = struct{}{}
+	s.sessions[session] = struct{}{}
 	return true
 }
 
-func (s *Server) forget(session *yamux.Session) {
+func (s *Server) untrack(session *yamux.Session) {
 	_ = session.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, session)
+	delete(s.sessions, session)
 }
 
 func (s *Server) serveStream(session *yamux.Session, conn *yamux.Stream) {
@@ -175,21 +176,21 @@
 	}
 	ctx, cancel := context.WithCancelCause(s.ctx)
 	defer cancel(nil)
-	watch := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(watch)
-		cancel(s.awaitEnd(session, stream))
-		// Frees a handler that waits for a peer which reads no more.
+		defer close(closed)
+		cancel(s.awaitClose(session, stream))
+		// Unblocks a handler that writes to a peer which no longer reads.
 		_ = conn.Close()
 	}()
 	s.handler(ctx, open, stream)
 	_ = conn.Close()
 	_ = conn.SetReadDeadline(time.Now())
-	<-watch
+	<-closed
 }
 
-// awaitEnd reads until the peer closes; a peer sends nothing after its Open.
-func (s *Server) awaitEnd(session *yamux.Session, stream Stream) error {
+// awaitClose reads until the peer closes. A peer sends nothing after its Open.
+func (s *Server) awaitClose(session *yamux.Session, stream Stream) error {
 	err := stream.Recv(new(wire.Open))
 	if err == nil {
 		s.dropPeer(session, "a second message on one stream", nil)
@@ -209,24 +210,24 @@
 	}
 }
 
-func (s *Server) dropPeer(session *yamux.Session, why string, err error) {
+func (s *Server) dropPeer(session *yamux.Session, reason string, err error) {
 	if session.IsClosed() {
 		return
 	}
 	s.badPeers.Add(1)
-	s.log.Warn("dropped a link peer", "peer", session.RemoteAddr(), "why", why, "error", err)
+	s.log.Warn("dropped a link peer", "peer", session.RemoteAddr(), "why", reason, "error", err)
 	_ = session.Close()
 }
 
-// Close ends all sessions and waits for their handlers.
+// Close closes all sessions and waits for their handlers.
 func (s *Server) Close() error {
 	err := s.listener.Close()
 	s.mu.Lock()
 	s.cancel()
-	for session := range s.open {
+	for session := range s.sessions {
 		_ = session.Close()
 	}
 	s.mu.Unlock()
-	s.wait.Wait()
+	s.wg.Wait()
 	return errors.Wrap(err, "close listener")
 }
--- a/internal/link/session.go
+++ b/internal/link/session.go
@@ -16,13 +16,13 @@
 type Message = proto.Message
 
 const (
-	// streamWindow is what one stream may hold unread, in bytes; a slow
-	// reader stalls only its own stream.
+	// streamWindow limits the unread data of one stream, in bytes. A slow reader blocks
+	// only its own stream.
 	streamWindow = 256 << 10
-	// silentFor is how long a session with open streams may bring nothing
-	// before it is probed.
-	silentFor = 3 * time.Second
-	// writeTimeout ends a session whose peer takes nothing for so long.
+	// maxSilence is how long a session with open streams may receive nothing before it is
+	// probed.
+	maxSilence = 3 * time.Second
+	// writeTimeout is how long a write may block before the session is closed.
 	writeTimeout = 5 * time.Second
 	// ioBuffer is the size of a stream's read and write buffers, in bytes.
 	ioBuffer = 2 << 10
@@ -31,8 +31,8 @@
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.MaxStreamWindowSize = streamWindow
-	// The session's own probes would cost 48 KB/s for 1,900 idle sessions;
-	// the pool probes only those that are busy and silent.
+	// yamux's own probes would cost 48 KB/s for 1,900 idle sessions. The pool probes only
+	// sessions that have open streams and are silent.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = writeTimeout
 	config.StreamOpenTimeout = writeTimeout
@@ -42,13 +42,13 @@
 	return config
 }
 
-// keepAlive lets the kernel find peers that vanished from idle connections;
-// rarely, since a router may hold a thousand of them.
+// keepAlive lets the kernel detect lost peers of idle connections. The probes are rare,
+// since a router may have a thousand of these connections.
 func keepAlive() net.KeepAliveConfig {
 	return net.KeepAliveConfig{Enable: true, Idle: 5 * time.Minute, Interval: 30 * time.Second, Count: 4}
 }
 
-// messageStream frames messages on a byte stream, each behind its size.
+// messageStream frames messages on a byte stream, each prefixed by its size.
 type messageStream struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -66,7 +66,7 @@
 // Send writes one message in as few frames as its size allows.
 func (s *messageStream) Send(msg Message) error {
 	if proto.Size(msg) > MaxMessage {
-		return errors.Newf("message of %d bytes is over the bound of %d", proto.Size(msg), MaxMessage)
+		return errors.Newf("message of %d bytes exceeds the limit of %d", proto.Size(msg), MaxMessage)
 	}
 	if _, err := protodelim.MarshalTo(s.writer, msg); err != nil {
 		return errors.Wrap(err, "write message")
@@ -74,7 +74,7 @@
 	return errors.Wrap(s.writer.Flush(), "write message")
 }
 
-// Recv reads one message; a message cut short is an error, never io.EOF.
+// Recv reads one message. A truncated message is an error other than io.EOF.
 func (s *messageStream) Recv(msg Message) error {
 	options := protodelim.UnmarshalOptions{MaxSize: MaxMessage}
 	err := options.UnmarshalFrom(s.reader, msg)
--- a/internal/router/http.go
+++ b/internal/router/http.go
@@ -17,7 +17,7 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// Headers of the callers' interface.
+// Headers of the HTTP API.
 const (
 	HeaderRunState  = "Capersaddle-Run-State"
 	HeaderRequestID = "Capersaddle-Request-Id"
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -35,7 +35,7 @@
 	Seed uint64
 }
 
-// Defaults for options left at zero.
+// Defaults for options that are zero.
 const (
 	defaultTimeout      = 120 * time.Second
 	defaultMaxBodyBytes = 4 << 20
