--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -265,7 +265,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.GetTimeLeftMs())*time.Millisecond)
 	defer cancel()
-	writer := &replyWriter{stream: stream, id: call.GetRequestId(), attempt: call.GetAttempt(), place: p}
+	writer := &replyWriter{stream: stream, id: call.GetRequestId(), attempt: call.GetAttempt(), target: p}
 	switch work := call.GetWork().(type) {
 	case *wire.Call_Chat:
 		a.serveChat(ctx, p, call, work.Chat, writer)
--- a/internal/agent/answer.go
+++ b/internal/agent/answer.go
@@ -12,7 +12,7 @@
 	stream  link.Stream
 	id      string
 	attempt uint32
-	place   *localTarget
+	target  *localTarget
 }
 
 func (w *replyWriter) reply() *wire.Reply {
@@ -21,7 +21,7 @@
 
 func (w *replyWriter) admitted() error {
 	reply := w.reply()
-	reply.Kind = &wire.Reply_Admitted{Admitted: &wire.Admitted{Load: loadOf(w.place)}}
+	reply.Kind = &wire.Reply_Admitted{Admitted: &wire.Admitted{Load: loadOf(w.target)}}
 	return w.stream.Send(reply)
 }
 
@@ -44,11 +44,11 @@
 }
 
 func (w *replyWriter) refuse(refusal *fault.Error) {
-	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.place)})
+	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.target)})
 }
 
 func (w *replyWriter) refuseWithOwner(refusal *fault.Error, owner string) {
-	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.place), Owner: owner})
+	refuse(w.stream, w.id, w.attempt, refusal, &wire.Refusal{Load: loadOf(w.target), Owner: owner})
 }
 
 // refuse ends an exchange with an error. extra carries further fields, or is nil.
--- a/internal/agent/chat.go
+++ b/internal/agent/chat.go
@@ -175,7 +175,7 @@
 	if errors.Is(err, io.EOF) {
 		err = target.ErrCut
 	}
-	return fault.New(fault.Cut, fault.Unknown, "the engine's stream broke after %d pieces: %v", next, err)
+	return fault.New(fault.Cut, fault.Unknown, "the engine's stream was interrupted after %d pieces: %v", next, err)
 }
 
 // sendBatch sends a piece together with all buffered ones. It returns false when the
--- a/internal/agent/handover_test.go
+++ b/internal/agent/handover_test.go
@@ -64,9 +64,9 @@
 		network := link.NewMemory()
 		agents := newFleet(len(startDelays), fakestore.New(), network)
 		for i, a := range agents {
-			for j, after := range discoveryDelays[i] {
+			for j, delay := range discoveryDelays[i] {
 				if i != j {
-					discoverAfter(a, agents[j], time.Duration(after)*time.Millisecond)
+					discoverAfter(a, agents[j], time.Duration(delay)*time.Millisecond)
 				}
 			}
 			time.AfterFunc(time.Duration(startDelays[i])*time.Millisecond, func() { is.NoErr(a.Start(context.Background())) })
@@ -74,15 +74,15 @@
 		time.Sleep(time.Second)
 		keys := keyPerSlot(64)
 		is.Equal(countUnserved(agents, keys), 0)
-		since, longest := make(map[string]time.Duration), time.Duration(0)
+		unservedFor, longest := make(map[string]time.Duration), time.Duration(0)
 		for range int(simulatedTime / sampleInterval) {
 			time.Sleep(sampleInterval)
 			for _, key := range keys {
-				since[key] += sampleInterval
+				unservedFor[key] += sampleInterval
 				if countUnserved(agents, []string{key}) == 0 {
-					since[key] = 0
+					unservedFor[key] = 0
 				}
-				longest = max(longest, since[key])
+				longest = max(longest, unservedFor[key])
 			}
 		}
 		for _, a := range agents {
@@ -92,15 +92,15 @@
 			is.NoErr(a.Close())
 		}
 		is.NoErr(network.Close())
-		t.Logf("a slot was without an agent that decides for %v at most", longest)
+		t.Logf("the longest time without a deciding agent for a slot was %v", longest)
 		is.True(longest < slotRoundInterval/2)
 	})
 }
 
 // discoverAfter makes an agent discover another one after a delay.
-func discoverAfter(a, other *Agent, after time.Duration) {
+func discoverAfter(a, other *Agent, delay time.Duration) {
 	a.options.Members.Merge([]*wire.Member{memberOf(other, wire.Standing_STANDING_DEAD)})
-	time.AfterFunc(after, func() {
+	time.AfterFunc(delay, func() {
 		a.options.Members.Merge([]*wire.Member{memberOf(other, wire.Standing_STANDING_ALIVE)})
 	})
 }
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -11,10 +11,10 @@
 
 // applyOutcome updates the gate after a call of the target. A retry delay requested by
 // the target applies to every call through this agent, whichever router sent it.
-func (p *localTarget) applyOutcome(rest time.Duration, err error) {
+func (p *localTarget) applyOutcome(retryAfter time.Duration, err error) {
 	switch {
-	case rest > 0:
-		p.gate.Rest(rest)
+	case retryAfter > 0:
+		p.gate.Rest(retryAfter)
 	case err == nil:
 		p.gate.Answered()
 	}
--- a/internal/agent/placer.go
+++ b/internal/agent/placer.go
@@ -97,19 +97,19 @@
 			continue
 		}
 		if !p.pending.set || p.pending.model != model {
-			due := now + a.options.Placement.Settle + a.loadDelay(id, engines, assigned)
-			p.pending = pendingModel{model: model, dueAt: due, set: true}
+			dueAt := now + a.options.Placement.Settle + a.loadDelay(id, engines, assigned)
+			p.pending = pendingModel{model: model, dueAt: dueAt, set: true}
 			continue
 		}
 		if now+placementInterval < p.pending.dueAt {
 			continue
 		}
 		p.scheduled.Store(true)
-		due := p.pending.dueAt
+		dueAt := p.pending.dueAt
 		p.pending = pendingModel{}
 		a.wg.Go(func() {
 			defer p.scheduled.Store(false)
-			if wait.For(ctx, due-now) {
+			if wait.For(ctx, dueAt-now) {
 				a.changeModel(ctx, p, model)
 			}
 		})
@@ -167,7 +167,7 @@
 func (a *Agent) changeModel(ctx context.Context, p *localTarget, model string) {
 	p.changing.Store(true)
 	defer p.changing.Store(false)
-	before := p.pool()
+	oldModel := p.pool()
 	p.gate.Leave()
 	select {
 	case <-p.gate.Drained():
@@ -176,14 +176,14 @@
 	}
 	defer p.gate.Return()
 	// The drain may have taken long, so the assignment may have changed.
-	decided, ok := a.stillWanted(p, model)
+	decidedAt, ok := a.stillWanted(p, model)
 	if !ok {
 		return
 	}
-	if before != "" {
+	if oldModel != "" {
 		p.setPool("")
-		if err := a.sendOrder(ctx, p, decided, orderUnload, before); err != nil {
-			a.log.Warn("engine could not unload its model", "target", p.ID, "model", before, "error", err)
+		if err := a.sendOrder(ctx, p, decidedAt, orderUnload, oldModel); err != nil {
+			a.log.Warn("engine could not unload its model", "target", p.ID, "model", oldModel, "error", err)
 		}
 	}
 	if model != "" {
@@ -193,7 +193,7 @@
 		}
 	}
 	p.setPool(model)
-	a.log.Info("engine changed its model", "target", p.ID, "from", before, "to", model)
+	a.log.Info("engine changed its model", "target", p.ID, "from", oldModel, "to", model)
 }
 
 // loadAttempts is how often a load is ordered before the assignment is evaluated again.
@@ -205,11 +205,11 @@
 	delays := backoff.NewExponentialBackOff()
 	var err error
 	for range loadAttempts {
-		decided, ok := a.stillWanted(p, model)
+		decidedAt, ok := a.stillWanted(p, model)
 		if !ok {
 			return errDecisionStale
 		}
-		if err = a.sendOrder(ctx, p, decided, orderLoad, model); err == nil {
+		if err = a.sendOrder(ctx, p, decidedAt, orderLoad, model); err == nil {
 			return nil
 		}
 		if !wait.For(ctx, delays.NextBackOff()) {
@@ -225,16 +225,16 @@
 
 // stillWanted reports whether an engine should still get a model, and the boot time at
 // which this evaluation began.
-func (a *Agent) stillWanted(p *localTarget, model string) (decided time.Duration, ok bool) {
-	decided = a.options.Clock.Boot()
-	return decided, policy.Assign(a.wantedPlacements(), a.managedEngines())[p.ID] == model
+func (a *Agent) stillWanted(p *localTarget, model string) (decidedAt time.Duration, ok bool) {
+	decidedAt = a.options.Clock.Boot()
+	return decidedAt, policy.Assign(a.wantedPlacements(), a.managedEngines())[p.ID] == model
 }
 
 // sendOrder sends one order with a fencing token, unless the agent was suspended since
 // the decision.
-func (a *Agent) sendOrder(ctx context.Context, p *localTarget, decided time.Duration, action, model string) error {
+func (a *Agent) sendOrder(ctx context.Context, p *localTarget, decidedAt time.Duration, action, model string) error {
 	order := target.Order{Token: a.nextToken(), Action: action, Model: model}
-	if a.options.Clock.Boot()-decided > a.options.Placement.Freshness {
+	if a.options.Clock.Boot()-decidedAt > a.options.Placement.Freshness {
 		return errDecisionStale
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
--- a/internal/agent/retry_after_test.go
+++ b/internal/agent/retry_after_test.go
@@ -83,15 +83,15 @@
 // callTarget sends a call to one of the agent's targets.
 func callTarget(t *testing.T, a *Agent, targetID string) *replies {
 	t.Helper()
-	got := new(replies)
+	recorded := new(replies)
 	p := a.targets[targetID]
-	writer := &replyWriter{stream: got, id: "r", place: p}
+	writer := &replyWriter{stream: recorded, id: "r", target: p}
 	if targetID == "engine" {
 		a.serveChat(t.Context(), p, &wire.Call{}, &wire.ChatWork{Model: "m", Body: []byte(`{}`)}, writer)
-		return got
+		return recorded
 	}
 	a.serveService(t.Context(), p, &wire.Call{}, &wire.ServiceWork{Service: "s", Method: http.MethodPost, Path: "/"}, writer)
-	return got
+	return recorded
 }
 
 // TestAgentHonorsRetryAfter checks that the agent itself refuses requests during the
--- a/internal/agent/service.go
+++ b/internal/agent/service.go
@@ -100,7 +100,7 @@
 			return
 		}
 		if err != nil {
-			writer.refuse(fault.New(fault.Cut, fault.Unknown, "the service's answer broke after %d bytes: %v", offset, err))
+			writer.refuse(fault.New(fault.Cut, fault.Unknown, "the service's answer was interrupted after %d bytes: %v", offset, err))
 			return
 		}
 	}
--- a/internal/agent/slot_manager.go
+++ b/internal/agent/slot_manager.go
@@ -225,9 +225,9 @@
 // moveRecords freezes the slots to hand over and sends their records. It returns false,
 // and leaves the slots where they are, if a successor did not accept them.
 func (s *slotManager) moveRecords(ctx context.Context, plan once.Plan) bool {
-	for successor, numbers := range plan.Moves {
-		s.guard.Freeze(numbers)
-		message := s.guard.Export(numbers)
+	for successor, slots := range plan.Moves {
+		s.guard.Freeze(slots)
+		message := s.guard.Export(slots)
 		reply, err := s.askAgent(ctx, successor.Agent, &wire.Open{Kind: &wire.Open_HandOver{HandOver: message}})
 		if err != nil || !reply.GetHandOver().GetAccepted() {
 			s.log.Warn("successor did not accept slots", "service", s.service, "successor", successor.Agent, "error", err)
@@ -239,8 +239,8 @@
 }
 
 func (s *slotManager) thawMoves(plan once.Plan) {
-	for _, numbers := range plan.Moves {
-		s.guard.Thaw(numbers)
+	for _, slots := range plan.Moves {
+		s.guard.Thaw(slots)
 	}
 }
 
--- a/internal/router/budget.go
+++ b/internal/router/budget.go
@@ -56,7 +56,7 @@
 	return &workspaceLimiter{count: make(map[string]int)}
 }
 
-// acquire reserves one request of a workspace; a limit of zero means none.
+// acquire reserves one request of a workspace; zero means no limit.
 func (l *workspaceLimiter) acquire(workspace string, limit int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/chat_rerun_test.go
+++ b/internal/router/chat_rerun_test.go
@@ -37,7 +37,7 @@
 	s.ended = true
 	reply := msg.(*wire.Reply)
 	reply.RequestId, reply.Attempt = s.call.GetRequestId(), s.call.GetAttempt()
-	reply.Kind = &wire.Reply_Refusal{Refusal: &wire.Refusal{Kind: string(fault.Cut), Message: "the engine's stream broke", RunState: wire.RunState_RUN_STATE_UNKNOWN}}
+	reply.Kind = &wire.Reply_Refusal{Refusal: &wire.Refusal{Kind: string(fault.Cut), Message: "the engine's stream was interrupted", RunState: wire.RunState_RUN_STATE_UNKNOWN}}
 	return nil
 }
 
