--- a/internal/router/breaking_test.go
+++ b/internal/router/chat_rerun_test.go
@@ -13,7 +13,8 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// breakingDialer reaches engines that all break off under the chat, and notes which ran it.
+// breakingDialer connects to engines that all interrupt the chat, and records which ran
+// it.
 type breakingDialer struct {
 	ran []string
 }
@@ -36,17 +37,17 @@
 	s.ended = true
 	reply := msg.(*wire.Reply)
 	reply.RequestId, reply.Attempt = s.call.GetRequestId(), s.call.GetAttempt()
-	reply.Kind = &wire.Reply_Refusal{Refusal: &wire.Refusal{Kind: string(fault.Cut), Message: "the engine's stream broke", RunState: wire.RunState_RUN_STATE_UNKNOWN}}
+	reply.Kind = &wire.Reply_Refusal{Refusal: &wire.Refusal{Kind: string(fault.Cut), Message: "the engine's stream was interrupted", RunState: wire.RunState_RUN_STATE_UNKNOWN}}
 	return nil
 }
 
-// TestAChatUnderWhichEnginesBreak: it may be the chat that ends them. It was sent on to eight
-// engines by one call.
-func TestAChatUnderWhichEnginesBreak(t *testing.T) {
+// TestChatRerunLimit checks that a chat is not run again without limit: the chat itself
+// may crash the engines. One request used to be sent to eight engines in turn.
+func TestChatRerunLimit(t *testing.T) {
 	is := is.New(t)
 	dialer := new(breakingDialer)
 	recorder := httptest.NewRecorder()
 	testRouter(t, dialer).Handler().ServeHTTP(recorder, chatRequestFor(`{"model":"model-1","messages":[{"role":"user","content":"hello"}]}`))
 	t.Log(recorder.Code, recorder.Body.String(), dialer.ran)
-	is.Equal(len(dialer.ran), 1+mostReruns)
+	is.Equal(len(dialer.ran), 1+maxReruns)
 }
