--- a/internal/emulator/fatal.go
+++ b/internal/emulator/fatal.go
@@ -44,7 +44,7 @@
 }
 
 // Mend has requests end no server any more.
-func (p *Platform) Mend() {
+func (p *Platform) DisableCrashes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mended = true
@@ -100,9 +100,9 @@
 	})
 }
 
-// BeginAgain ends a server, with all that it had, and begins another life of it at once, at
+// Restart ends a server, with all that it had, and begins another life of it at once, at
 // its address and under its id.
-func (p *Platform) BeginAgain(server *Server) (*Server, error) {
+func (p *Platform) Restart(server *Server) (*Server, error) {
 	p.mu.Lock()
 	at := slices.IndexFunc(p.servers, func(known listed) bool { return known.Server == server })
 	of := p.servers[at]
--- a/internal/emulator/notice.go
+++ b/internal/emulator/notice.go
@@ -10,7 +10,7 @@
 )
 
 // Says is what a server says of itself in its answers. Whatever is not set is not said.
-type Says struct {
+type Notice struct {
 	// Leaving stands in all answers.
 	Leaving bool
 	// RetryAfter goes with each 503, as it is.
@@ -18,8 +18,8 @@
 }
 
 // Said is one answer in which a server said something of itself.
-type Said struct {
-	Says
+type SentNotice struct {
+	Notice
 	// Request is the id of the request that was answered.
 	Request string
 	// At is when the answer's head was made.
@@ -28,7 +28,7 @@
 
 // Say sets what the server says of itself from now on. Once it has said that it leaves, it goes on
 // saying so.
-func (s *Server) Say(says Says) {
+func (s *Server) SetNotice(says Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	says.Leaving = says.Leaving || s.says.Leaving
@@ -36,7 +36,7 @@
 }
 
 // Said is what the server has said of itself so far, in the order of time.
-func (s *Server) Said() []Said {
+func (s *Server) SentNotices() []SentNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.said)
@@ -46,7 +46,7 @@
 func (s *Server) sayIn(header http.Header, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	said := Said{Request: header.Get("X-Attempt-Id"), At: time.Now()}
+	said := SentNotice{Request: header.Get("X-Attempt-Id"), At: time.Now()}
 	if s.says.Leaving {
 		header.Set("Server-Leaving", "1")
 		said.Leaving = true
@@ -55,7 +55,7 @@
 		header.Set("Retry-After", s.says.RetryAfter)
 		said.RetryAfter = s.says.RetryAfter
 	}
-	if said.Says != (Says{}) {
+	if said.Notice != (Notice{}) {
 		s.said = append(s.said, said)
 	}
 }
@@ -81,30 +81,30 @@
 )
 
 // Disregard is a case in which a gateway went on as if a server had said nothing.
-type Disregard struct {
+type IgnoredNotice struct {
 	Server string
 	// Gateway is the one that was told, by Said.
 	Gateway string
-	Said    Said
+	Notice    SentNotice
 	// Late are the ids of the requests that should not have come from it.
 	Late []string
 }
 
 // String says what is wrong.
-func (d Disregard) String() string {
+func (d IgnoredNotice) String() string {
 	asked := "that it leaves"
-	if !d.Said.Leaving {
-		asked = "to rest for " + d.Said.RetryAfter + " s"
+	if !d.Notice.Leaving {
+		asked = "to rest for " + d.Notice.RetryAfter + " s"
 	}
 	return fmt.Sprintf("%s told %s %s, and got %d requests after that", d.Server, d.Gateway, asked, len(d.Late))
 }
 
 // Disregarded are the cases in which gateways went on as if a server had said nothing.
 // gatewayOf is the gateway to which a request's caller sent it; empty leaves it out.
-func (s *Server) Disregarded(gatewayOf func(request string) string) []Disregard {
+func (s *Server) IgnoredNotices(gatewayOf func(request string) string) []IgnoredNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []Disregard
+	var found []IgnoredNotice
 	for _, said := range s.said {
 		told := gatewayOf(said.Request)
 		from, to, most := said.bounds()
@@ -118,7 +118,7 @@
 			}
 		}
 		if len(late) > most {
-			found = append(found, Disregard{Server: s.options.ID, Gateway: told, Said: said, Late: late})
+			found = append(found, IgnoredNotice{Server: s.options.ID, Gateway: told, Notice: said, Late: late})
 		}
 	}
 	return found
@@ -128,7 +128,7 @@
 var forever = time.Unix(1<<40, 0)
 
 // bounds are between which times no more than so many requests may come.
-func (s Said) bounds() (from, to time.Time, most int) {
+func (s SentNotice) bounds() (from, to time.Time, most int) {
 	if s.Leaving {
 		return s.At.Add(leavingGrace), forever, 0
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -96,12 +96,12 @@
 	mu    sync.Mutex
 	mode  Mode
 	times int
-	once  *Once
+	once  *OneShotFault
 	flaw  *flaw
 	runs  []Run
 	live  int
-	says  Says
-	said  []Said
+	says  Notice
+	said  []SentNotice
 	// crashed says that the server has ended under a request; ended is called then.
 	crashed bool
 	ended   func()
@@ -157,20 +157,20 @@
 
 // Once is a fault that strikes one request, at the first of several servers
 // that it reaches.
-type Once struct {
+type OneShotFault struct {
 	id string
 
 	mu   sync.Mutex
 	done bool
 }
 
-// NewOnce returns a fault for the request with an id.
-func NewOnce(id string) *Once {
-	return &Once{id: id}
+// NewOneShotFault returns a fault for the request with an id.
+func NewOneShotFault(id string) *OneShotFault {
+	return &OneShotFault{id: id}
 }
 
 // strikes says whether the fault strikes a request now.
-func (o *Once) strikes(id string) bool {
+func (o *OneShotFault) strikes(id string) bool {
 	if o == nil || id != o.id {
 		return false
 	}
@@ -183,7 +183,7 @@
 
 // MisbehaveOnce sets how the request of a fault goes that several servers
 // share.
-func (s *Server) MisbehaveOnce(mode Mode, once *Once) {
+func (s *Server) MisbehaveOnce(mode Mode, once *OneShotFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.times, s.once = mode, 0, once
@@ -202,7 +202,7 @@
 }
 
 // Live is how many requests are at the server now.
-func (s *Server) Live() int {
+func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.live
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -31,7 +31,7 @@
 	LoseAnswers bool
 	// LoseWrites breaks the connection of writes and does nothing.
 	LoseWrites bool
-	// LateWrites breaks the connection of writes and keeps them until DoLate.
+	// LateWrites breaks the connection of writes and keeps them until ApplyLateWrites.
 	LateWrites bool
 	// Delay is waited before every answer.
 	Delay time.Duration
@@ -60,7 +60,7 @@
 	hanging int
 	calls   map[string]int
 	silence silence
-	// late are the writes that DoLate does.
+	// late are the writes that ApplyLateWrites does.
 	late []*transactionBody
 	// observer is called for each change; nil for none.
 	observer func(changed Item)
@@ -162,9 +162,9 @@
 	return found, ok
 }
 
-// DoLate does the writes that were kept, each if its condition still holds, and returns
+// ApplyLateWrites does the writes that were kept, each if its condition still holds, and returns
 // how many were done.
-func (s *Store) DoLate() int {
+func (s *Store) ApplyLateWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -302,7 +302,7 @@
 
 // misbehaveOnce has exactly one of the servers misbehave: the first asked.
 func (f *fleet) misbehaveOnce(mode emulator.Mode, servers []*emulator.Server, id string) {
-	fault := emulator.NewOnce(id)
+	fault := emulator.NewOneShotFault(id)
 	for _, server := range servers {
 		server.MisbehaveOnce(mode, fault)
 	}
@@ -350,7 +350,7 @@
 	})
 	done := make(chan answer)
 	go func() { done <- f.call(0, http.MethodPost, "/chat/1", "long", "key-1") }()
-	eventually(t, "the stream runs", func() bool { return slow.Live() == 1 })
+	eventually(t, "the stream runs", func() bool { return slow.InFlight() == 1 })
 	drained := make(chan error)
 	go func() { drained <- f.gateways[0].Drain(t.Context()) }()
 	eventually(t, "the gateway is not ready", func() bool { return !f.gateways[0].Ready() })
--- a/internal/process/leaving_test.go
+++ b/internal/process/leaving_test.go
@@ -76,7 +76,7 @@
 			goOn(t, 500*time.Millisecond)
 			leaving := []*emulator.Server{f.engines[0], f.engines[1], f.plain[0]}
 			for _, server := range leaving {
-				server.Say(emulator.Says{Leaving: true})
+				server.SetNotice(emulator.Notice{Leaving: true})
 			}
 			goOn(t, 300*time.Millisecond)
 			test.trouble(t, f, leaving...)
@@ -96,7 +96,7 @@
 	c := f.startSteadyCallers(t)
 	goOn(t, 300*time.Millisecond)
 	for _, server := range f.plain {
-		server.Say(emulator.Says{Leaving: true})
+		server.SetNotice(emulator.Notice{Leaving: true})
 	}
 	goOn(t, 2500*time.Millisecond)
 	began := time.Now()
@@ -124,9 +124,9 @@
 	c := f.startSteadyCallers(t)
 	goOn(t, 300*time.Millisecond)
 	left := f.plain[0]
-	left.Say(emulator.Says{Leaving: true})
+	left.SetNotice(emulator.Notice{Leaving: true})
 	goOn(t, 2500*time.Millisecond)
-	next, err := f.platform.BeginAgain(left)
+	next, err := f.platform.Restart(left)
 	is.New(t).NoErr(err)
 	eventually(t, "the next life gets requests", func() bool { return len(next.Runs()) > 0 })
 	c.stop()
--- a/internal/process/lives_test.go
+++ b/internal/process/lives_test.go
@@ -68,7 +68,7 @@
 			return ask(gateway, fmt.Sprintf("next-%d", number)) && f.promptsHeld(t, gateway) > before
 		})
 	}
-	next, err := f.platform.BeginAgain(only)
+	next, err := f.platform.Restart(only)
 	is.NoErr(err)
 	eventually(t, "the new life is known to both", func() bool {
 		return f.linesCount(`"msg":"target_changed"`, `"target":"again"`) >= 2
--- a/internal/process/notices_test.go
+++ b/internal/process/notices_test.go
@@ -142,8 +142,8 @@
 	t.Helper()
 	said := 0
 	for _, server := range servers {
-		said += len(server.Said())
-		for _, wrong := range server.Disregarded(gatewayOf) {
+		said += len(server.SentNotices())
+		for _, wrong := range server.IgnoredNotices(gatewayOf) {
 			t.Error(wrong)
 		}
 	}
--- a/internal/process/quarantine_test.go
+++ b/internal/process/quarantine_test.go
@@ -459,7 +459,7 @@
 	c := f.startFatalCallers(t, "/ask/1", 1)
 	f.awaitStopped(t, "plain", 0)
 	c.stop()
-	f.platform.Mend()
+	f.platform.DisableCrashes()
 	at := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
 	response, err := http.Get(at)
 	is.NoErr(err)
--- a/internal/process/rest_test.go
+++ b/internal/process/rest_test.go
@@ -28,7 +28,7 @@
 // rest has servers turn away a share of what comes, and ask for rest.
 func rest(retryAfter string, share float64, servers ...*emulator.Server) {
 	for _, server := range servers {
-		server.Say(emulator.Says{RetryAfter: retryAfter})
+		server.SetNotice(emulator.Notice{RetryAfter: retryAfter})
 		server.TurnBad(&emulator.Bad{Share: share, Fails: emulator.Shed})
 	}
 }
@@ -37,7 +37,7 @@
 func resume(servers ...*emulator.Server) {
 	for _, server := range servers {
 		server.TurnBad(nil)
-		server.Say(emulator.Says{})
+		server.SetNotice(emulator.Notice{})
 	}
 }
 
@@ -60,7 +60,7 @@
 			f.replaceGateway(t, 1)
 		}},
 		"one of them leaves meanwhile": {"2", 1, func(_ *testing.T, f *fleet) {
-			f.engines[0].Say(emulator.Says{Leaving: true, RetryAfter: "2"})
+			f.engines[0].SetNotice(emulator.Notice{Leaving: true, RetryAfter: "2"})
 		}},
 	}
 	for name, test := range cases {
@@ -124,7 +124,7 @@
 	rested := len(resting.Runs())
 	goOn(t, time.Second)
 	is.Equal(len(resting.Runs()), rested)
-	next, err := f.platform.BeginAgain(resting)
+	next, err := f.platform.Restart(resting)
 	is.NoErr(err)
 	eventually(t, "the next life gets requests", func() bool { return len(next.Runs()) > 0 })
 	c.stop()
--- a/internal/soak/check_notices_test.go
+++ b/internal/soak/check_notices_test.go
@@ -25,7 +25,7 @@
 
 // told is one answer in which a server said something of itself.
 type told struct {
-	emulator.Said
+	emulator.SentNotice
 	server string
 }
 
@@ -133,9 +133,9 @@
 	came := func(id string, seconds float64) emulator.Run {
 		return emulator.Run{ID: id, Server: "p-0@x", At: at(seconds)}
 	}
-	leaves := []told{{server: "p-0", Said: emulator.Said{Says: emulator.Says{Leaving: true}, Request: "a", At: at(0)}}}
-	rests := []told{{server: "p-0", Said: emulator.Said{Says: emulator.Says{RetryAfter: "3"}, Request: "a", At: at(0)}}}
-	word := []told{{server: "p-0", Said: emulator.Said{Says: emulator.Says{RetryAfter: "1e99"}, Request: "a", At: at(0)}}}
+	leaves := []told{{server: "p-0", SentNotice: emulator.SentNotice{Notice: emulator.Notice{Leaving: true}, Request: "a", At: at(0)}}}
+	rests := []told{{server: "p-0", SentNotice: emulator.SentNotice{Notice: emulator.Notice{RetryAfter: "3"}, Request: "a", At: at(0)}}}
+	word := []told{{server: "p-0", SentNotice: emulator.SentNotice{Notice: emulator.Notice{RetryAfter: "1e99"}, Request: "a", At: at(0)}}}
 	first, held := asked("a", "g/1", 0), asked("b", "g/1", 1.9)
 	three := []call{first, asked("b", "g/1", 1), asked("c", "g/1", 1), asked("d", "g/1", 2)}
 	threeRuns := []emulator.Run{came("b", 1), came("c", 1), came("d", 2)}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -149,8 +149,8 @@
 	seen.orders, seen.records, seen.statuses, seen.deaf = s.orders, s.records, s.statuses, s.deaf
 	for _, server := range s.servers {
 		seen.runs = append(seen.runs, server.Runs()...)
-		for _, said := range server.Said() {
-			seen.told = append(seen.told, told{Said: said, server: server.ID()})
+		for _, said := range server.SentNotices() {
+			seen.told = append(seen.told, told{SentNotice: said, server: server.ID()})
 		}
 	}
 	served := 0
--- a/internal/soak/system_test.go
+++ b/internal/soak/system_test.go
@@ -256,7 +256,7 @@
 	case storeLink:
 		disturbLink(g.store, made)
 	case leaveInAnswers:
-		s.servers[number].Say(emulator.Says{Leaving: true})
+		s.servers[number].SetNotice(emulator.Notice{Leaving: true})
 	case askForRest:
 		s.askForRest(s.servers[number], made)
 	case serverLink:
@@ -270,11 +270,11 @@
 
 // askForRest has a server turn away what comes for a while.
 func (s *soak) askForRest(server *emulator.Server, made event) {
-	server.Say(emulator.Says{RetryAfter: made.rest})
+	server.SetNotice(emulator.Notice{RetryAfter: made.rest})
 	server.TurnBad(&emulator.Bad{Share: 1, Fails: emulator.Shed})
 	time.Sleep(made.lasts)
 	server.TurnBad(nil)
-	server.Say(emulator.Says{})
+	server.SetNotice(emulator.Notice{})
 }
 
 func disturbLink(link *proxy, made event) {
