--- a/internal/emulator/answers.go
+++ b/internal/emulator/answers.go
@@ -9,31 +9,31 @@
 	"strings"
 )
 
-// stamp is the signature of an answer.
+// stamp returns the server's signature of a response.
 func (s *Server) stamp(id string) string {
 	return s.options.ID + "." + id
 }
 
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, mode Mode, after int, slower float64) {
+func (s *Server) answer(w http.ResponseWriter, r *http.Request, mode Mode, lastEventID int, slower float64) {
 	switch mode {
 	case Error:
-		s.sayIn(w.Header(), http.StatusInternalServerError)
+		s.setNoticeHeaders(w.Header(), http.StatusInternalServerError)
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "the server's own failure")
 		return
 	case Busy:
-		s.sayIn(w.Header(), http.StatusServiceUnavailable)
+		s.setNoticeHeaders(w.Header(), http.StatusServiceUnavailable)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Shed:
 		w.Header().Del("X-Server-Stamp")
 		w.Header().Set("X-Not-Executed", "1")
-		s.sayIn(w.Header(), http.StatusServiceUnavailable)
+		s.setNoticeHeaders(w.Header(), http.StatusServiceUnavailable)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Early:
 		w.Header().Set("X-Not-Executed", "1")
-		s.sayIn(w.Header(), http.StatusServiceUnavailable)
+		s.setNoticeHeaders(w.Header(), http.StatusServiceUnavailable)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Mute:
@@ -46,21 +46,21 @@
 		_, _ = io.WriteString(w, "not the server's")
 		return
 	case ResetAfter, Unframed, EndInside, Foreign, Garbage:
-		s.raw(w, mode)
+		s.writeRaw(w, mode)
 		return
 	}
-	s.sayIn(w.Header(), http.StatusOK)
+	s.setNoticeHeaders(w.Header(), http.StatusOK)
 	if s.options.Events > 0 {
-		s.stream(w, r, mode, after, slower)
+		s.writeStream(w, r, mode, lastEventID, slower)
 		return
 	}
-	s.plain(w, mode)
+	s.writePlain(w, mode)
 }
 
-// Body is the whole answer of a plain service.
+// Body is the complete response body of a plain service.
 const Body = "the whole answer of the server"
 
-func (s *Server) plain(w http.ResponseWriter, mode Mode) {
+func (s *Server) writePlain(w http.ResponseWriter, mode Mode) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(Body)))
 	if mode == CutMiddle {
 		_, _ = io.WriteString(w, Body[:len(Body)/2])
@@ -70,39 +70,39 @@
 	_, _ = io.WriteString(w, Body)
 }
 
-// Event is the text of one event of a stream.
+// Event returns the text of one event of a stream.
 func Event(number int) string {
 	return fmt.Sprintf("id: %d\ndata: piece %d\n\n", number, number)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, mode Mode, after int, slower float64) {
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, mode Mode, lastEventID int, slower float64) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
-	for number := after + 1; number <= s.options.Events; number++ {
-		if mode == CutMiddle && number == after+1+(s.options.Events-after)/2 {
+	for number := lastEventID + 1; number <= s.options.Events; number++ {
+		if mode == CutMiddle && number == lastEventID+1+(s.options.Events-lastEventID)/2 {
 			_, _ = io.WriteString(w, Event(number)[:6])
 			_ = control.Flush()
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, Event(number))
 		_ = control.Flush()
-		if !pause(r, times(s.options.Gap, slower)) {
+		if !pause(r, scaleDuration(s.options.Gap, slower)) {
 			return
 		}
 	}
 }
 
-// raw takes the connection over and writes what HTTP libraries don't.
-func (s *Server) raw(w http.ResponseWriter, mode Mode) {
+// writeRaw hijacks the connection and writes responses that an HTTP library doesn't produce.
+func (s *Server) writeRaw(w http.ResponseWriter, mode Mode) {
 	conn, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	id := w.Header().Get("X-Attempt-Id")
-	said := ""
+	noticeLines := ""
 	if mode != ResetAfter && mode != Garbage {
-		said = s.sayRaw(id)
+		noticeLines = s.noticeHeaderLines(id)
 	}
 	switch mode {
 	case ResetAfter:
@@ -110,18 +110,18 @@
 			_ = tcp.SetLinger(0)
 		}
 	case Unframed, EndInside:
-		body := s.whole()
+		body := s.completeBody()
 		if mode == EndInside && s.options.Events > 0 {
 			body = Event(1) + Event(2)[:6]
 		}
-		_, _ = fmt.Fprintf(buffered, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Stamp: %s\r\n%s\r\n%s", id, s.stamp(id), said, body)
+		_, _ = fmt.Fprintf(buffered, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Stamp: %s\r\n%s\r\n%s", id, s.stamp(id), noticeLines, body)
 		_ = buffered.Flush()
 	case Foreign:
-		// The connection ends behind the second answer, which says so: a
-		// request sent on it again might meet its end.
+		// The second response closes the connection and announces it in its header, so that the
+		// client doesn't reuse the connection: a request sent on it could cross the close.
 		const answer = "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Stamp: %s\r\n%sConnection: %s\r\nContent-Length: %d\r\n\r\n%s"
-		_, _ = fmt.Fprintf(buffered, answer, "another", s.stamp("another"), said, "keep-alive", len(s.whole()), s.whole())
-		_, _ = fmt.Fprintf(buffered, answer, id, s.stamp(id), "", "close", len(s.whole()), s.whole())
+		_, _ = fmt.Fprintf(buffered, answer, "another", s.stamp("another"), noticeLines, "keep-alive", len(s.completeBody()), s.completeBody())
+		_, _ = fmt.Fprintf(buffered, answer, id, s.stamp(id), "", "close", len(s.completeBody()), s.completeBody())
 		_ = buffered.Flush()
 	case Garbage:
 		_, _ = io.WriteString(buffered, "\x00\x01 no answer at all\r\n\r\n")
@@ -129,8 +129,8 @@
 	}
 }
 
-// whole is the body of a whole answer.
-func (s *Server) whole() string {
+// completeBody returns the body of a complete response.
+func (s *Server) completeBody() string {
 	if s.options.Events == 0 {
 		return Body
 	}
--- a/internal/emulator/bad.go
+++ b/internal/emulator/bad.go
@@ -7,48 +7,49 @@
 	"time"
 )
 
-// Bad is how the servers of a bad version fail. Whatever is not set does not matter.
+// Bad describes how the servers of a bad version fail. Fields that are not set have no effect.
 type Bad struct {
-	// Share of the requests get Fails; Error if that is not set.
+	// Share is the share of the requests that fail with Fails, or with Error if Fails is not
+	// set.
 	Share float64
 	Fails Mode
-	// Slower is how many times slower than a good server's answers are.
+	// Slower is the factor by which responses are slower than a good server's.
 	Slower float64
-	// Path is how the paths of the requests begin that meet the fault.
+	// Path is the path prefix of the requests that are affected.
 	Path string
 	// After is the time from the server's start, or from TurnBad, to the first fault.
 	After time.Duration
-	// Above is how many requests have to be under way, this one among them, and one
-	// more.
+	// Above limits the fault to requests that bring the number in flight, the request itself
+	// included, above this value.
 	Above int
 	Seed  uint64
 }
 
-// flaw is a fault of one server; nil for none.
+// flaw is the fault of one server; a nil flaw has no effect.
 type flaw struct {
 	Bad
-	began time.Time
-	dice  *rand.Rand
+	start time.Time
+	rng   *rand.Rand
 }
 
-// newFlaw gives each server draws of its own.
+// newFlaw returns a flaw with random draws of its own for each server ID.
 func newFlaw(bad *Bad, id string) *flaw {
 	if bad == nil {
 		return nil
 	}
-	named := fnv.New64a()
-	_, _ = named.Write([]byte(id)) // a hash takes everything
-	return &flaw{Bad: *bad, began: time.Now(), dice: rand.New(rand.NewPCG(bad.Seed, named.Sum64()))}
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(id)) // hash.Hash never returns an error
+	return &flaw{Bad: *bad, start: time.Now(), rng: rand.New(rand.NewPCG(bad.Seed, hash.Sum64()))}
 }
 
-// strikes says what a request meets that makes so many under way, and how many times
-// slower its answer is.
-func (f *flaw) strikes(run Run, underWay int) (Mode, float64) {
-	if f == nil || underWay <= f.Above || !strings.HasPrefix(run.URI, f.Path) || time.Since(f.began) < f.After {
+// apply returns the mode of a request that brings the number in flight to inFlight, and the
+// factor by which its response is slowed down.
+func (f *flaw) apply(run Run, inFlight int) (Mode, float64) {
+	if f == nil || inFlight <= f.Above || !strings.HasPrefix(run.URI, f.Path) || time.Since(f.start) < f.After {
 		return Sound, 1
 	}
 	mode := Sound
-	if f.dice.Float64() < f.Share {
+	if f.rng.Float64() < f.Share {
 		mode = f.Fails
 		if mode == Sound {
 			mode = Error
@@ -57,7 +58,7 @@
 	return mode, max(f.Slower, 1)
 }
 
-// times is a time made so many times longer.
-func times(base time.Duration, slower float64) time.Duration {
+// scaleDuration multiplies a duration by a factor.
+func scaleDuration(base time.Duration, slower float64) time.Duration {
 	return time.Duration(float64(base) * slower)
 }
--- a/internal/emulator/callers.go
+++ b/internal/emulator/callers.go
@@ -12,28 +12,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Callers send requests to gateways, evenly in time, and by turns to each of them and
-// on each path.
+// Callers send requests to gateways at a fixed interval, round robin over the gateways and, per
+// gateway, over the paths.
 type Callers struct {
-	// Addresses are the gateways' for callers, IP:port.
+	// Addresses are the addresses at which the gateways serve callers, IP:port.
 	Addresses []string
 	Host      string
 	Key       string
 	Paths     []string
-	// Every is the pause between two requests.
+	// Every is the interval between two requests.
 	Every time.Duration
 
 	sent, failed atomic.Int64
-	// began says which gateways have answered well: until then they may not know the
-	// configuration yet.
-	began sync.Map
+	// ready holds the addresses of the gateways that have answered a request successfully.
+	// Before that, a gateway may not know the configuration yet.
+	ready sync.Map
 }
 
-// callerDeadline is how long a caller waits: longer than the longest stream of the
-// stand-in's engines.
+// callerDeadline is the client timeout. It is longer than the longest stream of the emulated
+// engines.
 const callerDeadline = 10 * time.Second
 
-// Run sends requests until the context ends, and waits for those under way.
+// Run sends requests until the context ends, then waits for those in flight.
 func (c *Callers) Run(ctx context.Context) {
 	client := &http.Client{Timeout: callerDeadline}
 	defer client.CloseIdleConnections()
@@ -53,12 +53,13 @@
 	}
 }
 
-// errNotBegun: the gateway has not answered anything well yet.
-var errNotBegun = errors.New("the gateway has not begun")
+// errNotReady is returned for requests to a gateway that has not answered successfully yet.
+var errNotReady = errors.New("the gateway has not answered a request successfully yet")
 
-// count notes how a request ended; those to a gateway that has not begun don't count.
+// count records the outcome of a request. Requests to a gateway that is not ready yet are not
+// counted.
 func (c *Callers) count(err error) {
-	if errors.Is(err, errNotBegun) {
+	if errors.Is(err, errNotReady) {
 		return
 	}
 	c.sent.Add(1)
@@ -67,7 +68,7 @@
 	}
 }
 
-// Counts are the requests that have ended, and those of them that were not answered well.
+// Counts returns the number of finished requests, and how many of them failed.
 func (c *Callers) Counts() (sent, failed int64) {
 	return c.sent.Load(), c.failed.Load()
 }
@@ -77,30 +78,30 @@
 	address := c.Addresses[gateway]
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+c.Paths[round%len(c.Paths)], http.NoBody)
 	if err != nil {
-		return errors.Wrap(err, "call")
+		return errors.Wrap(err, "send request")
 	}
 	request.Host = c.Host
 	request.Header.Set("X-Attempt-Id", fmt.Sprintf("%s-%d", c.Key, number))
 	request.Header.Set("X-Api-Key", c.Key)
 	request.Header.Set("X-Deadline-Ms", fmt.Sprint(callerDeadline.Milliseconds()))
-	if err := well(client.Do(request)); err != nil {
-		if _, begun := c.began.Load(address); !begun {
-			return errNotBegun
+	if err := checkResponse(client.Do(request)); err != nil {
+		if _, ready := c.ready.Load(address); !ready {
+			return errNotReady
 		}
 		return err
 	}
-	c.began.Store(address, true)
+	c.ready.Store(address, true)
 	return nil
 }
 
-// well says whether an answer is a good one, and reads it.
-func well(response *http.Response, err error) error {
+// checkResponse reads a response and returns an error unless it is complete and successful.
+func checkResponse(response *http.Response, err error) error {
 	if err != nil {
-		return errors.Wrap(err, "call")
+		return errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return errors.Wrap(err, "read the answer")
+		return errors.Wrap(err, "read response")
 	}
 	if response.StatusCode != http.StatusOK {
 		return errors.Newf("status %d", response.StatusCode)
--- a/internal/emulator/fatal.go
+++ b/internal/emulator/fatal.go
@@ -8,125 +8,126 @@
 	"time"
 )
 
-// Fatal are requests that end every server which begins to run one.
+// Fatal describes requests that crash every server that starts to process one.
 type Fatal struct {
-	// Body is how their bodies begin.
+	// Body is the prefix of the bodies of fatal requests.
 	Body string
-	// After is the time from the begin of its run to the server's end.
+	// After is the time from the start of processing to the crash.
 	After time.Duration
-	// Back is the time from there until the next life of the server listens at the same
-	// address, and its entry follows; zero is never.
+	// Back is the time from the crash until the next incarnation of the server listens at the
+	// same address and is registered; zero means never.
 	Back time.Duration
 }
 
-// lapseAfter is how long after a server's end its entry goes: after three heartbeats.
-const lapseAfter = 3 * time.Second
+// entryTimeout is the time after a crash at which the server's entry expires: three heartbeats.
+const entryTimeout = 3 * time.Second
 
-// meets ends the server a moment after a fatal request has begun to run; true for such a
-// request. s.mu is held.
-func (s *Server) meets(run Run) bool {
+// crashIfFatal schedules a crash if a request is fatal and starts to run, and reports whether
+// it did. The caller holds s.mu.
+func (s *Server) crashIfFatal(run Run) bool {
 	fatal := s.options.Fatal
-	if fatal == nil || s.mended || !run.Ran || !strings.HasPrefix(run.Body, fatal.Body) {
+	if fatal == nil || s.crashesDisabled || !run.Ran || !strings.HasPrefix(run.Body, fatal.Body) {
 		return false
 	}
 	time.AfterFunc(fatal.After, s.crash)
 	return true
 }
 
-// runFatal answers a fatal request with what there is of an answer until the server ends,
-// however late that is: none of them is ever answered whole.
-func (s *Server) runFatal(w http.ResponseWriter, r *http.Request, after int) {
+// runFatal writes a partial response to a fatal request until the server crashes. It never
+// completes the response, however late the crash is.
+func (s *Server) runFatal(w http.ResponseWriter, r *http.Request, lastEventID int) {
 	if s.options.Events > 0 {
-		s.stream(w, r, Sound, after, 1)
+		s.writeStream(w, r, Sound, lastEventID, 1)
 	}
 	<-r.Context().Done()
 	panic(http.ErrAbortHandler)
 }
 
-// Mend has requests end no server any more.
+// DisableCrashes stops fatal requests from crashing servers.
 func (p *Platform) DisableCrashes() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.mended = true
+	p.crashesDisabled = true
 	for _, known := range p.servers {
-		known.mend()
+		known.disableCrashes()
 	}
 }
 
-func (s *Server) mend() {
+func (s *Server) disableCrashes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mended = true
+	s.crashesDisabled = true
 }
 
-// onEnd sets what is called when the server ends under a request.
-func (s *Server) onEnd(ended func()) {
+// setOnCrash sets the function that is called when a request crashes the server.
+func (s *Server) setOnCrash(onCrash func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = ended
+	s.onCrash = onCrash
 }
 
-// crash ends the server with all its connections, as when its process dies.
+// crash closes the listener and all connections, as when the server's process dies.
 func (s *Server) crash() {
 	s.mu.Lock()
-	again, ended := s.crashed, s.ended
+	crashedBefore, onCrash := s.crashed, s.onCrash
 	s.crashed = true
 	s.mu.Unlock()
-	if again {
+	if crashedBefore {
 		return
 	}
 	_ = s.http.Close()
-	if ended != nil {
-		ended()
+	if onCrash != nil {
+		onCrash()
 	}
 }
 
-// outlive has another life of a server begin after its end, and its entry lapse.
-func (p *Platform) outlive(of listed, life int) {
-	if !of.options.KeepsID {
-		p.after(lapseAfter, func() { p.Leave(of.Server) })
+// scheduleRestart schedules the expiry of a crashed server's entry and the start of its next
+// incarnation.
+func (p *Platform) scheduleRestart(crashed registeredServer, incarnation int) {
+	if !crashed.options.KeepsID {
+		p.runAfter(entryTimeout, func() { p.Leave(crashed.Server) })
 	}
-	fatal := of.options.Fatal
+	fatal := crashed.options.Fatal
 	if fatal == nil || fatal.Back == 0 {
 		return
 	}
-	options := of.options
+	options := crashed.options
 	if !options.KeepsID {
-		options.ID = fmt.Sprintf("%s-%d", of.firstID, life)
+		options.ID = fmt.Sprintf("%s-%d", crashed.firstID, incarnation)
 	}
-	p.after(fatal.Back, func() {
-		// A failure shows by the server's absence.
-		_ = p.addLife(&listed{service: of.service, zone: of.zone, firstID: of.firstID}, of.Address(), options, life)
+	p.runAfter(fatal.Back, func() {
+		// An error needs no handling: the server stays absent, which tests notice.
+		_ = p.addIncarnation(&registeredServer{service: crashed.service, zone: crashed.zone, firstID: crashed.firstID}, crashed.Address(), options, incarnation)
 	})
 }
 
-// Restart ends a server, with all that it had, and begins another life of it at once, at
-// its address and under its id.
+// Restart stops a server, which loses all its state, and immediately starts a new incarnation
+// at its address and with its ID.
 func (p *Platform) Restart(server *Server) (*Server, error) {
 	p.mu.Lock()
-	at := slices.IndexFunc(p.servers, func(known listed) bool { return known.Server == server })
-	of := p.servers[at]
+	index := slices.IndexFunc(p.servers, func(known registeredServer) bool { return known.Server == server })
+	previous := p.servers[index]
 	p.mu.Unlock()
 	server.crash()
-	next := listed{service: of.service, zone: of.zone, firstID: of.firstID}
-	err := p.addLife(&next, server.Address(), server.options, 1)
+	next := registeredServer{service: previous.service, zone: previous.zone, firstID: previous.firstID}
+	err := p.addIncarnation(&next, server.Address(), server.options, 1)
 	return next.Server, err
 }
 
-// after does something later, unless the platform has ended.
-func (p *Platform) after(wait time.Duration, do func()) {
+// runAfter runs an action after a delay, unless the platform is closed first.
+func (p *Platform) runAfter(wait time.Duration, action func()) {
 	p.wait.Go(func() {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-			do()
+			action()
 		case <-p.done:
 		}
 	})
 }
 
-// RunsOf are the requests that all lives of a service's servers have got.
+// RunsOf returns the requests that all incarnations of a service's servers received.
 func (p *Platform) RunsOf(service string) []Run {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +140,7 @@
 	return runs
 }
 
-// Crashes are when servers of a service ended under fatal requests, in order.
+// Crashes returns the times at which fatal requests crashed servers of a service, in order.
 func (p *Platform) Crashes(service string) []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/emulator/notice.go
+++ b/internal/emulator/notice.go
@@ -9,132 +9,134 @@
 	"time"
 )
 
-// Says is what a server says of itself in its answers. Whatever is not set is not said.
+// Notice is what a server announces about itself in the headers of its responses. Fields that
+// are not set are not sent.
 type Notice struct {
-	// Leaving stands in all answers.
+	// Leaving is sent with all responses.
 	Leaving bool
-	// RetryAfter goes with each 503, as it is.
+	// RetryAfter is sent unchanged with each 503.
 	RetryAfter string
 }
 
-// Said is one answer in which a server said something of itself.
+// SentNotice is a notice that was sent with one response.
 type SentNotice struct {
 	Notice
-	// Request is the id of the request that was answered.
+	// Request is the ID of the request that was answered.
 	Request string
-	// At is when the answer's head was made.
+	// At is when the response header was written.
 	At time.Time
 }
 
-// Say sets what the server says of itself from now on. Once it has said that it leaves, it goes on
-// saying so.
-func (s *Server) SetNotice(says Notice) {
+// SetNotice sets the notice for all further responses. Leaving can't be revoked: once set, it
+// stays set.
+func (s *Server) SetNotice(notice Notice) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	says.Leaving = says.Leaving || s.says.Leaving
-	s.says = says
+	notice.Leaving = notice.Leaving || s.notice.Leaving
+	s.notice = notice
 }
 
-// Said is what the server has said of itself so far, in the order of time.
+// SentNotices returns the notices sent so far, in order of time.
 func (s *Server) SentNotices() []SentNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.said)
+	return slices.Clone(s.sentNotices)
 }
 
-// sayIn sets the header of an answer with a status.
-func (s *Server) sayIn(header http.Header, status int) {
+// setNoticeHeaders adds the server's notice to the header of a response with the given status.
+func (s *Server) setNoticeHeaders(header http.Header, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	said := SentNotice{Request: header.Get("X-Attempt-Id"), At: time.Now()}
-	if s.says.Leaving {
+	sent := SentNotice{Request: header.Get("X-Attempt-Id"), At: time.Now()}
+	if s.notice.Leaving {
 		header.Set("Server-Leaving", "1")
-		said.Leaving = true
+		sent.Leaving = true
 	}
-	if s.says.RetryAfter != "" && status == http.StatusServiceUnavailable {
-		header.Set("Retry-After", s.says.RetryAfter)
-		said.RetryAfter = s.says.RetryAfter
+	if s.notice.RetryAfter != "" && status == http.StatusServiceUnavailable {
+		header.Set("Retry-After", s.notice.RetryAfter)
+		sent.RetryAfter = s.notice.RetryAfter
 	}
-	if said.Notice != (Notice{}) {
-		s.said = append(s.said, said)
+	if sent.Notice != (Notice{}) {
+		s.sentNotices = append(s.sentNotices, sent)
 	}
 }
 
-// sayRaw is what the server says of itself in a successful answer, as lines of its head.
-func (s *Server) sayRaw(id string) string {
+// noticeHeaderLines returns the notice for a successful response as raw header lines.
+func (s *Server) noticeHeaderLines(id string) string {
 	header := http.Header{"X-Attempt-Id": {id}}
-	s.sayIn(header, http.StatusOK)
+	s.setNoticeHeaders(header, http.StatusOK)
 	header.Del("X-Attempt-Id")
 	var lines strings.Builder
-	_ = header.Write(&lines) // a builder takes everything
+	_ = header.Write(&lines) // strings.Builder never returns an error
 	return lines.String()
 }
 
 const (
-	// leavingGrace is how long after a server has said that it leaves it may still get
-	// requests from the gateway that it told.
+	// leavingGrace is the time after a leaving notice during which the server may still get
+	// requests from the gateway that received the notice.
 	leavingGrace = 2 * time.Second
-	// restGrace is the same for one that has asked for rest, and restMost is how many
-	// requests it may get from then to the end of that rest.
-	restGrace = 500 * time.Millisecond
-	restMost  = 2
+	// restGrace is the same for a Retry-After notice, and maxRestRequests is how many requests
+	// may arrive from then until the requested time is over.
+	restGrace       = 500 * time.Millisecond
+	maxRestRequests = 2
 )
 
-// Disregard is a case in which a gateway went on as if a server had said nothing.
+// IgnoredNotice is a case in which a gateway did not act on a server's notice.
 type IgnoredNotice struct {
 	Server string
-	// Gateway is the one that was told, by Said.
+	// Gateway is the gateway that received the notice.
 	Gateway string
-	Notice    SentNotice
-	// Late are the ids of the requests that should not have come from it.
+	Notice  SentNotice
+	// Late are the IDs of the requests that the gateway should not have sent.
 	Late []string
 }
 
-// String says what is wrong.
+// String describes the violation.
 func (d IgnoredNotice) String() string {
-	asked := "that it leaves"
+	request := "that it is leaving"
 	if !d.Notice.Leaving {
-		asked = "to rest for " + d.Notice.RetryAfter + " s"
+		request = "to rest for " + d.Notice.RetryAfter + " s"
 	}
-	return fmt.Sprintf("%s told %s %s, and got %d requests after that", d.Server, d.Gateway, asked, len(d.Late))
+	return fmt.Sprintf("%s told %s %s but got %d requests afterwards", d.Server, d.Gateway, request, len(d.Late))
 }
 
-// Disregarded are the cases in which gateways went on as if a server had said nothing.
-// gatewayOf is the gateway to which a request's caller sent it; empty leaves it out.
+// IgnoredNotices returns the cases in which gateways did not act on the server's notices.
+// gatewayOf returns the gateway to which a request was sent; requests for which it returns an
+// empty string are left out.
 func (s *Server) IgnoredNotices(gatewayOf func(request string) string) []IgnoredNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []IgnoredNotice
-	for _, said := range s.said {
-		told := gatewayOf(said.Request)
-		from, to, most := said.bounds()
-		if told == "" || !from.Before(to) {
+	for _, sent := range s.sentNotices {
+		gateway := gatewayOf(sent.Request)
+		from, to, maxRequests := sent.limits()
+		if gateway == "" || !from.Before(to) {
 			continue
 		}
 		var late []string
 		for _, run := range s.runs {
-			if gatewayOf(run.ID) == told && run.At.After(from) && run.At.Before(to) {
+			if gatewayOf(run.ID) == gateway && run.At.After(from) && run.At.Before(to) {
 				late = append(late, run.ID)
 			}
 		}
-		if len(late) > most {
-			found = append(found, IgnoredNotice{Server: s.options.ID, Gateway: told, Notice: said, Late: late})
+		if len(late) > maxRequests {
+			found = append(found, IgnoredNotice{Server: s.options.ID, Gateway: gateway, Notice: sent, Late: late})
 		}
 	}
 	return found
 }
 
-// forever is a time after which nothing happens.
-var forever = time.Unix(1<<40, 0)
+// farFuture is later than any event.
+var farFuture = time.Unix(1<<40, 0)
 
-// bounds are between which times no more than so many requests may come.
-func (s SentNotice) bounds() (from, to time.Time, most int) {
+// limits returns the time range in which no more than maxRequests requests may arrive.
+func (s SentNotice) limits() (from, to time.Time, maxRequests int) {
 	if s.Leaving {
-		return s.At.Add(leavingGrace), forever, 0
+		return s.At.Add(leavingGrace), farFuture, 0
 	}
 	seconds, err := strconv.ParseFloat(s.RetryAfter, 64)
 	if err != nil {
 		return s.At, s.At, 0
 	}
-	return s.At.Add(restGrace), s.At.Add(time.Duration(seconds * float64(time.Second))), restMost
+	return s.At.Add(restGrace), s.At.Add(time.Duration(seconds * float64(time.Second))), maxRestRequests
 }
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -10,44 +10,44 @@
 	"github.com/capersaddle/capersaddle/internal/wait"
 )
 
-// The states of a roll-out, as the system reports them.
+// The states of a rollout, as the system reports them.
 const (
 	StateRunning    = "running"
 	StateCompleted  = "completed"
 	StateRolledBack = "rolled_back"
 )
 
-// order is the operator's.
-type order struct {
+// rolloutOrder is the operator's order for a rollout, as stored.
+type rolloutOrder struct {
 	Service  string  `json:"service"`
 	Version  any     `json:"target_version"`
 	Duration float64 `json:"duration_s"`
 }
 
-// Status is what the system tells of a roll-out.
+// Status is the system's report on a rollout.
 type Status struct {
 	State   string          `json:"state"`
 	Version json.RawMessage `json:"target_version"`
-	// Revision is that of the status in the store.
+	// Revision is the store revision of the report.
 	Revision int64 `json:"-"`
 }
 
-// Order has the operator ask that a service move to a version, a text or a number, and
-// returns the order's revision.
+// Order writes the operator's order to move a service to a version, which is a string or a
+// number, and returns the order's revision.
 func (p *Platform) Order(service string, version any, duration time.Duration) (int64, error) {
-	data, err := json.Marshal(order{Service: service, Version: version, Duration: duration.Seconds()})
+	data, err := json.Marshal(rolloutOrder{Service: service, Version: version, Duration: duration.Seconds()})
 	if err != nil {
-		return 0, errors.Wrap(err, "encode an order")
+		return 0, errors.Wrap(err, "encode rollout order")
 	}
 	return p.Store.Put("op/rollout/"+service, data), nil
 }
 
-// Withdraw has the operator take the order for a service back.
+// Withdraw removes the operator's order for a service.
 func (p *Platform) Withdraw(service string) {
 	p.Store.Remove("op/rollout/" + service)
 }
 
-// Status reads what the system tells of a service's roll-out; false if it tells nothing.
+// Status reads the system's report on a service's rollout. It returns false if there is none.
 func (p *Platform) Status(service string) (Status, bool, error) {
 	found, ok := p.Store.Get("status/rollout/" + service)
 	if !ok {
@@ -55,52 +55,53 @@
 	}
 	status := Status{Revision: found.Revision}
 	err := json.Unmarshal(found.Value, &status)
-	return status, err == nil, errors.Wrapf(err, "decode the status of %q", service)
+	return status, err == nil, errors.Wrapf(err, "decode rollout status of %q", service)
 }
 
-// Rollout is one that the operator orders, and ends as the system's status says.
+// Rollout describes a rollout that the operator orders and finishes according to the status
+// that the system reports.
 type Rollout struct {
 	Service string
-	// Version is the text that the new servers' entries have.
+	// Version is the version string in the entries of the new servers.
 	Version  string
 	Duration time.Duration
-	// DrainAfter is the time from the end of a roll-out that was rolled back to the
-	// draining of its servers, which serve for DrainFor then.
+	// DrainAfter is the time from the end of a rollout that was rolled back until its servers
+	// start to drain. They keep serving for DrainFor after that.
 	DrainAfter, DrainFor time.Duration
-	// Ended is called at the end of the roll-out, before servers stop; nil for none.
+	// Ended is called at the end of the rollout, before servers stop; may be nil.
 	Ended func(state string)
 }
 
-// Play orders a roll-out and waits until the system reports its end. If it is
-// completed, the servers of other versions stop at once; if it was rolled back, those of
-// the version drain.
-func (p *Platform) Play(ctx context.Context, played Rollout) (state string, err error) {
-	revision, err := p.Order(played.Service, played.Version, played.Duration)
+// Play orders a rollout and waits until the system reports its end. After completion it stops
+// the servers of other versions immediately; after a rollback it drains the servers of the new
+// version.
+func (p *Platform) Play(ctx context.Context, rollout Rollout) (state string, err error) {
+	revision, err := p.Order(rollout.Service, rollout.Version, rollout.Duration)
 	if err != nil {
 		return "", err
 	}
-	state, err = p.awaitEnd(ctx, played.Service, revision)
+	state, err = p.awaitEnd(ctx, rollout.Service, revision)
 	if err != nil {
 		return "", err
 	}
-	if played.Ended != nil {
-		played.Ended(state)
+	if rollout.Ended != nil {
+		rollout.Ended(state)
 	}
 	if state == StateCompleted {
-		return state, p.stop(played.Service, func(version string) bool { return version != played.Version })
+		return state, p.stop(rollout.Service, func(version string) bool { return version != rollout.Version })
 	}
-	return state, p.drain(ctx, played)
+	return state, p.drain(ctx, rollout)
 }
 
-// awaitEnd waits for the end of an order.
-func (p *Platform) awaitEnd(ctx context.Context, service string, ordered int64) (string, error) {
+// awaitEnd waits until the status reports the end of the order with the given revision.
+func (p *Platform) awaitEnd(ctx context.Context, service string, orderRevision int64) (string, error) {
 	for {
 		changed := p.Store.nextChange()
 		status, _, err := p.Status(service)
 		if err != nil {
 			return "", err
 		}
-		if status.Revision > ordered && (status.State == StateCompleted || status.State == StateRolledBack) {
+		if status.Revision > orderRevision && (status.State == StateCompleted || status.State == StateRolledBack) {
 			return status.State, nil
 		}
 		select {
@@ -111,46 +112,46 @@
 	}
 }
 
-// nextChange is closed when the store has changed.
+// nextChange returns a channel that is closed at the next change of the store.
 func (s *Store) nextChange() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// drain has the servers of a version that was rolled back drain and leave.
-func (p *Platform) drain(ctx context.Context, played Rollout) error {
-	isPlayed := func(version string) bool { return version == played.Version }
-	if !wait.For(ctx, played.DrainAfter) {
+// drain drains the servers of a version that was rolled back, then stops them.
+func (p *Platform) drain(ctx context.Context, rollout Rollout) error {
+	isRolledBack := func(version string) bool { return version == rollout.Version }
+	if !wait.For(ctx, rollout.DrainAfter) {
 		return ctx.Err()
 	}
-	for _, server := range p.serversOf(played.Service, isPlayed) {
+	for _, server := range p.serversOf(rollout.Service, isRolledBack) {
 		if err := p.Enter(server.service, server.zone, "draining", server.Server); err != nil {
 			return err
 		}
 	}
-	if !wait.For(ctx, played.DrainFor) {
+	if !wait.For(ctx, rollout.DrainFor) {
 		return ctx.Err()
 	}
-	return p.stop(played.Service, isPlayed)
+	return p.stop(rollout.Service, isRolledBack)
 }
 
-// stop ends servers of a service at once; their entries go with them.
-func (p *Platform) stop(service string, chosen func(version string) bool) error {
+// stop stops the matching servers of a service immediately and removes their entries.
+func (p *Platform) stop(service string, matches func(version string) bool) error {
 	var failed error
-	for _, server := range p.serversOf(service, chosen) {
+	for _, server := range p.serversOf(service, matches) {
 		p.Leave(server.Server)
 		failed = errors.CombineErrors(failed, server.Close())
 	}
 	return failed
 }
 
-func (p *Platform) serversOf(service string, chosen func(version string) bool) []listed {
+func (p *Platform) serversOf(service string, matches func(version string) bool) []registeredServer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var found []listed
+	var found []registeredServer
 	for _, server := range p.servers {
-		if server.service == service && chosen(server.options.Version) {
+		if server.service == service && matches(server.options.Version) {
 			found = append(found, server)
 		}
 	}
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Route is a route of a configuration, in the protocol's form.
+// Route is a route of a configuration, in the protocol's format.
 type Route struct {
 	Name        string `json:"name"`
 	Host        string `json:"host"`
@@ -30,7 +30,7 @@
 type Service struct {
 	Name   string         `json:"name"`
 	Engine map[string]any `json:"engine,omitempty"`
-	// ColdPerS is how many requests a second a cold server bears.
+	// ColdPerS is the number of requests per second that a cold server can handle.
 	ColdPerS float64 `json:"cold_per_s,omitempty"`
 }
 
@@ -41,7 +41,7 @@
 	Priority int      `json:"priority"`
 }
 
-// Limits bound clients.
+// Limits are the limits for clients.
 type Limits struct {
 	HeaderBytes int `json:"max_header_bytes"`
 	BodyBytes   int `json:"max_body_bytes"`
@@ -58,7 +58,7 @@
 	Limits   Limits    `json:"limits"`
 }
 
-// entry is a server's own entry in the store.
+// entry is the store entry that a server writes for itself.
 type entry struct {
 	Service  string  `json:"service"`
 	Address  string  `json:"address"`
@@ -72,40 +72,41 @@
 	Models   []model `json:"models,omitempty"`
 }
 
-// model is one that a server's entry names.
+// model is a model in a server's entry.
 type model struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// Platform is the whole stand-in: a store, its address, and servers.
+// Platform emulates the whole platform: a store, its listener, and servers.
 type Platform struct {
 	Store    *Store
 	listener net.Listener
 	http     *http.Server
 	wait     sync.WaitGroup
 
-	// done ends what is to be done later.
+	// done is closed to cancel delayed actions.
 	done chan struct{}
 
 	mu      sync.Mutex
-	servers []listed
-	// mended says that requests end no server any more.
-	mended bool
-	// crashes are when servers ended under requests, by service.
+	servers []registeredServer
+	// crashesDisabled stops fatal requests from crashing servers.
+	crashesDisabled bool
+	// crashes holds the times at which requests crashed servers, by service.
 	crashes map[string][]time.Time
 }
 
-// listed is a server with what its entry says besides.
-type listed struct {
+// registeredServer is a server with the fields of its entry that the server itself doesn't
+// hold.
+type registeredServer struct {
 	*Server
 	service, zone string
-	// firstID is the id of the first life of the server.
+	// firstID is the ID of the server's first incarnation.
 	firstID string
 }
 
-// New serves a store on an address, IP:port; port 0 takes a free one.
+// New serves a store on an address, IP:port; port 0 picks a free port.
 func New(address string) (*Platform, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -117,12 +118,12 @@
 	return p, nil
 }
 
-// StoreAddress is where the store listens.
+// StoreAddress returns the address at which the store listens.
 func (p *Platform) StoreAddress() string {
 	return p.listener.Addr().String()
 }
 
-// Accept has the operator write a configuration.
+// Accept writes a configuration as the operator.
 func (p *Platform) Accept(config *Config) error {
 	data, err := json.Marshal(config)
 	if err != nil {
@@ -132,86 +133,87 @@
 	return nil
 }
 
-// AddServer starts a server of a service and enters it into the list.
+// AddServer starts a server of a service and registers it in the store.
 func (p *Platform) AddServer(service, zone, address string, options ServerOptions) (*Server, error) {
-	made := listed{service: service, zone: zone, firstID: options.ID}
-	err := p.addLife(&made, address, options, 1)
-	return made.Server, err
+	added := registeredServer{service: service, zone: zone, firstID: options.ID}
+	err := p.addIncarnation(&added, address, options, 1)
+	return added.Server, err
 }
 
-// addLife starts one life of a server and enters it into the list.
-func (p *Platform) addLife(made *listed, address string, options ServerOptions, life int) error {
+// addIncarnation starts one incarnation of a server and registers it in the store.
+func (p *Platform) addIncarnation(added *registeredServer, address string, options ServerOptions, incarnation int) error {
 	server, err := NewServer(address, options)
 	if err != nil {
 		return errors.Wrap(err, "listen for a server")
 	}
-	made.Server = server
-	of := *made
-	server.onEnd(func() {
+	added.Server = server
+	registered := *added
+	server.setOnCrash(func() {
 		p.mu.Lock()
-		p.crashes[of.service] = append(p.crashes[of.service], time.Now())
+		p.crashes[registered.service] = append(p.crashes[registered.service], time.Now())
 		p.mu.Unlock()
-		p.outlive(of, life+1)
+		p.scheduleRestart(registered, incarnation+1)
 	})
 	p.mu.Lock()
-	p.servers = append(p.servers, of)
-	if p.mended {
-		server.mend()
+	p.servers = append(p.servers, registered)
+	if p.crashesDisabled {
+		server.disableCrashes()
 	}
 	p.mu.Unlock()
-	return p.Enter(of.service, of.zone, "ready", server)
+	return p.Enter(registered.service, registered.zone, "ready", server)
 }
 
-// Enter writes a server's entry with a state.
+// Enter writes a server's entry with the given state.
 func (p *Platform) Enter(service, zone, state string, server *Server) error {
-	made := entry{Service: service, Address: server.Address(), Zone: zone, Version: server.options.Version, Slots: demoSlots, State: state}
+	record := entry{Service: service, Address: server.Address(), Zone: zone, Version: server.options.Version, Slots: demoSlots, State: state}
 	if server.options.Weights > 0 {
-		made.Models = []model{{Name: "m", Version: server.options.Weights, Adapters: []string{}}}
+		record.Models = []model{{Name: "m", Version: server.options.Weights, Adapters: []string{}}}
 	}
 	if server.options.KeepsID {
-		made.Born = server.born.UnixMilli()
+		record.Born = server.startTime.UnixMilli()
 	}
-	return p.enter(server.ID(), made)
+	return p.enter(server.ID(), record)
 }
 
-// firstVersion is that of servers of which no version matters.
+// firstVersion is the version of servers whose options set none.
 const firstVersion = "v1"
 
-// demoSlots is how many requests a server says that it works on at once.
+// demoSlots is the number of concurrent requests that a server advertises.
 const demoSlots = 8
 
-// Entry is that of a server which is reached at another address than its own, IP:port.
+// Entry describes the entry of a server that is reached at another address than its own,
+// IP:port, such as a proxy's.
 type Entry struct {
 	ID, Service, Zone, Address string
-	// Version is that of the server's software; empty is the first one.
+	// Version is the version of the server's software; empty means firstVersion.
 	Version string
 	State   string
-	// Cold is for how much longer the server is cold.
+	// Cold is the remaining cold time of the server.
 	Cold time.Duration
 }
 
-// EnterAt writes an entry.
-func (p *Platform) EnterAt(made Entry) error {
-	return p.enter(made.ID, entry{
-		Service: made.Service, Address: made.Address, Zone: made.Zone, Version: made.Version,
-		Slots: demoSlots, State: made.State, ColdMs: made.Cold.Milliseconds(),
+// EnterAt writes an entry as described.
+func (p *Platform) EnterAt(description Entry) error {
+	return p.enter(description.ID, entry{
+		Service: description.Service, Address: description.Address, Zone: description.Zone, Version: description.Version,
+		Slots: demoSlots, State: description.State, ColdMs: description.Cold.Milliseconds(),
 	})
 }
 
-func (p *Platform) enter(id string, made entry) error {
-	if made.Version == "" {
-		made.Version = firstVersion
+func (p *Platform) enter(id string, record entry) error {
+	if record.Version == "" {
+		record.Version = firstVersion
 	}
-	data, err := json.Marshal(made)
+	data, err := json.Marshal(record)
 	if err != nil {
-		return errors.Wrap(err, "encode a server's entry")
+		return errors.Wrap(err, "encode server entry")
 	}
 	p.Store.Put("servers/"+id, data)
 	return nil
 }
 
-// Evacuate has the operator ask that nothing more go to a zone's servers, or take that
-// back.
+// Evacuate writes or removes the operator's order to send no further requests to the servers of
+// a zone.
 func (p *Platform) Evacuate(zone string, evacuated bool) {
 	if evacuated {
 		p.Store.Put("op/evacuate/"+zone, []byte("{}"))
@@ -220,12 +222,12 @@
 	p.Store.Remove("op/evacuate/" + zone)
 }
 
-// Leave removes a server's entry; the server goes on.
+// Leave removes a server's entry. The server keeps running.
 func (p *Platform) Leave(server *Server) {
 	p.Store.Remove("servers/" + server.ID())
 }
 
-// Close ends the store and all servers, and waits.
+// Close stops the store and all servers and waits for them.
 func (p *Platform) Close() error {
 	close(p.done)
 	err := p.http.Close()
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -9,44 +9,44 @@
 	"time"
 )
 
-// Mode is how a server misbehaves.
+// Mode is the way in which a server misbehaves.
 type Mode string
 
 // The modes of a server.
 const (
-	// Sound: it answers as it should.
+	// Sound answers correctly.
 	Sound Mode = ""
-	// Error: it runs the request and answers 500.
+	// Error runs the request and answers 500.
 	Error Mode = "error"
-	// Shed: it does not run the request and says so.
+	// Shed does not run the request and says so in the response.
 	Shed Mode = "shed"
-	// Busy: it runs the request and answers 503.
+	// Busy runs the request and answers 503.
 	Busy Mode = "busy"
-	// ResetAfter: it runs the request and resets the connection.
+	// ResetAfter runs the request and resets the connection.
 	ResetAfter Mode = "reset"
-	// Mute: it takes the request and says nothing until its caller leaves.
+	// Mute accepts the request and sends nothing until the caller disconnects.
 	Mute Mode = "mute"
-	// CutMiddle: it breaks off in the middle of its answer, inside an event.
+	// CutMiddle aborts in the middle of the response, inside an event.
 	CutMiddle Mode = "cut"
-	// Unframed: its answer has no length and ends with the connection.
+	// Unframed sends a response without a length, which ends when the connection closes.
 	Unframed Mode = "unframed"
-	// Foreign: an answer to another request stands before its own.
+	// Foreign sends the response to another request before the actual one.
 	Foreign Mode = "foreign"
-	// Encoded: its answer claims an encoding.
+	// Encoded claims a content encoding that the response doesn't have.
 	Encoded Mode = "encoded"
-	// Garbage: its bytes are no answer.
+	// Garbage sends bytes that are no HTTP response.
 	Garbage Mode = "garbage"
-	// Unsigned: its answer lacks its signature.
+	// Unsigned sends a response without the server's signature.
 	Unsigned Mode = "unsigned"
-	// EndInside: its stream, without framing, ends inside an event.
+	// EndInside sends an unframed stream that ends inside an event.
 	EndInside Mode = "end_inside"
-	// Early: it answers before it has read the body.
+	// Early answers before it has read the body.
 	Early Mode = "early"
 )
 
-// Run is one request as a server got it.
+// Run is one request as a server received it.
 type Run struct {
-	// Server names the life of the server.
+	// Server identifies the incarnation of the server.
 	Server string
 	ID     string
 	Method string
@@ -54,109 +54,108 @@
 	Host   string
 	Header http.Header
 	Body   string
-	// After is the event behind which a stream goes on; zero for none.
+	// After is the ID of the event after which a stream resumes; zero means from the start.
 	After int
-	// Ran says that the server worked on it.
+	// Ran reports that the server processed the request.
 	Ran bool
-	// At is when it came.
+	// At is when the request arrived.
 	At time.Time
 }
 
-// ServerOptions describe a stand-in server.
+// ServerOptions describe an emulated server.
 type ServerOptions struct {
-	// ID names this life of the server.
+	// ID identifies this incarnation of the server.
 	ID string
-	// Events is how many events a stream has; zero is a plain service.
+	// Events is the number of events in a stream; zero makes the server a plain service.
 	Events int
 	// Gap is the pause between events.
 	Gap time.Duration
-	// Work is the time to the head of an answer.
+	// Work is the time to the response header.
 	Work time.Duration
-	// Version is that of its software and Weights that of its model, as its entry
-	// states them; empty is the first version, and zero states nothing.
+	// Version is the version of the server's software, and Weights that of its model, as its
+	// entry states them. An empty Version means the first version; zero Weights state nothing.
 	Version string
 	Weights int
-	// Bad is how the version fails; nil for a good one.
+	// Bad describes how the version fails; nil for a good version.
 	Bad *Bad
-	// KeepsID says that further lives of the server have its id; its entry then tells them
-	// apart by when they began.
+	// KeepsID makes further incarnations of the server keep its ID. Its entry then tells them
+	// apart by their start time.
 	KeepsID bool
-	// Fatal are requests that end the server; nil for none.
+	// Fatal describes the requests that crash the server; may be nil.
 	Fatal *Fatal
 }
 
-// Server is a stand-in of one server: a plain service or a model server.
+// Server emulates one server: a plain service or a model server.
 type Server struct {
 	options  ServerOptions
 	listener net.Listener
 	http     *http.Server
-	// born is when this life began.
-	born time.Time
+	// startTime is when this incarnation started.
+	startTime time.Time
 
-	mu    sync.Mutex
-	mode  Mode
-	times int
-	once  *OneShotFault
-	flaw  *flaw
-	runs  []Run
-	live  int
-	says  Notice
-	said  []SentNotice
-	// crashed says that the server has ended under a request; ended is called then.
+	mu               sync.Mutex
+	mode             Mode
+	misbehaviorsLeft int
+	oneShot          *OneShotFault
+	flaw             *flaw
+	runs             []Run
+	inFlight         int
+	notice           Notice
+	sentNotices      []SentNotice
+	// crashed reports that a request has crashed the server; onCrash is called then.
 	crashed bool
-	ended   func()
-	// mended says that no request ends the server any more.
-	mended bool
-	wait   sync.WaitGroup
+	onCrash func()
+	// crashesDisabled stops fatal requests from crashing the server.
+	crashesDisabled bool
+	wait            sync.WaitGroup
 
-	silence silence
+	silencer connectionSilencer
 }
 
-// NewServer serves on an address, IP:port; port 0 takes a free one.
+// NewServer serves on an address, IP:port; port 0 picks a free port.
 func NewServer(address string, options ServerOptions) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{options: options, listener: listener, flaw: newFlaw(options.Bad, options.ID), born: time.Now()}
+	s := &Server{options: options, listener: listener, flaw: newFlaw(options.Bad, options.ID), startTime: time.Now()}
 	s.http = &http.Server{Handler: s, ReadHeaderTimeout: time.Minute}
 	s.wait.Go(func() { _ = s.http.Serve(listener) })
 	return s, nil
 }
 
-// Address is where the server listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
-// ID names this life of the server.
+// ID returns the ID of this incarnation of the server.
 func (s *Server) ID() string {
 	return s.options.ID
 }
 
-// Close ends the server and all its connections.
+// Close stops the server and closes all its connections.
 func (s *Server) Close() error {
 	err := s.http.Close()
 	s.wait.Wait()
 	return err
 }
 
-// Misbehave sets how the next so many requests go; negative is all.
+// Misbehave sets the mode of the next requests; a negative number applies it to all.
 func (s *Server) Misbehave(mode Mode, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.times = mode, times
+	s.mode, s.misbehaviorsLeft = mode, times
 }
 
-// TurnBad has the server fail in a way from now on; nil ends that.
+// TurnBad makes the server fail as described from now on; nil ends that.
 func (s *Server) TurnBad(bad *Bad) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flaw = newFlaw(bad, s.options.ID)
 }
 
-// Once is a fault that strikes one request, at the first of several servers
-// that it reaches.
+// OneShotFault affects a single request, at the first of several servers that it reaches.
 type OneShotFault struct {
 	id string
 
@@ -164,79 +163,80 @@
 	done bool
 }
 
-// NewOneShotFault returns a fault for the request with an id.
+// NewOneShotFault returns a fault for the request with the given ID.
 func NewOneShotFault(id string) *OneShotFault {
 	return &OneShotFault{id: id}
 }
 
-// strikes says whether the fault strikes a request now.
-func (o *OneShotFault) strikes(id string) bool {
+// trigger reports whether the fault applies to a request now. It applies once.
+func (o *OneShotFault) trigger(id string) bool {
 	if o == nil || id != o.id {
 		return false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	struck := !o.done
+	triggered := !o.done
 	o.done = true
-	return struck
+	return triggered
 }
 
-// MisbehaveOnce sets how the request of a fault goes that several servers
-// share.
+// MisbehaveOnce sets the mode of the request that a fault affects, which several servers share.
 func (s *Server) MisbehaveOnce(mode Mode, once *OneShotFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.times, s.once = mode, 0, once
+	s.mode, s.misbehaviorsLeft, s.oneShot = mode, 0, once
 }
 
-// SilenceConnections has the connections that were used so far say nothing more.
+// SilenceConnections makes the server ignore all further requests on the connections used so
+// far.
 func (s *Server) SilenceConnections() {
-	s.silence.fall()
+	s.silencer.silenceKnown()
 }
 
-// Runs are the requests got so far.
+// Runs returns the requests received so far.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Run(nil), s.runs...)
 }
 
-// Live is how many requests are at the server now.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.live
+	return s.inFlight
 }
 
-// enter records a request and gives the mode that it gets, and how many times slower
-// than a good server's its answer is. A fatal request has begun to end the server.
-func (s *Server) enter(run Run) (mode Mode, slower float64, fatal bool) {
+// recordRequest records a request. It returns the request's mode, the factor by which its
+// response is slower than a good server's, and whether the request is fatal, in which case the
+// crash is already scheduled.
+func (s *Server) recordRequest(run Run) (mode Mode, slower float64, fatal bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	mode, slower = s.flaw.strikes(run, s.live+1)
-	if s.times != 0 || s.once.strikes(run.ID) {
+	mode, slower = s.flaw.apply(run, s.inFlight+1)
+	if s.misbehaviorsLeft != 0 || s.oneShot.trigger(run.ID) {
 		mode = s.mode
 	}
-	if s.times != 0 {
-		s.times--
+	if s.misbehaviorsLeft != 0 {
+		s.misbehaviorsLeft--
 	}
 	run.Ran = mode != Shed && mode != Early
 	run.At = time.Now()
-	run.Server = s.options.ID + "@" + s.born.String()
+	run.Server = s.options.ID + "@" + s.startTime.String()
 	s.runs = append(s.runs, run)
-	s.live++
-	return mode, slower, s.meets(run)
+	s.inFlight++
+	return mode, slower, s.crashIfFatal(run)
 }
 
-func (s *Server) leave() {
+func (s *Server) finishRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.live--
+	s.inFlight--
 }
 
 // ServeHTTP serves one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.silence.swallows(r) {
+	if s.silencer.holdIfSilenced(r) {
 		return
 	}
 	if r.URL.Path == "/health" {
@@ -256,21 +256,21 @@
 	}
 	var body []byte
 	s.mu.Lock()
-	early := s.mode == Early && s.times != 0
+	early := s.mode == Early && s.misbehaviorsLeft != 0
 	s.mu.Unlock()
 	if !early {
 		body, _ = io.ReadAll(r.Body)
 	}
-	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	mode, slower, fatal := s.enter(Run{ID: id, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: r.Header.Clone(), Body: string(body), After: after})
-	defer s.leave()
+	lastEventID, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	mode, slower, fatal := s.recordRequest(Run{ID: id, Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: r.Header.Clone(), Body: string(body), After: lastEventID})
+	defer s.finishRequest()
 	w.Header().Set("X-Attempt-Id", id)
 	w.Header().Set("X-Server-Stamp", s.stamp(id))
-	if !pause(r, times(s.options.Work, slower)) {
+	if !pause(r, scaleDuration(s.options.Work, slower)) {
 		return
 	}
 	if fatal {
-		s.runFatal(w, r, after)
+		s.runFatal(w, r, lastEventID)
 	}
-	s.answer(w, r, mode, after, slower)
+	s.answer(w, r, mode, lastEventID, slower)
 }
--- a/internal/emulator/silence.go
+++ b/internal/emulator/silence.go
@@ -5,39 +5,39 @@
 	"sync"
 )
 
-// silence has connections that are open at a moment say nothing more, for good and
-// without a reset, while new ones work.
-type silence struct {
+// connectionSilencer makes existing connections unresponsive, permanently and without a reset,
+// while new connections work.
+type connectionSilencer struct {
 	mu sync.Mutex
-	// known are the callers' addresses of connections that were used.
-	known map[string]bool
-	mute  map[string]bool
+	// known holds the remote addresses of connections that have been used.
+	known    map[string]bool
+	silenced map[string]bool
 }
 
-// fall silences the connections that were used so far.
-func (s *silence) fall() {
+// silenceKnown silences the connections that were used so far.
+func (s *connectionSilencer) silenceKnown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = s.known
+	s.silenced = s.known
 	s.known = nil
 }
 
-// swallows takes a request on a silent connection and keeps it until its caller leaves;
-// it returns false on others.
-func (s *silence) swallows(r *http.Request) bool {
-	if !s.isMute(r.RemoteAddr) {
+// holdIfSilenced blocks a request on a silenced connection until its caller disconnects, and
+// returns true. On other connections it returns false.
+func (s *connectionSilencer) holdIfSilenced(r *http.Request) bool {
+	if !s.recordUse(r.RemoteAddr) {
 		return false
 	}
 	<-r.Context().Done()
 	return true
 }
 
-func (s *silence) isMute(address string) bool {
+func (s *connectionSilencer) recordUse(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.known == nil {
 		s.known = make(map[string]bool)
 	}
 	s.known[address] = true
-	return s.mute[address]
+	return s.silenced[address]
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Item is one key of the store, as the protocol shows it.
+// Item is one key of the store, in the protocol's format.
 type Item struct {
 	Key      string `json:"private_key"`
 	Value    []byte `json:"value,omitempty"`
@@ -21,80 +21,80 @@
 	Gone     bool   `json:"gone,omitempty"`
 }
 
-// StoreFaults are the ways in which the store misbehaves.
+// StoreFaults describe how the store misbehaves.
 type StoreFaults struct {
-	// Down answers every call with 503.
+	// Down makes every call fail with 503.
 	Down bool
-	// Silent answers no call until the fault ends or the caller leaves.
+	// Silent leaves every call unanswered until the fault ends or the caller disconnects.
 	Silent bool
-	// LoseAnswers does writes and breaks the connection instead of answering.
+	// LoseAnswers applies writes and then drops the connection instead of answering.
 	LoseAnswers bool
-	// LoseWrites breaks the connection of writes and does nothing.
+	// LoseWrites drops the connection of writes without applying them.
 	LoseWrites bool
-	// LateWrites breaks the connection of writes and keeps them until ApplyLateWrites.
+	// LateWrites drops the connection of writes and keeps the writes until ApplyLateWrites.
 	LateWrites bool
-	// Delay is waited before every answer.
+	// Delay is the delay before every response.
 	Delay time.Duration
-	// Garbage answers with bytes that are no JSON.
+	// Garbage answers with bytes that are not JSON.
 	Garbage bool
 }
 
-// Store is the stand-in of the platform's metadata store.
+// Store emulates the platform's metadata store.
 type Store struct {
 	mu       sync.Mutex
 	items    map[string]Item
 	history  []Item
 	revision int64
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history has been discarded.
 	compacted int64
 	leases    map[int64]time.Time
 	lastLease int64
 	changed   chan struct{}
 	faults    StoreFaults
-	// turnedAway are callers' addresses, IP:port or IP, that get 503.
-	turnedAway map[string]bool
-	pageItems  int
-	// waiting counts the calls that are not answered yet.
+	// refusedCallers holds the caller addresses, IP:port or IP, whose calls get 503.
+	refusedCallers map[string]bool
+	pageItems      int
+	// waiting is the number of calls that are not answered yet.
 	waiting int
-	// hanging is how many further calls are never answered.
-	hanging int
-	calls   map[string]int
-	silence silence
-	// late are the writes that ApplyLateWrites does.
-	late []*transactionBody
-	// observer is called for each change; nil for none.
+	// callsToHang is how many further calls are never answered.
+	callsToHang int
+	calls       map[string]int
+	silencer    connectionSilencer
+	// lateWrites are the writes that ApplyLateWrites applies.
+	lateWrites []*transactionBody
+	// observer is called for each change; may be nil.
 	observer func(changed Item)
 }
 
 const (
-	// rangePage is how many items one page of a range holds.
+	// rangePage is the number of items on one page of a range response.
 	rangePage = 500
-	// mostWait bounds a watch.
-	mostWait = 30 * time.Second
-	// mostEntries bounds a transaction.
-	mostEntries = 32
+	// maxWait limits how long a watch waits.
+	maxWait = 30 * time.Second
+	// maxEntries limits the number of entries in a transaction.
+	maxEntries = 32
 )
 
 // NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{
-		items:      make(map[string]Item),
-		leases:     make(map[int64]time.Time),
-		changed:    make(chan struct{}),
-		turnedAway: make(map[string]bool),
-		pageItems:  rangePage,
-		calls:      make(map[string]int),
+		items:          make(map[string]Item),
+		leases:         make(map[int64]time.Time),
+		changed:        make(chan struct{}),
+		refusedCallers: make(map[string]bool),
+		pageItems:      rangePage,
+		calls:          make(map[string]int),
 	}
 }
 
-// SetPage changes how many items one page of a range holds.
+// SetPage sets the number of items on one page of a range response.
 func (s *Store) SetPage(items int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pageItems = items
 }
 
-// SetFaults changes how the store misbehaves; calls that wait look again.
+// SetFaults sets how the store misbehaves. Waiting calls check the faults again.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,43 +102,42 @@
 	s.wake()
 }
 
-// HangCalls leaves the next so many calls without an answer, as those do that
-// were made while the store was silent.
+// HangCalls leaves the given number of further calls unanswered for good, like calls that were
+// made while the store was silent.
 func (s *Store) HangCalls(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hanging = count
+	s.callsToHang = count
 }
 
-// SilenceConnections has the connections that were used so far say nothing more.
+// SilenceConnections makes the store ignore all further calls on the connections used so far.
 func (s *Store) SilenceConnections() {
-	s.silence.fall()
+	s.silencer.silenceKnown()
 }
 
-// Waiting counts the calls that faults keep waiting.
+// Waiting returns the number of calls that faults keep waiting.
 func (s *Store) Waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
 }
 
-// TurnAway has the calls of an IP address refused, or served again.
+// TurnAway refuses the calls of an IP address, or serves them again.
 func (s *Store) TurnAway(ip string, away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turnedAway[ip] = away
+	s.refusedCallers[ip] = away
 	s.wake()
 }
 
-// Calls counts the calls so far by path.
+// Calls returns the number of calls so far by path.
 func (s *Store) Calls() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.calls)
 }
 
-// Put writes a key as the operator or a server does, and returns the
-// revision that acknowledges it.
+// Put writes a key as the operator or a server does, and returns the revision of the write.
 func (s *Store) Put(key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +145,7 @@
 	return s.revision
 }
 
-// Remove removes a key, as the operator or a server does.
+// Remove removes a key as the operator or a server does, and returns the store's revision.
 func (s *Store) Remove(key string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,30 +161,30 @@
 	return found, ok
 }
 
-// ApplyLateWrites does the writes that were kept, each if its condition still holds, and returns
-// how many were done.
+// ApplyLateWrites applies the writes that were kept, each if its condition still holds, and
+// returns how many were applied.
 func (s *Store) ApplyLateWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
-	for _, body := range s.late {
+	for _, body := range s.lateWrites {
 		if status, _ := s.transact(body); status == http.StatusOK {
 			done++
 		}
 	}
-	s.late = nil
+	s.lateWrites = nil
 	return done
 }
 
-// Observe has each further change told, in order. The observer is called with the store
-// locked: it must not call the store, nor wait.
+// Observe sets a function that is called for each further change, in order. It runs with the
+// store locked, so it must not call the store or block.
 func (s *Store) Observe(observer func(changed Item)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observer = observer
 }
 
-// Compact forgets the history, so that older watches get 410.
+// Compact discards the history, so that watches from older revisions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +201,7 @@
 	}
 	changed := Item{Key: key, Value: slices.Clone(value), Revision: s.revision, Made: made, Lease: lease}
 	s.items[key] = changed
-	s.note(changed)
+	s.recordChange(changed)
 }
 
 func (s *Store) removeLocked(key string) {
@@ -211,11 +210,12 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	s.note(Item{Key: key, Revision: s.revision, Gone: true})
+	s.recordChange(Item{Key: key, Revision: s.revision, Gone: true})
 }
 
-// note tells all of a change; the lock is held.
-func (s *Store) note(changed Item) {
+// recordChange adds a change to the history and notifies the observer and all waiting calls.
+// The lock is held.
+func (s *Store) recordChange(changed Item) {
 	s.history = append(s.history, changed)
 	if s.observer != nil {
 		s.observer(changed)
@@ -223,7 +223,7 @@
 	s.wake()
 }
 
-// wake has all that wait look again; the lock is held.
+// wake makes all waiting calls check the state again. The lock is held.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -231,10 +231,10 @@
 
 // ServeHTTP serves the store's calls.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.silence.swallows(r) {
+	if s.silencer.holdIfSilenced(r) {
 		return
 	}
-	if !s.enter(w, r) {
+	if !s.applyFaults(w, r) {
 		return
 	}
 	switch {
@@ -255,16 +255,16 @@
 	}
 }
 
-// enter counts a call and lets the faults have their way; false means that
-// the call is over.
-func (s *Store) enter(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults counts a call and applies the faults to it. It returns false if the call needs no
+// further handling.
+func (s *Store) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
 	s.waiting++
 	s.expireLeases(time.Now())
-	hangs := s.hanging > 0
+	hangs := s.callsToHang > 0
 	if hangs {
-		s.hanging--
+		s.callsToHang--
 	}
 	s.mu.Unlock()
 	defer func() {
@@ -279,7 +279,7 @@
 	for {
 		s.mu.Lock()
 		faults, changed := s.faults, s.changed
-		away := s.turnedAway[hostOf(r.RemoteAddr)]
+		refused := s.refusedCallers[hostOf(r.RemoteAddr)]
 		s.mu.Unlock()
 		switch {
 		case faults.Silent:
@@ -289,7 +289,7 @@
 			case <-r.Context().Done():
 				return false
 			}
-		case faults.Down || away:
+		case faults.Down || refused:
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return false
 		case faults.Garbage:
@@ -300,7 +300,7 @@
 	}
 }
 
-// pause waits; false if the caller has left.
+// pause waits, and returns false if the caller disconnects meanwhile.
 func pause(r *http.Request, wait time.Duration) bool {
 	if wait <= 0 {
 		return true
--- a/internal/emulator/store_calls.go
+++ b/internal/emulator/store_calls.go
@@ -25,8 +25,8 @@
 	}{found, at})
 }
 
-// rangeAnswer is one page of a range.
-type rangeAnswer struct {
+// rangeResponse is one page of a range.
+type rangeResponse struct {
 	Items []Item `json:"items"`
 	More  bool   `json:"more"`
 	At    int64  `json:"at"`
@@ -35,7 +35,7 @@
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	s.mu.Lock()
-	answer := rangeAnswer{Items: []Item{}, At: s.revision}
+	answer := rangeResponse{Items: []Item{}, At: s.revision}
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
 		if !strings.HasPrefix(key, query.Get("path_prefix")) || key <= query.Get("since_revision") {
 			continue
@@ -50,8 +50,8 @@
 	reply(w, http.StatusOK, answer)
 }
 
-// watchAnswer is the answer of a watch.
-type watchAnswer struct {
+// watchResponse is the response to a watch.
+type watchResponse struct {
 	Events []Item `json:"events"`
 	At     int64  `json:"at"`
 }
@@ -60,38 +60,38 @@
 	query := r.URL.Query()
 	since, _ := strconv.ParseInt(query.Get("since_revision"), 10, 64)
 	millis, _ := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
-	timer := time.NewTimer(min(time.Duration(millis)*time.Millisecond, mostWait))
+	timer := time.NewTimer(min(time.Duration(millis)*time.Millisecond, maxWait))
 	defer timer.Stop()
-	over := false
+	timedOut := false
 	for {
 		s.mu.Lock()
-		events, gone := s.since(query.Get("path_prefix"), since)
+		events, compacted := s.changesSince(query.Get("path_prefix"), since)
 		at, changed, faults := s.revision, s.changed, s.faults
 		s.mu.Unlock()
 		switch {
 		case faults.Down || faults.Silent:
-			// A waiting watch is cut when the store goes down.
+			// A store that goes down drops the connections of waiting watches.
 			panic(http.ErrAbortHandler)
-		case gone:
+		case compacted:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 || over:
-			reply(w, http.StatusOK, watchAnswer{Events: events, At: at})
+		case len(events) > 0 || timedOut:
+			reply(w, http.StatusOK, watchResponse{Events: events, At: at})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-// since are the changes of a prefix after a revision; the second result says
-// that the history no longer reaches so far.
-func (s *Store) since(prefix string, since int64) ([]Item, bool) {
+// changesSince returns the changes under a prefix after a revision. The second result reports
+// that the history no longer reaches back that far.
+func (s *Store) changesSince(prefix string, since int64) ([]Item, bool) {
 	if since < s.compacted {
 		return nil, true
 	}
@@ -104,20 +104,20 @@
 	return events, false
 }
 
-// transactionBody is a writing call.
+// transactionBody is the request body of a transaction.
 type transactionBody struct {
 	Expected []expected `json:"expected_revision"`
 	Put      []put      `json:"put"`
 	Remove   []string   `json:"remove"`
 }
 
-// expected is the revision that a key must have; zero if it must be absent.
+// expected is the revision that a key must have; zero means that the key must be absent.
 type expected struct {
 	Key      string `json:"private_key"`
 	Revision int64  `json:"revision"`
 }
 
-// put is a key to be written.
+// put is a key to write.
 type put struct {
 	Key   string `json:"private_key"`
 	Value []byte `json:"value"`
@@ -130,55 +130,55 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if len(body.Expected)+len(body.Put)+len(body.Remove) > mostEntries {
+	if len(body.Expected)+len(body.Put)+len(body.Remove) > maxEntries {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	status, answer, lost := s.doUnlessLost(&body)
+	status, answer, lost := s.transactWithFaults(&body)
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, status, answer)
 }
 
-// doUnlessLost does a transaction, unless a fault keeps or drops it; the last result
-// says that its caller gets no answer.
-func (s *Store) doUnlessLost(body *transactionBody) (status int, answer any, lost bool) {
+// transactWithFaults applies a transaction, unless a fault delays or drops it. The last result
+// reports that the caller gets no response.
+func (s *Store) transactWithFaults(body *transactionBody) (status int, answer any, lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.faults.LoseWrites:
 		return 0, nil, true
 	case s.faults.LateWrites:
-		s.late = append(s.late, body)
+		s.lateWrites = append(s.lateWrites, body)
 		return 0, nil, true
 	}
 	status, answer = s.transact(body)
 	return status, answer, s.faults.LoseAnswers
 }
 
-// isOthers says whether a key is the operator's or a server's to write.
-func isOthers(key string) bool {
+// isExternalKey reports whether only the operator or a server may write a key.
+func isExternalKey(key string) bool {
 	return strings.HasPrefix(key, "op/") || strings.HasPrefix(key, "servers/")
 }
 
-// transact does all of a transaction or nothing; the lock is held.
+// transact applies a transaction completely or not at all. The lock is held.
 func (s *Store) transact(body *transactionBody) (int, any) {
 	current := []Item{}
-	met := true
+	revisionsMatch := true
 	for _, expected := range body.Expected {
 		found := s.items[expected.Key]
 		current = append(current, Item{Key: expected.Key, Value: found.Value, Revision: found.Revision})
-		met = met && found.Revision == expected.Revision
+		revisionsMatch = revisionsMatch && found.Revision == expected.Revision
 	}
-	if !met {
-		return http.StatusPreconditionFailed, rangeAnswer{Items: current, At: s.revision}
+	if !revisionsMatch {
+		return http.StatusPreconditionFailed, rangeResponse{Items: current, At: s.revision}
 	}
-	if slices.ContainsFunc(body.Remove, isOthers) {
+	if slices.ContainsFunc(body.Remove, isExternalKey) {
 		return http.StatusForbidden, struct{}{}
 	}
 	for _, put := range body.Put {
-		if isOthers(put.Key) {
+		if isExternalKey(put.Key) {
 			return http.StatusForbidden, struct{}{}
 		}
 		if _, ok := s.leases[put.Lease]; put.Lease != 0 && !ok {
@@ -196,7 +196,7 @@
 	}{s.revision}
 }
 
-// leaseBody is asked for and answered.
+// leaseBody is both the request and the response body of a lease call.
 type leaseBody struct {
 	Lease  int64 `json:"lease,omitempty"`
 	Millis int64 `json:"ttl_ms"`
@@ -228,7 +228,7 @@
 	reply(w, http.StatusOK, leaseBody{Lease: id})
 }
 
-// EndLeases ends all leases, as the store does when it has been away for long.
+// EndLeases ends all leases, as the store does after a long outage.
 func (s *Store) EndLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -238,7 +238,7 @@
 	s.expireLeases(time.Now())
 }
 
-// expireLeases removes the keys of leases that are over; the lock is held.
+// expireLeases removes the keys of expired leases. The lock is held.
 func (s *Store) expireLeases(now time.Time) {
 	for id, end := range s.leases {
 		if now.Before(end) {
