--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -38,7 +38,7 @@
 
 func TestStoryHolds(t *testing.T) {
 	stack := startStack(t)
-	for _, step := range Tell(t.Context(), stack) {
+	for _, step := range RunStory(t.Context(), stack) {
 		if !step.Held {
 			t.Errorf("%s: %s", step.Name, step.Seen)
 		}
--- a/internal/dev/story.go
+++ b/internal/dev/story.go
@@ -38,7 +38,7 @@
 }
 
 // Tell plays the whole story over real HTTP and returns what was seen.
-func Tell(ctx context.Context, stack *Stack) []Step {
+func RunStory(ctx context.Context, stack *Stack) []Step {
 	t := &storyteller{stack: stack}
 	steps := []struct {
 		name string
--- a/pkg/cmd/dev/dev.go
+++ b/pkg/cmd/dev/dev.go
@@ -87,7 +87,7 @@
 
 // tell plays the story and prints its table.
 func tell(ctx context.Context, opts *DevOptions, stack *dev.Stack) error {
-	table := dev.Tell(ctx, stack)
+	table := dev.RunStory(ctx, stack)
 	if err := printTable(opts, table); err != nil {
 		return err
 	}
