--- a/internal/dev/bench_test.go
+++ b/internal/dev/bench_test.go
@@ -18,10 +18,10 @@
 	"github.com/capersaddle/capersaddle/internal/target/fakeengine"
 )
 
-// postChat sends a chat and reads it to its end; first is the time to the
-// first byte of the body.
+// postChat sends a chat request and reads the response to its end. It returns the time to the
+// first byte of the body and the total time.
 func postChat(b testing.TB, url, body string) (first, total time.Duration) {
-	began := time.Now()
+	start := time.Now()
 	request, _ := http.NewRequestWithContext(context.Background(), http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+Key)
 	response, err := benchClient.Do(request)
@@ -31,18 +31,18 @@
 	defer func() { _ = response.Body.Close() }()
 	one := make([]byte, 1)
 	_, _ = io.ReadFull(response.Body, one)
-	first = time.Since(began)
+	first = time.Since(start)
 	rest, err := io.ReadAll(response.Body)
 	if err != nil || !strings.Contains(string(rest), "[DONE]") {
-		b.Fatalf("status %d, not whole: %v %s", response.StatusCode, err, rest)
+		b.Fatalf("incomplete response: status %d: %v %s", response.StatusCode, err, rest)
 	}
-	return first, time.Since(began)
+	return first, time.Since(start)
 }
 
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512}}
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
@@ -53,10 +53,10 @@
 	return float64(times[int(q*float64(len(times)-1))].Microseconds())
 }
 
-// BenchmarkAddedLatency compares the time to the first byte through a router
-// and an agent with the stand-in engine called directly, in turn, at 24
-// requests a second, alone and with 50 streams of 1,000 pieces a second each
-// open beside them.
+// BenchmarkAddedLatency compares the time to the first byte through a router and an agent with
+// that of a direct call to the emulated engine. The two calls alternate at 24 requests per
+// second, with no background load and with 50 concurrent streams of 1,000 pieces per second
+// each.
 func BenchmarkAddedLatency(b *testing.B) {
 	for _, streams := range []int{0, 50} {
 		b.Run(fmt.Sprintf("streams-%d", streams), func(b *testing.B) { measureLatency(b, streams) })
@@ -68,7 +68,7 @@
 	direct := fakeengine.New(fakeengine.Options{Name: "direct", Step: time.Millisecond}, Model)
 	server := httptest.NewServer(direct.Handler())
 	defer server.Close()
-	through := "http://" + stack.Routers[0].Addresses().Callers
+	routerURL := "http://" + stack.Routers[0].Addresses().Callers
 	for _, engine := range stack.Engines {
 		engine.SetStep(time.Millisecond)
 	}
@@ -81,84 +81,83 @@
 				case <-stop:
 					return
 				default:
-					postChat(b, through, chatBody(200, message("user", fmt.Sprintf("background %d", i))))
+					postChat(b, routerURL, chatBody(200, message("user", fmt.Sprintf("background %d", i))))
 				}
 			}
 		})
 	}
-	var near, far []time.Duration
+	var directTimes, routedTimes []time.Duration
 	body := chatBody(1, message("user", "short"))
-	pace := time.NewTicker(time.Second / 24)
+	ticker := time.NewTicker(time.Second / 24)
 	for b.Loop() {
-		<-pace.C
+		<-ticker.C
 		first, _ := postChat(b, server.URL, body)
-		near = append(near, first)
-		first, _ = postChat(b, through, body)
-		far = append(far, first)
+		directTimes = append(directTimes, first)
+		first, _ = postChat(b, routerURL, body)
+		routedTimes = append(routedTimes, first)
 	}
 	close(stop)
 	wait.Wait()
-	b.ReportMetric(quantileOf(near, 0.5), "direct-p50-us")
-	b.ReportMetric(quantileOf(near, 0.99), "direct-p99-us")
-	b.ReportMetric(quantileOf(far, 0.5), "through-p50-us")
-	b.ReportMetric(quantileOf(far, 0.99), "through-p99-us")
+	b.ReportMetric(quantileOf(directTimes, 0.5), "direct-p50-us")
+	b.ReportMetric(quantileOf(directTimes, 0.99), "direct-p99-us")
+	b.ReportMetric(quantileOf(routedTimes, 0.5), "through-p50-us")
+	b.ReportMetric(quantileOf(routedTimes, 0.99), "through-p99-us")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkTokens streams as much as it can through one router and reports
-// pieces a second of processor time of the whole process: callers, router,
-// agents and stand-ins together.
+// BenchmarkTokens streams as much as it can through one router. It reports the pieces per
+// second of CPU time of the whole process: callers, router, agents and emulators together.
 func BenchmarkTokens(b *testing.B) {
 	stack := startStack(b)
 	for _, engine := range stack.Engines {
 		engine.SetStep(time.Millisecond)
 	}
-	through := "http://" + stack.Routers[0].Addresses().Callers
+	routerURL := "http://" + stack.Routers[0].Addresses().Callers
 	const streams, tokens = 200, 1000
 	var pieces atomic.Int64
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	began, used := time.Now(), cpu()
+	start, cpuBefore := time.Now(), cpuTime()
 	for b.Loop() {
 		var wait sync.WaitGroup
 		for i := range streams {
 			wait.Go(func() {
-				postChat(b, through, chatBody(tokens, message("user", fmt.Sprintf("stream %d", i))))
+				postChat(b, routerURL, chatBody(tokens, message("user", fmt.Sprintf("stream %d", i))))
 				pieces.Add(tokens)
 			})
 		}
 		wait.Wait()
 	}
 	runtime.ReadMemStats(&after)
-	b.ReportMetric(float64(pieces.Load())/time.Since(began).Seconds(), "pieces/s")
-	b.ReportMetric(float64(pieces.Load())/(cpu()-used).Seconds(), "pieces/cpu-s")
+	b.ReportMetric(float64(pieces.Load())/time.Since(start).Seconds(), "pieces/s")
+	b.ReportMetric(float64(pieces.Load())/(cpuTime()-cpuBefore).Seconds(), "pieces/cpu-s")
 	b.ReportMetric(float64(after.Mallocs-before.Mallocs)/float64(pieces.Load()), "allocs/piece")
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkRequests sends short requests one after another from many callers.
+// BenchmarkRequests sends short requests from many concurrent callers.
 func BenchmarkRequests(b *testing.B) {
 	stack := startStack(b)
 	for _, engine := range stack.Engines {
 		engine.SetStep(time.Millisecond)
 	}
-	through := "http://" + stack.Routers[0].Addresses().Callers
-	const callers, each = 64, 50
+	routerURL := "http://" + stack.Routers[0].Addresses().Callers
+	const callers, perCaller = 64, 50
 	var count atomic.Int64
-	began, used := time.Now(), cpu()
+	start, cpuBefore := time.Now(), cpuTime()
 	for b.Loop() {
 		var wait sync.WaitGroup
 		for i := range callers {
 			wait.Go(func() {
-				for j := range each {
-					postChat(b, through, chatBody(1, message("user", fmt.Sprintf("request %d %d", i, j))))
+				for j := range perCaller {
+					postChat(b, routerURL, chatBody(1, message("user", fmt.Sprintf("request %d %d", i, j))))
 					count.Add(1)
 				}
 			})
 		}
 		wait.Wait()
 	}
-	b.ReportMetric(float64(count.Load())/time.Since(began).Seconds(), "requests/s")
-	b.ReportMetric(float64((cpu()-used).Microseconds())/float64(count.Load()), "cpu-us/request")
+	b.ReportMetric(float64(count.Load())/time.Since(start).Seconds(), "requests/s")
+	b.ReportMetric(float64((cpuTime()-cpuBefore).Microseconds())/float64(count.Load()), "cpu-us/request")
 	b.ReportMetric(0, "ns/op")
 }
--- a/internal/dev/client.go
+++ b/internal/dev/client.go
@@ -16,7 +16,7 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// client speaks to one router as a caller does.
+// client calls one router as a caller does.
 type client struct {
 	base string
 	http *http.Client
@@ -26,18 +26,18 @@
 	return &client{base: "http://" + address, http: http.DefaultClient}
 }
 
-// answer is an HTTP answer, read whole.
-type answer struct {
+// httpResult is an HTTP response with its complete body.
+type httpResult struct {
 	status   int
 	header   http.Header
 	body     string
 	runState string
 }
 
-func (c *client) do(ctx context.Context, method, path string, header map[string]string, body string) (answer, error) {
+func (c *client) do(ctx context.Context, method, path string, header map[string]string, body string) (httpResult, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, strings.NewReader(body))
 	if err != nil {
-		return answer{}, errors.Wrap(err, "make request")
+		return httpResult{}, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Authorization", "Bearer "+Key)
 	for name, value := range header {
@@ -45,26 +45,26 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return answer{}, errors.Wrap(err, "send request")
+		return httpResult{}, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
-	return answer{
+	return httpResult{
 		status:   response.StatusCode,
 		header:   response.Header,
 		body:     string(data),
 		runState: response.Header.Get(router.HeaderRunState),
-	}, errors.Wrap(err, "read answer")
+	}, errors.Wrap(err, "read response")
 }
 
-// topUp sends a request that may not be repeated.
-func (c *client) topUp(ctx context.Context, key, meter string) (answer, error) {
+// topUp sends a request that must not be repeated.
+func (c *client) topUp(ctx context.Context, key, meter string) (httpResult, error) {
 	header := map[string]string{router.HeaderKey: key}
 	return c.do(ctx, http.MethodPost, "/v1/services/"+Service+"/credit", header, fmt.Sprintf(`{"meter":%q}`, meter))
 }
 
-// streamed is a streamed chat as its caller saw it.
-type streamed struct {
+// chatStream is a streamed chat response as the caller received it.
+type chatStream struct {
 	text      string
 	pieces    int
 	finish    string
@@ -74,7 +74,7 @@
 	failure   string
 }
 
-// chatBody writes a chat completions request.
+// chatBody encodes a chat completions request.
 func chatBody(maxTokens int, messages ...target.ChatMessage) string {
 	body, _ := json.Marshal(map[string]any{
 		"model":          Model,
@@ -91,11 +91,11 @@
 	return target.ChatMessage{Role: role, Content: content}
 }
 
-// chat streams a chat; each is told of every piece as it comes.
-func (c *client) chat(ctx context.Context, body, placement string, each func(pieces int)) (streamed, error) {
+// chat streams a chat and calls onPiece with the number of pieces after each event.
+func (c *client) chat(ctx context.Context, body, placement string, onPiece func(pieces int)) (chatStream, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
-		return streamed{}, errors.Wrap(err, "make request")
+		return chatStream{}, errors.Wrap(err, "create request")
 	}
 	request.Header.Set("Authorization", "Bearer "+Key)
 	if placement != "" {
@@ -103,26 +103,26 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return streamed{}, errors.Wrap(err, "send request")
+		return chatStream{}, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	seen := streamed{placement: response.Header.Get(router.HeaderPlacement)}
+	stream := chatStream{placement: response.Header.Get(router.HeaderPlacement)}
 	if response.StatusCode != http.StatusOK {
 		data, _ := io.ReadAll(response.Body)
-		return seen, errors.Newf("status %d: %s", response.StatusCode, data)
+		return stream, errors.Newf("status %d: %s", response.StatusCode, data)
 	}
 	lines := bufio.NewScanner(response.Body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if ok {
-			seen.take(data)
-			each(seen.pieces)
+			stream.addEvent(data)
+			onPiece(stream.pieces)
 		}
 	}
-	return seen, errors.Wrap(lines.Err(), "read stream")
+	return stream, errors.Wrap(lines.Err(), "read stream")
 }
 
-func (s *streamed) take(data string) {
+func (s *chatStream) addEvent(data string) {
 	if data == "[DONE]" {
 		s.done = true
 		return
@@ -153,7 +153,7 @@
 	}
 }
 
-// statusOf gives the status of a GET; zero if it fails.
+// statusOf returns the status of a GET request, or zero if it fails.
 func statusOf(ctx context.Context, url string) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -167,23 +167,23 @@
 	return response.StatusCode
 }
 
-// operatorGet reads an operators' answer.
+// operatorGet reads a response of the operators' API.
 func operatorGet[T any](ctx context.Context, p process.Process, path string) (T, error) {
-	var into T
+	var decoded T
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Addresses().Operators+"/operator/v1"+path, nil)
 	if err != nil {
-		return into, errors.Wrap(err, "make request")
+		return decoded, errors.Wrap(err, "create request")
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return into, errors.Wrap(err, "send request")
+		return decoded, errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
-	return into, errors.Wrap(json.NewDecoder(response.Body).Decode(&into), "read answer")
+	return decoded, errors.Wrap(json.NewDecoder(response.Body).Decode(&decoded), "read response")
 }
 
-// servesAll says whether a router sends requests to all targets.
-func servesAll(ctx context.Context, p process.Process) bool {
+// routesToAllTargets reports whether a router routes requests to all targets.
+func routesToAllTargets(ctx context.Context, p process.Process) bool {
 	status, err := operatorGet[process.Status](ctx, p, "/status")
 	return err == nil && status.RoutedTargets == engineHosts*enginesPerHost+serviceHosts
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -16,13 +16,13 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
-		// The callers' own kept connections, of http.DefaultClient.
+		// Idle keep-alive connections of the callers' http.DefaultClient.
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"),
 		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"),
 	)
 }
 
-// startTimeout is generous: it bounds a hang, not the speed.
+// startTimeout is generous because it only detects a hang; it doesn't check the speed.
 const startTimeout = 2 * time.Minute
 
 func startStack(t testing.TB) *Stack {
@@ -36,7 +36,7 @@
 	return stack
 }
 
-func TestStoryHolds(t *testing.T) {
+func TestStorySucceeds(t *testing.T) {
 	stack := startStack(t)
 	for _, step := range RunStory(t.Context(), stack) {
 		if !step.Held {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A published OpenAI client works unchanged.
+// TestPublishedClient checks that a published OpenAI client works unchanged.
 func TestPublishedClient(t *testing.T) {
 	is := is.New(t)
 	stack := startStack(t)
@@ -58,18 +58,18 @@
 		Messages:  []openai.ChatCompletionMessageParamUnion{openai.UserMessage("what is my balance?")},
 		MaxTokens: openai.Int(7),
 	}
-	whole, err := client.Chat.Completions.New(t.Context(), question)
+	completion, err := client.Chat.Completions.New(t.Context(), question)
 	is.NoErr(err)
-	is.Equal(whole.Choices[0].FinishReason, "length")
-	is.Equal(whole.Usage.CompletionTokens, int64(7))
+	is.Equal(completion.Choices[0].FinishReason, "length")
+	is.Equal(completion.Usage.CompletionTokens, int64(7))
 
 	stream := client.Chat.Completions.NewStreaming(t.Context(), question)
-	sum := openai.ChatCompletionAccumulator{}
+	accumulator := openai.ChatCompletionAccumulator{}
 	for stream.Next() {
-		sum.AddChunk(stream.Current())
+		accumulator.AddChunk(stream.Current())
 	}
 	is.NoErr(stream.Err())
-	is.Equal(sum.Choices[0].Message.Content, whole.Choices[0].Message.Content)
+	is.Equal(accumulator.Choices[0].Message.Content, completion.Choices[0].Message.Content)
 
 	models, err := client.Models.List(t.Context())
 	is.NoErr(err)
--- a/internal/dev/stack.go
+++ b/internal/dev/stack.go
@@ -1,6 +1,6 @@
-// Package dev runs the whole system in one process on loopback: routers,
-// agents and the stand-ins, as services of one kernel. It is the embedded
-// default of the binary and what its own story runs against.
+// Package dev runs the whole system in one process on loopback: routers, agents and the
+// emulators, as services of one kernel. It is the embedded default of the binary, and the
+// system that the binary's own story runs against.
 package dev
 
 import (
@@ -30,31 +30,31 @@
 	"github.com/capersaddle/capersaddle/internal/target/fakeservice"
 )
 
-// The size of a stack: that of one of today's deployments.
+// The size of a stack, which is that of one present-day deployment.
 const (
 	routers        = 3
 	engineHosts    = 10
 	enginesPerHost = 5
 	serviceHosts   = 3
-	// loadsPerSecond is the rate of the weight store.
+	// loadsPerSecond is the number of weight loads per second that the weight store allows.
 	loadsPerSecond = 2
-	// Model and Service are the names that the stack serves.
+	// Model and Service are the names of the model and the service that the stack serves.
 	Model   = "volta-chat"
 	Service = "topup"
-	// Key is the API key of the one workspace.
+	// Key is the API key of the only workspace.
 	Key       = "dev-key"
 	Workspace = "demo"
 )
 
-// engineLag is how late the engines' reports and cache events are.
+// engineLag is the delay of the engines' reports and cache events.
 const engineLag = 500 * time.Millisecond
 
 // Centers are the data centres of the stack.
 var Centers = []string{"accra-1", "accra-2", "accra-3"}
 
-// Options say where the stack listens.
+// Options configure where the stack listens and logs.
 type Options struct {
-	// Callers is the first router's address for callers; port 0 takes any.
+	// Callers is the first router's address for callers; port 0 picks a free port.
 	Callers string
 	Log     *log.Logger
 }
@@ -67,21 +67,21 @@
 	Engines  map[string]*fakeengine.Engine
 	Services map[string]*fakeservice.Server
 	Routers  []process.Process
-	// Agents are by process id; TargetHost names each target's agent.
+	// Agents is keyed by process ID. TargetHost maps each target ID to its agent's ID.
 	Agents     map[string]process.Process
 	TargetHost map[string]string
 
 	options Options
 	kernel  *kernel.Kernel
-	// authority issues throwaway certificates; beatKey signs beats.
-	authority *secure.Authority
-	beatKey   string
-	seed      string
-	store     string
-	hosts     string
+	// authority issues temporary certificates; heartbeatKey signs heartbeats.
+	authority    *secure.Authority
+	heartbeatKey string
+	seed         string
+	store        string
+	hosts        string
 }
 
-// New puts a stack together; Start starts it.
+// New creates a stack. Start starts it.
 func New(options Options) (*Stack, error) {
 	s := &Stack{
 		Store:      fakestore.New(),
@@ -92,7 +92,7 @@
 		options:    options,
 		kernel:     kernel.New(),
 	}
-	if err := s.makeKeys(); err != nil {
+	if err := s.generateKeys(); err != nil {
 		return nil, err
 	}
 	if err := s.addPlatform(); err != nil {
@@ -107,8 +107,8 @@
 	return s, s.addRouters()
 }
 
-// makeKeys makes the keys of this one run, in memory.
-func (s *Stack) makeKeys() error {
+// generateKeys creates the keys of this run, which are kept in memory only.
+func (s *Stack) generateKeys() error {
 	var err error
 	if s.authority, err = secure.NewAuthority(); err != nil {
 		return err
@@ -116,12 +116,12 @@
 	const keyLength = 32
 	key := make([]byte, keyLength)
 	_, _ = rand.Read(key)
-	s.beatKey = hex.EncodeToString(key)
+	s.heartbeatKey = hex.EncodeToString(key)
 	return nil
 }
 
-// serve registers an HTTP stand-in on a free loopback port.
-func (s *Stack) serve(name string, handler http.Handler) (string, error) {
+// serveStandIn registers an emulator's HTTP server on a free loopback port and returns its URL.
+func (s *Stack) serveStandIn(name string, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.Wrapf(err, "listen for %s", name)
@@ -142,14 +142,14 @@
 	}
 	s.Hosts = fakehosts.New(hosts...)
 	var err error
-	if s.store, err = s.serve("store", s.Store.Handler()); err != nil {
+	if s.store, err = s.serveStandIn("store", s.Store.Handler()); err != nil {
 		return err
 	}
-	if s.hosts, err = s.serve("hosts", s.Hosts.Handler()); err != nil {
+	if s.hosts, err = s.serveStandIn("hosts", s.Hosts.Handler()); err != nil {
 		return err
 	}
 	s.Weights = fakeweights.New(loadsPerSecond)
-	_, err = s.serve("weights", s.Weights.Handler())
+	_, err = s.serveStandIn("weights", s.Weights.Handler())
 	return err
 }
 
@@ -160,7 +160,7 @@
 			id := fmt.Sprintf("engine-%02d", h*enginesPerHost+e)
 			engine := fakeengine.New(fakeengine.Options{Name: id, Lag: engineLag, Fetch: s.Weights.Fetch}, Model)
 			s.Engines[id] = engine
-			url, err := s.serve(id, engine.Handler())
+			url, err := s.serveStandIn(id, engine.Handler())
 			if err != nil {
 				return err
 			}
@@ -178,7 +178,7 @@
 		id := fmt.Sprintf("%s-%d", Service, h)
 		server := fakeservice.New(id, nil)
 		s.Services[id] = server
-		url, err := s.serve(id, server.Handler())
+		url, err := s.serveStandIn(id, server.Handler())
 		if err != nil {
 			return err
 		}
@@ -190,12 +190,12 @@
 	return nil
 }
 
-func (s *Stack) common(role, id, center string) (*settings.Settings, error) {
-	keys, err := s.authority.Issue(id, role, keyLife)
+func (s *Stack) commonSettings(role, id, center string) (*settings.Settings, error) {
+	keys, err := s.authority.Issue(id, role, certificateLifetime)
 	if err != nil {
 		return nil, err
 	}
-	made := &settings.Settings{
+	common := &settings.Settings{
 		Role:       role,
 		ID:         id,
 		DataCenter: center,
@@ -204,26 +204,26 @@
 		Beat:       "127.0.0.1:0",
 		Store:      s.store,
 		TLS:        settings.TLS{CA: keys.CA, Cert: keys.Cert, Key: keys.Key},
-		Membership: settings.Membership{Key: s.beatKey},
+		Membership: settings.Membership{Key: s.heartbeatKey},
 	}
 	if s.seed != "" {
-		made.Seeds = []string{s.seed}
+		common.Seeds = []string{s.seed}
 	}
-	return made, nil
+	return common, nil
 }
 
-// keyLife is how long the throwaway certificates hold.
-const keyLife = 7 * 24 * time.Hour
+// certificateLifetime is the validity period of the temporary certificates.
+const certificateLifetime = 7 * 24 * time.Hour
 
 func (s *Stack) addAgent(id, center string, targets []settings.Target) error {
-	made, err := s.common("agent", id, center)
+	agentSettings, err := s.commonSettings("agent", id, center)
 	if err != nil {
 		return err
 	}
-	made.Targets = targets
-	made.Hosts = s.hosts
-	made.Host = id
-	agent, err := process.New(made, s.options.Log)
+	agentSettings.Targets = targets
+	agentSettings.Hosts = s.hosts
+	agentSettings.Host = id
+	agent, err := process.New(agentSettings, s.options.Log)
 	if err != nil {
 		return err
 	}
@@ -231,11 +231,11 @@
 	for _, t := range targets {
 		s.TargetHost[t.ID] = id
 	}
-	return s.add(id, agent)
+	return s.register(id, agent)
 }
 
-// add registers a process; the first one is the seed of all others.
-func (s *Stack) add(id string, p process.Process) error {
+// register registers a process with the kernel. The first process is the seed of all others.
+func (s *Stack) register(id string, p process.Process) error {
 	if s.seed == "" {
 		s.seed = p.Addresses().Beat
 	}
@@ -245,28 +245,28 @@
 func (s *Stack) addRouters() error {
 	for i := range routers {
 		id := fmt.Sprintf("router-%d", i)
-		made, err := s.common("router", id, Centers[i%len(Centers)])
+		routerSettings, err := s.commonSettings("router", id, Centers[i%len(Centers)])
 		if err != nil {
 			return err
 		}
-		made.Callers = "127.0.0.1:0"
+		routerSettings.Callers = "127.0.0.1:0"
 		if i == 0 && s.options.Callers != "" {
-			made.Callers = s.options.Callers
+			routerSettings.Callers = s.options.Callers
 		}
-		router, err := process.New(made, s.options.Log)
+		router, err := process.New(routerSettings, s.options.Log)
 		if err != nil {
 			return err
 		}
 		s.Routers = append(s.Routers, router)
-		if err := s.add(id, router); err != nil {
+		if err := s.register(id, router); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Start starts everything, sets the first configuration and waits until the
-// routers are ready and the service's slots have owners.
+// Start starts all processes, applies the first configuration, and waits until the routers are
+// ready and the service's slots have owners.
 func (s *Stack) Start(ctx context.Context) error {
 	if err := s.kernel.Start(ctx); err != nil {
 		return err
@@ -276,14 +276,14 @@
 	}
 	for _, router := range s.Routers {
 		url := "http://" + router.Addresses().Callers
-		if err := until(ctx, func() bool { return statusOf(ctx, url+"/readyz") == http.StatusOK }); err != nil {
+		if err := waitUntil(ctx, func() bool { return statusOf(ctx, url+"/readyz") == http.StatusOK }); err != nil {
 			return errors.Wrap(err, "a router did not become ready")
 		}
-		if err := until(ctx, func() bool { return servesAll(ctx, router) }); err != nil {
-			return errors.Wrap(err, "a router did not hear of all targets")
+		if err := waitUntil(ctx, func() bool { return routesToAllTargets(ctx, router) }); err != nil {
+			return errors.Wrap(err, "a router did not learn of all targets")
 		}
 	}
-	return errors.Wrap(until(ctx, func() bool { return s.topUpWorks(ctx) }), "the service's slots got no owners")
+	return errors.Wrap(waitUntil(ctx, func() bool { return s.canTopUp(ctx) }), "the service's slots have no owners")
 }
 
 func (s *Stack) configure(ctx context.Context) error {
@@ -304,14 +304,15 @@
 	return err
 }
 
-// topUpWorks sends a harmless keyed request until an owner takes it.
-func (s *Stack) topUpWorks(ctx context.Context) bool {
+// canTopUp sends a harmless request with an idempotency key and reports whether a slot owner
+// accepted it.
+func (s *Stack) canTopUp(ctx context.Context) bool {
 	c := newClient(s.Routers[0].Addresses().Callers)
 	answer, err := c.topUp(ctx, uuid.Must(uuid.NewV7()).String(), "warm-up")
 	return err == nil && answer.status == http.StatusOK
 }
 
-// Close ends everything and waits.
+// Close stops all processes and waits for them.
 func (s *Stack) Close() error {
 	err := s.kernel.Close()
 	for _, engine := range s.Engines {
@@ -320,7 +321,7 @@
 	return err
 }
 
-// Summary is what a person needs to try the stack.
+// Summary returns the addresses and a sample command for trying the stack.
 func (s *Stack) Summary() string {
 	var out strings.Builder
 	for i, router := range s.Routers {
@@ -332,12 +333,12 @@
 	return out.String()
 }
 
-// pollEvery is the wait between two looks at a condition.
-const pollEvery = 50 * time.Millisecond
+// pollInterval is the interval at which waitUntil checks its condition.
+const pollInterval = 50 * time.Millisecond
 
-// until waits for a condition or the end of the context.
-func until(ctx context.Context, condition func() bool) error {
-	ticker := time.NewTicker(pollEvery)
+// waitUntil waits until a condition holds or the context ends.
+func waitUntil(ctx context.Context, condition func() bool) error {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for !condition() {
 		select {
--- a/internal/dev/standin.go
+++ b/internal/dev/standin.go
@@ -9,20 +9,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// standIn serves one stand-in over HTTP as a service of the kernel.
+// standIn runs the HTTP server of one emulator as a service of the kernel.
 type standIn struct {
 	listener net.Listener
 	server   *http.Server
 	wait     sync.WaitGroup
 }
 
-// Start begins to serve.
+// Start starts serving.
 func (s *standIn) Start(context.Context) error {
 	s.wait.Go(func() { _ = s.server.Serve(s.listener) })
 	return nil
 }
 
-// Close ends all connections and waits.
+// Close closes all connections and waits for the server to stop.
 func (s *standIn) Close() error {
 	err := s.server.Close()
 	s.wait.Wait()
--- a/internal/dev/story.go
+++ b/internal/dev/story.go
@@ -19,7 +19,7 @@
 	"github.com/capersaddle/capersaddle/internal/target/fakeengine"
 )
 
-// Step is one line of the story's table.
+// Step is the result of one step of the story.
 type Step struct {
 	Name string        `json:"name"`
 	Held bool          `json:"held"`
@@ -27,19 +27,19 @@
 	Took time.Duration `json:"took_ns"`
 }
 
-// stepTimeout bounds one step of the story.
+// stepTimeout limits the duration of one step.
 const stepTimeout = 30 * time.Second
 
-// storyteller plays the story against a stack.
-type storyteller struct {
+// storyRunner runs the story against a stack.
+type storyRunner struct {
 	stack *Stack
-	// reply is the first chat's answer, for its return.
-	first streamed
+	// firstChat is the response to the first chat, which the returning chat builds on.
+	firstChat chatStream
 }
 
-// Tell plays the whole story over real HTTP and returns what was seen.
+// RunStory runs all steps of the story over real HTTP and returns what was observed.
 func RunStory(ctx context.Context, stack *Stack) []Step {
-	t := &storyteller{stack: stack}
+	t := &storyRunner{stack: stack}
 	steps := []struct {
 		name string
 		play func(context.Context) (string, error)
@@ -47,81 +47,82 @@
 		{"a streamed chat", t.streamedChat},
 		{"its return hits the prefix cache", t.returningChat},
 		{"a broken stream is resumed whole", t.brokenStream},
-		{"a top-up sent twice through two routers runs once", t.topUpTwice},
+		{"a top-up sent twice through two routers runs once", t.duplicateTopUp},
 		{"a planned stop cuts nothing in flight", t.plannedStop},
-		{"a change is in force on every router", t.change},
-		{"the store goes and serving goes on", t.storeAway},
-		{"a refusal was not run", t.refusal},
+		{"a change is in force on every router", t.configChange},
+		{"the store goes and serving goes on", t.storeOutage},
+		{"a refusal was not run", t.refusedRequest},
 	}
 	var table []Step
 	for _, step := range steps {
-		bounded, cancel := context.WithTimeout(ctx, stepTimeout)
-		began := time.Now()
-		seen, err := step.play(bounded)
+		stepCtx, cancel := context.WithTimeout(ctx, stepTimeout)
+		start := time.Now()
+		seen, err := step.play(stepCtx)
 		cancel()
 		if err != nil {
 			seen = err.Error()
 		}
-		table = append(table, Step{Name: step.name, Held: err == nil, Seen: seen, Took: time.Since(began)})
+		table = append(table, Step{Name: step.name, Held: err == nil, Seen: seen, Took: time.Since(start)})
 	}
 	return table
 }
 
-func (t *storyteller) client(i int) *client {
+func (t *storyRunner) client(i int) *client {
 	return newClient(t.stack.Routers[i].Addresses().Callers)
 }
 
-func ignore(int) {}
+func ignorePieces(int) {}
 
 // longQuestion is long enough to fill blocks of the prefix cache.
 func longQuestion() string {
 	return strings.Repeat("what did meter 4711 use in each week of the last year and why ", 12)
 }
 
-func (t *storyteller) streamedChat(ctx context.Context) (string, error) {
-	got, err := t.client(0).chat(ctx, chatBody(24, message("user", longQuestion())), "", ignore)
+func (t *storyRunner) streamedChat(ctx context.Context) (string, error) {
+	got, err := t.client(0).chat(ctx, chatBody(24, message("user", longQuestion())), "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
 	if !got.done || got.finish != "length" || got.pieces != 24 || got.usage.CompletionTokens != 24 {
-		return "", errors.Newf("not whole: %+v", got)
+		return "", errors.Newf("incomplete chat: %+v", got)
 	}
-	t.first = got
+	t.firstChat = got
 	return fmt.Sprintf("%d pieces from %s, finish %s", got.pieces, got.placement, got.finish), nil
 }
 
-func (t *storyteller) returningChat(ctx context.Context) (string, error) {
-	body := chatBody(8, message("user", longQuestion()), message("assistant", t.first.text), message("user", "and today?"))
-	// Another router, and no placement token: the order alone finds the engine.
-	got, err := t.client(1).chat(ctx, body, "", ignore)
+func (t *storyRunner) returningChat(ctx context.Context) (string, error) {
+	body := chatBody(8, message("user", longQuestion()), message("assistant", t.firstChat.text), message("user", "and today?"))
+	// This request goes to another router and carries no placement token, so only the
+	// rendezvous order leads it to the engine.
+	got, err := t.client(1).chat(ctx, body, "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
 	cached := got.usage.PromptTokensDetails.CachedTokens
-	if got.placement != t.first.placement || cached == 0 {
-		return "", errors.Newf("went to %s with %d tokens cached, the chat was at %s", got.placement, cached, t.first.placement)
+	if got.placement != t.firstChat.placement || cached == 0 {
+		return "", errors.Newf("routed to %s with %d tokens cached, but the first chat was on %s", got.placement, cached, t.firstChat.placement)
 	}
 	return fmt.Sprintf("%s again, %d of %d prompt tokens cached", got.placement, cached, got.usage.PromptTokens), nil
 }
 
-func (t *storyteller) brokenStream(ctx context.Context) (string, error) {
+func (t *storyRunner) brokenStream(ctx context.Context) (string, error) {
 	body := chatBody(30, message("user", "a question whose first engine breaks"))
-	whole, err := t.client(0).chat(ctx, body, "", ignore)
+	complete, err := t.client(0).chat(ctx, body, "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
-	t.stack.Engines[whole.placement].Inject(fakeengine.Fault{CutAfter: 7})
-	got, err := t.client(0).chat(ctx, body, "", ignore)
+	t.stack.Engines[complete.placement].Inject(fakeengine.Fault{CutAfter: 7})
+	got, err := t.client(0).chat(ctx, body, "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
-	if got.text != whole.text || !got.done {
-		return "", errors.Newf("the text differs after the break: %q and %q", whole.text, got.text)
+	if got.text != complete.text || !got.done {
+		return "", errors.Newf("the text differs after the stream broke: %q and %q", complete.text, got.text)
 	}
-	return fmt.Sprintf("%s broke after 7 pieces, all %d came once and in order", whole.placement, got.pieces), nil
+	return fmt.Sprintf("%s broke after 7 pieces, all %d came once and in order", complete.placement, got.pieces), nil
 }
 
-func (t *storyteller) effects(key string) int {
+func (t *storyRunner) countEffects(key string) int {
 	count := 0
 	for _, server := range t.stack.Services {
 		for _, effect := range server.Effects() {
@@ -133,9 +134,9 @@
 	return count
 }
 
-func (t *storyteller) topUpTwice(ctx context.Context) (string, error) {
+func (t *storyRunner) duplicateTopUp(ctx context.Context) (string, error) {
 	key := uuid.Must(uuid.NewV7()).String()
-	answers := make(chan answer, 2)
+	answers := make(chan httpResult, 2)
 	failures := make(chan error, 2)
 	for i := range 2 {
 		go func() {
@@ -148,15 +149,15 @@
 	if err := errors.CombineErrors(<-failures, <-failures); err != nil {
 		return "", err
 	}
-	ran := t.effects(key)
+	ran := t.countEffects(key)
 	if ran != 1 || first.body != second.body || first.status != http.StatusOK {
 		return "", errors.Newf("ran %d times; answers %d %s and %d %s", ran, first.status, first.body, second.status, second.body)
 	}
 	return "ran once, both got " + first.body, nil
 }
 
-// command sends an operators' command to the first router.
-func (t *storyteller) command(ctx context.Context, changes ...config.Change) (config.Result, error) {
+// command sends an operator command to the first router.
+func (t *storyRunner) command(ctx context.Context, changes ...config.Change) (config.Result, error) {
 	data, err := json.Marshal(config.Command{ID: uuid.NewString(), Operator: "story", Changes: changes})
 	if err != nil {
 		return config.Result{}, err
@@ -181,44 +182,44 @@
 	return result, err
 }
 
-func (t *storyteller) plannedStop(ctx context.Context) (string, error) {
-	marked := ""
+func (t *storyRunner) plannedStop(ctx context.Context) (string, error) {
+	markedEngine := ""
 	body := chatBody(400, message("user", "a long answer that is under way when its engine is to stop"))
 	var markErr error
-	probe, err := t.client(0).chat(ctx, chatBody(1, message("user", "a long answer that is under way when its engine is to stop")), "", ignore)
+	probe, err := t.client(0).chat(ctx, chatBody(1, message("user", "a long answer that is under way when its engine is to stop")), "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
 	got, err := t.client(0).chat(ctx, body, "", func(pieces int) {
-		if pieces == 5 && marked == "" {
-			marked = probe.placement
-			_, markErr = t.command(ctx, config.Change{Name: "mark/" + marked, Value: json.RawMessage(`{"leaving":true}`)})
+		if pieces == 5 && markedEngine == "" {
+			markedEngine = probe.placement
+			_, markErr = t.command(ctx, config.Change{Name: "mark/" + markedEngine, Value: json.RawMessage(`{"leaving":true}`)})
 		}
 	})
 	if err := errors.CombineErrors(err, markErr); err != nil {
 		return "", err
 	}
-	if got.placement != marked || got.pieces != 400 || !got.done {
-		return "", errors.Newf("%d pieces from %s, marked was %s", got.pieces, got.placement, marked)
+	if got.placement != markedEngine || got.pieces != 400 || !got.done {
+		return "", errors.Newf("%d pieces from %s, marked was %s", got.pieces, got.placement, markedEngine)
 	}
-	after, err := t.client(2).chat(ctx, chatBody(3, message("user", "a long answer that is under way when its engine is to stop")), marked, ignore)
+	after, err := t.client(2).chat(ctx, chatBody(3, message("user", "a long answer that is under way when its engine is to stop")), markedEngine, ignorePieces)
 	if err != nil {
 		return "", err
 	}
-	if after.placement == marked {
-		return "", errors.Newf("%s got new work after its mark", marked)
+	if after.placement == markedEngine {
+		return "", errors.Newf("%s got new work after it was marked as leaving", markedEngine)
 	}
-	return fmt.Sprintf("%s finished all %d pieces; the chat's next request went to %s", marked, got.pieces, after.placement), nil
+	return fmt.Sprintf("%s finished all %d pieces; the chat's next request went to %s", markedEngine, got.pieces, after.placement), nil
 }
 
-func (t *storyteller) change(ctx context.Context) (string, error) {
-	began := time.Now()
+func (t *storyRunner) configChange(ctx context.Context) (string, error) {
+	start := time.Now()
 	result, err := t.command(ctx, config.Change{Name: "workspace/kitchen", Value: json.RawMessage(`{"key_hashes":["` + config.HashKey("kitchen-key") + `"]}`)})
 	if err != nil {
 		return "", err
 	}
 	for _, r := range t.stack.Routers {
-		err := until(ctx, func() bool {
+		err := waitUntil(ctx, func() bool {
 			status, err := operatorGet[process.Status](ctx, r, "/status")
 			return err == nil && status.ConfigRevision >= result.Revision
 		})
@@ -226,23 +227,23 @@
 			return "", err
 		}
 	}
-	return fmt.Sprintf("revision %d on all %d routers after %v", result.Revision, len(t.stack.Routers), time.Since(began).Round(time.Millisecond)), nil
+	return fmt.Sprintf("revision %d on all %d routers after %v", result.Revision, len(t.stack.Routers), time.Since(start).Round(time.Millisecond)), nil
 }
 
-func (t *storyteller) storeAway(ctx context.Context) (string, error) {
+func (t *storyRunner) storeOutage(ctx context.Context) (string, error) {
 	t.stack.Store.SetAway(true)
 	defer t.stack.Store.SetAway(false)
-	got, err := t.client(1).chat(ctx, chatBody(5, message("user", "served without the store")), "", ignore)
+	got, err := t.client(1).chat(ctx, chatBody(5, message("user", "served without the store")), "", ignorePieces)
 	if err != nil {
 		return "", err
 	}
 	key := uuid.Must(uuid.NewV7()).String()
-	topped, err := t.client(2).topUp(ctx, key, "4712")
+	topUp, err := t.client(2).topUp(ctx, key, "4712")
 	if err != nil {
 		return "", err
 	}
-	if !got.done || topped.status != http.StatusOK {
-		return "", errors.Newf("chat %+v, top-up %d %s", got, topped.status, topped.body)
+	if !got.done || topUp.status != http.StatusOK {
+		return "", errors.Newf("chat %+v, top-up %d %s", got, topUp.status, topUp.body)
 	}
 	_, err = t.command(ctx, config.Change{Name: "workspace/nobody"})
 	if fault.KindOf(err) != fault.StoreAway {
@@ -251,7 +252,7 @@
 	return "chat and top-up served; a change was refused as " + string(fault.KindOf(err)), nil
 }
 
-func (t *storyteller) refusal(ctx context.Context) (string, error) {
+func (t *storyRunner) refusedRequest(ctx context.Context) (string, error) {
 	before := 0
 	for _, engine := range t.stack.Engines {
 		before += len(engine.Runs())
