--- a/internal/soak/callers_test.go
+++ b/internal/soak/callers_test.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// caller is one worker that sends requests one after the other.
+// caller is a worker that sends requests one after another.
 type caller struct {
-	soak   *soak
-	source *rand.Rand
-	// open keeps connections to gateways until they are gone.
-	open *http.Transport
+	soak *soak
+	rng  *rand.Rand
+	// keepAlive reuses connections to gateways until the gateways close them.
+	keepAlive *http.Transport
 }
 
-// callOn sends requests until the end; what each caller sends is drawn from
-// the seed.
-func (s *soak) callOn(ctx context.Context, worker int) {
-	c := &caller{soak: s, source: rand.New(rand.NewPCG(s.seed, uint64(worker+2))), open: &http.Transport{DisableCompression: true}}
-	defer c.open.CloseIdleConnections()
+// runCaller sends requests until the context ends. What each caller sends is drawn from the
+// seed.
+func (s *soak) runCaller(ctx context.Context, worker int) {
+	c := &caller{soak: s, rng: rand.New(rand.NewPCG(s.seed, uint64(worker+2))), keepAlive: &http.Transport{DisableCompression: true}}
+	defer c.keepAlive.CloseIdleConnections()
 	for ctx.Err() == nil {
-		made := c.call()
+		finished := c.sendNext()
 		s.mu.Lock()
-		s.calls = append(s.calls, made)
+		s.calls = append(s.calls, finished)
 		s.mu.Unlock()
 		select {
 		case <-time.After(callPause):
@@ -36,34 +36,34 @@
 	}
 }
 
-// call draws one request and sends it.
-func (c *caller) call() call {
+// sendNext draws the next request, sends it and returns the result.
+func (c *caller) sendNext() call {
 	paths := []string{"/pay/1", "/ask/1", "/chat/1"}
-	path := paths[c.source.IntN(len(paths))]
+	path := paths[c.rng.IntN(len(paths))]
 	key := "key-stays"
-	if c.source.IntN(5) == 0 {
+	if c.rng.IntN(5) == 0 {
 		key = "key-gone"
 	}
-	g := c.soak.gateways[c.source.IntN(len(c.soak.gateways))]
-	made := call{id: fmt.Sprintf("%d-%d", c.soak.seed, c.soak.ids.Add(1)), path: path, life: g.life(), gateway: g.id, sentAt: time.Now()}
-	transport := c.open
-	if c.source.IntN(newConnection) == 0 {
+	g := c.soak.gateways[c.rng.IntN(len(c.soak.gateways))]
+	next := call{id: fmt.Sprintf("%d-%d", c.soak.seed, c.soak.ids.Add(1)), path: path, incarnation: g.incarnation(), gateway: g.id, sentAt: time.Now()}
+	transport := c.keepAlive
+	if c.rng.IntN(newConnectionEvery) == 0 {
 		transport = &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	}
 	stopping := g.stopping.Load()
-	made.send(transport, g.callers, key)
-	made.endedAt = time.Now()
-	made.stopping = stopping || g.stopping.Load()
-	if made.life != g.life() {
-		made.life = "" // one of two: it tells nothing of either
+	next.send(transport, g.callers, key)
+	next.endedAt = time.Now()
+	next.stopping = stopping || g.stopping.Load()
+	if next.incarnation != g.incarnation() {
+		next.incarnation = "" // the gateway restarted meanwhile, so the incarnation is unknown
 	}
-	return made
+	return next
 }
 
-// send sends the request and notes what comes of it.
+// send sends the request and records the outcome.
 func (c *call) send(transport *http.Transport, address, key string) {
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		c.reached, c.kept = true, info.Reused
+		c.connected, c.reused = true, info.Reused
 	}}
 	ctx, cancel := context.WithTimeout(httptrace.WithClientTrace(context.Background(), trace), 6*time.Second)
 	defer cancel()
@@ -72,7 +72,7 @@
 		c.err = err
 		return
 	}
-	// A body that can't be read twice: the transport sends a request once only.
+	// The body can't be rewound, so the transport never sends the request a second time.
 	request.ContentLength = int64(len("body"))
 	request.Host = host
 	request.Header.Set("X-Attempt-Id", c.id)
--- a/internal/soak/check_trials_test.go
+++ b/internal/soak/check_trials_test.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// underWay is what may have been under way to a version without being counted:
-	// one call of each caller.
-	underWay = callers
-	// refusedKnown is how long after the store has refused a version a call sent then may
-	// still reach it: the bound for rolling back, and half as much for a machine that
-	// other work is done on.
-	refusedKnown = rollback + rollback/2
+	// maxUncounted is the number of requests that may have been in flight to a version without
+	// being counted: one call per caller.
+	maxUncounted = callers
+	// refusalDeadline is the time after the store has recorded a version as refused during
+	// which calls sent may still reach it: the rollback bound, and half as much again for a
+	// machine that is busy with other work.
+	refusalDeadline = rollback + rollback/2
 )
 
-// final says whether a state ends its order.
-func (r recorded) final() bool {
+// isFinal reports whether a state ends its order.
+func (r rolloutState) isFinal() bool {
 	return r.state == emulator.StateCompleted || r.state == emulator.StateRolledBack
 }
 
-// ends tells how the roll-outs ended, and what each version got.
-func (h *history) ends() string {
+// rolloutSummary describes how the rollouts ended and how many requests each version got.
+func (h *history) rolloutSummary() string {
 	var states []string
 	for _, found := range h.records {
 		states = append(states, fmt.Sprintf("%s %s", found.version, found.state))
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%s; arrivals %v", text, counts)
 }
 
-// arrivalsAt are the requests that reached a service's servers, in order.
+// arrivalsAt returns the requests that reached a service's servers, in order of time.
 func (h *history) arrivalsAt(service string) []emulator.Run {
 	var arrivals []emulator.Run
 	for _, run := range h.runs {
@@ -57,28 +57,29 @@
 	return arrivals
 }
 
-// brokenExposure checks that between an order and its end, at every moment, its version
-// has had no more than the share of the requests that reached the service since, and
-// the slack. Further attempts count as what the version got, but not as requests.
-func (h *history) brokenExposure() []string {
+// exposureViolations checks that at every moment between an order and its end, the ordered
+// version has had at most its share of the requests that reached the service since the order,
+// plus the slack. Further attempts of a request count towards the version's total, but not as
+// requests.
+func (h *history) exposureViolations() []string {
 	var found []string
-	for number, word := range h.orders {
-		if word.version == "" {
+	for number, order := range h.orders {
+		if order.version == "" {
 			continue
 		}
 		until := h.endOf(number)
 		requests, exposed := make(map[string]bool), 0
-		for _, run := range h.arrivalsAt(word.service) {
-			if run.At.Before(word.at) || !run.At.Before(until) {
+		for _, run := range h.arrivalsAt(order.service) {
+			if run.At.Before(order.at) || !run.At.Before(until) {
 				continue
 			}
 			requests[run.ID] = true
-			if releaseOf(targetOf(run)) != word.version {
+			if releaseOf(targetOf(run)) != order.version {
 				continue
 			}
 			exposed++
-			if float64(exposed) > trialShare*float64(len(requests))+trialSlack+underWay {
-				found = append(found, fmt.Sprintf("exposure: %d of %d requests had reached %s %v after its order", exposed, len(requests), word.version, run.At.Sub(word.at)))
+			if float64(exposed) > trialShare*float64(len(requests))+trialSlack+maxUncounted {
+				found = append(found, fmt.Sprintf("exposure: %d of %d requests had reached %s %v after its order", exposed, len(requests), order.version, run.At.Sub(order.at)))
 				break
 			}
 		}
@@ -86,54 +87,55 @@
 	return found
 }
 
-// endOf is when an order ended: by its final state or a later order.
+// endOf returns when an order ended, either by reaching a final state or through a later order.
 func (h *history) endOf(number int) time.Time {
-	word := h.orders[number]
+	order := h.orders[number]
 	for _, record := range h.records {
-		if record.service == word.service && record.order == word.revision && record.final() {
+		if record.service == order.service && record.order == order.revision && record.isFinal() {
 			return record.at
 		}
 	}
 	for _, later := range h.orders[number+1:] {
-		if later.service == word.service && later.version != "" {
+		if later.service == order.service && later.version != "" {
 			return later.at
 		}
 	}
 	return time.Now()
 }
 
-// refusal is a time in which the store has a version as refused.
+// refusal is a period during which the store has a version as refused.
 type refusal struct {
 	service, version string
 	from, until      time.Time
-	// left says that the version was left for another one: a gateway that hears nobody
-	// may still go on with it, while one with a version rolled back stops by itself.
-	left bool
+	// superseded reports that the version was given up in favour of another one. An isolated
+	// gateway may go on using such a version, but stops by itself using one that was rolled back.
+	superseded bool
 }
 
-// refusals are those that the states show. An order for the version ends each.
+// refusals returns the refusals that the records show. Each ends with a new order for the
+// version.
 func (h *history) refusals() []refusal {
 	var found []refusal
 	known := make(map[string]bool)
 	for _, record := range h.records {
 		for _, version := range h.refusedBy(record) {
-			key := fmt.Sprint(record.service, " ", version, " ", h.ordersOf(record, version))
+			key := fmt.Sprint(record.service, " ", version, " ", h.countOrders(record, version))
 			if known[key] {
 				continue
 			}
 			known[key] = true
 			found = append(found, refusal{
-				service: record.service, version: version, from: record.at, until: h.orderedAgain(record, version),
-				left: version != record.version,
+				service: record.service, version: version, from: record.at, until: h.nextOrderTime(record, version),
+				superseded: version != record.version,
 			})
 		}
 	}
 	return found
 }
 
-// refusedBy are the versions that get nothing more by a record: the one rolled back, all
-// that a completion leaves behind, and those whose order was changed.
-func (h *history) refusedBy(record recorded) []string {
+// refusedBy returns the versions that must get no more requests according to a record: the
+// version rolled back, all others after a completion, and those whose order was changed.
+func (h *history) refusedBy(record rolloutState) []string {
 	switch record.state {
 	case emulator.StateRolledBack:
 		return []string{record.version}
@@ -142,38 +144,40 @@
 		return slices.DeleteFunc(all, func(version string) bool { return version == record.version })
 	}
 	var refused []string
-	for _, word := range h.orders {
-		if word.service == record.service && word.version != record.version && word.version != "" && word.revision < record.order {
-			refused = append(refused, word.version)
+	for _, order := range h.orders {
+		if order.service == record.service && order.version != record.version && order.version != "" && order.revision < record.order {
+			refused = append(refused, order.version)
 		}
 	}
 	return refused
 }
 
-// ordersOf counts the orders for a version before a record.
-func (h *history) ordersOf(record recorded, version string) int {
+// countOrders returns the number of orders for a version before a record.
+func (h *history) countOrders(record rolloutState, version string) int {
 	count := 0
-	for _, word := range h.orders {
-		if word.service == record.service && word.version == version && word.revision < record.revision {
+	for _, order := range h.orders {
+		if order.service == record.service && order.version == version && order.revision < record.revision {
 			count++
 		}
 	}
 	return count
 }
 
-// orderedAgain is when a version was ordered after a record.
-func (h *history) orderedAgain(record recorded, version string) time.Time {
-	for _, word := range h.orders {
-		if word.service == record.service && word.version == version && word.revision > record.revision {
-			return word.at
+// nextOrderTime returns when a version was ordered again after a record, or the current time if
+// it was not.
+func (h *history) nextOrderTime(record rolloutState, version string) time.Time {
+	for _, order := range h.orders {
+		if order.service == record.service && order.version == version && order.revision > record.revision {
+			return order.at
 		}
 	}
 	return time.Now()
 }
 
-// brokenRefusals checks that no call sent later than the bound after the store had a
-// version refused reached it. What was sent before may be held up on its way.
-func (h *history) brokenRefusals() []string {
+// refusalViolations checks that a refused version gets no calls that were sent more than
+// refusalDeadline after the store recorded the refusal. Calls sent earlier may be held up on
+// their way.
+func (h *history) refusalViolations() []string {
 	calls := make(map[string]call, len(h.calls))
 	for _, c := range h.calls {
 		calls[c.id] = c
@@ -186,41 +190,41 @@
 				continue
 			}
 			late := c.sentAt.Sub(refused.from)
-			if late <= refusedKnown || !c.sentAt.Before(refused.until) {
+			if late <= refusalDeadline || !c.sentAt.Before(refused.until) {
 				continue
 			}
-			if refused.left && h.mayNotHear(c, refused.from) {
+			if refused.superseded && h.mayBeIsolated(c, refused.from) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("refused: %s reached %s by %s, sent %v after the store had the version refused", c.id, targetOf(run), c.life, late))
+			found = append(found, fmt.Sprintf("refused: %s reached %s by %s, sent %v after the store had recorded the version as refused", c.id, targetOf(run), c.incarnation, late))
 		}
 	}
 	return found
 }
 
-// mayNotHear says whether the gateway of a call may have heard nobody at some time
-// since a moment.
-func (h *history) mayNotHear(c call, since time.Time) bool {
-	return slices.ContainsFunc(h.deaf, func(deaf span) bool {
-		return (deaf.name == "" || deaf.name == c.gateway) && deaf.until.After(since) && deaf.from.Before(c.sentAt)
+// mayBeIsolated reports whether the gateway of a call may have been isolated at any time
+// between the given time and the call.
+func (h *history) mayBeIsolated(c call, since time.Time) bool {
+	return slices.ContainsFunc(h.isolations, func(isolation span) bool {
+		return (isolation.name == "" || isolation.name == c.gateway) && isolation.until.After(since) && isolation.from.Before(c.sentAt)
 	})
 }
 
-// brokenStates checks that no order's end is taken back or changed, that no earlier order
-// comes back, and that status and record say the same.
-func (h *history) brokenStates() []string {
+// stateViolations checks that the end of an order is never revoked or changed, that no earlier
+// order comes back, and that statuses agree with records.
+func (h *history) stateViolations() []string {
 	var found []string
-	ends := make(map[int64]recorded)
+	ends := make(map[int64]rolloutState)
 	newest := make(map[string]int64)
 	for _, record := range h.records {
-		if end, ended := ends[record.order]; ended {
+		if end, isEnded := ends[record.order]; isEnded {
 			found = append(found, fmt.Sprintf("state: order %d of %s was %s and then %s", record.order, record.version, end.state, record.state))
 		}
 		if record.order < newest[record.service] {
 			found = append(found, fmt.Sprintf("state: order %d came back after %d", record.order, newest[record.service]))
 		}
 		newest[record.service] = max(newest[record.service], record.order)
-		if record.final() {
+		if record.isFinal() {
 			ends[record.order] = record
 		}
 	}
@@ -236,7 +240,8 @@
 	return found
 }
 
-// trialRuns are so many arrivals at a target within a second after a moment.
+// trialRuns returns the given number of arrivals at a target, spread over the second after a
+// moment.
 func trialRuns(count int, target string, from time.Time) []emulator.Run {
 	var runs []emulator.Run
 	for i := range count {
@@ -246,17 +251,17 @@
 	return runs
 }
 
-// TestCheckersSeeBrokenRollouts feeds the checkers of roll-outs histories that break a
-// promise, and others that don't.
-func TestCheckersSeeBrokenRollouts(t *testing.T) {
+// TestRolloutChecksDetectViolations runs the rollout checks on histories that violate a
+// guarantee and on ones that don't.
+func TestRolloutChecksDetectViolations(t *testing.T) {
 	const second = time.Second
 	const toTrial, toOld = "p-v2-1", "p-1"
 	now := time.Now().Add(-time.Minute)
-	order := ordered{service: "plain", version: trialRelease, revision: 7, at: now}
-	laterOrder := ordered{service: "plain", version: changedRelease, revision: 9, at: now.Add(second / 2)}
-	sameOrder := ordered{service: "plain", version: trialRelease, revision: 30, at: now.Add(4 * second)}
-	state := func(of ordered, state string, after time.Duration) recorded {
-		return recorded{service: "plain", revision: 20, at: now.Add(after), version: of.version, state: state, order: of.revision}
+	order := rolloutOrder{service: "plain", version: trialRelease, revision: 7, at: now}
+	laterOrder := rolloutOrder{service: "plain", version: changedRelease, revision: 9, at: now.Add(second / 2)}
+	sameOrder := rolloutOrder{service: "plain", version: trialRelease, revision: 30, at: now.Add(4 * second)}
+	state := func(of rolloutOrder, state string, after time.Duration) rolloutState {
+		return rolloutState{service: "plain", revision: 20, at: now.Add(after), version: of.version, state: state, order: of.revision}
 	}
 	rolledBack := state(order, emulator.StateRolledBack, second)
 	completed := state(order, emulator.StateCompleted, second)
@@ -265,96 +270,96 @@
 	sent := func(after time.Duration) []call {
 		var calls []call
 		for _, target := range []string{toTrial, toOld} {
-			calls = append(calls, call{id: target + "0", path: "/ask/1", gateway: "g", life: "g/1", sentAt: now.Add(after)})
+			calls = append(calls, call{id: target + "0", path: "/ask/1", gateway: "g", incarnation: "g/1", sentAt: now.Add(after)})
 		}
 		return calls
 	}
-	most := trialSlack + underWay
+	limit := trialSlack + maxUncounted
 	cases := map[string]struct {
-		orders            []ordered
-		records, statuses []recorded
+		orders            []rolloutOrder
+		records, statuses []rolloutState
 		calls             []call
 		runs              []emulator.Run
-		deaf              []span
+		isolations        []span
 		want              string
 	}{
-		"nothing":              {},
-		"as much as the slack": {orders: []ordered{order}, runs: trialRuns(most, toTrial, now)},
-		"more than slack and share": {
-			orders: []ordered{order}, runs: trialRuns(most*2, toTrial, now), want: "exposure",
+		"no orders":         {},
+		"exposure at slack": {orders: []rolloutOrder{order}, runs: trialRuns(limit, toTrial, now)},
+		"exposure above slack and share": {
+			orders: []rolloutOrder{order}, runs: trialRuns(limit*2, toTrial, now), want: "exposure",
 		},
-		"more, with enough requests before": {
-			orders: []ordered{order}, runs: slices.Concat(trialRuns(most*5, toOld, now), trialRuns(most*2, toTrial, now.Add(second))),
+		"exposure within share of earlier requests": {
+			orders: []rolloutOrder{order}, runs: slices.Concat(trialRuns(limit*5, toOld, now), trialRuns(limit*2, toTrial, now.Add(second))),
 		},
-		"more, with requests before the order": {
-			orders: []ordered{order}, runs: slices.Concat(trialRuns(most*5, toOld, now.Add(-2*second)), trialRuns(most*2, toTrial, now)), want: "exposure",
+		"exposure above share, requests before order": {
+			orders: []rolloutOrder{order}, runs: slices.Concat(trialRuns(limit*5, toOld, now.Add(-2*second)), trialRuns(limit*2, toTrial, now)), want: "exposure",
 		},
-		"more, before what would pay for it": {
-			orders: []ordered{order}, runs: slices.Concat(trialRuns(most*5, toOld, now.Add(second)), trialRuns(most*2, toTrial, now)), want: "exposure",
+		"exposure above share, requests come later": {
+			orders: []rolloutOrder{order}, runs: slices.Concat(trialRuns(limit*5, toOld, now.Add(second)), trialRuns(limit*2, toTrial, now)), want: "exposure",
 		},
-		"more after the completion": {
-			orders: []ordered{order}, records: []recorded{completed}, statuses: []recorded{completed}, runs: trialRuns(most*2, toTrial, now.Add(2*second)),
+		"exposure after completion": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed}, statuses: []rolloutState{completed}, runs: trialRuns(limit*2, toTrial, now.Add(2*second)),
 		},
-		"more after another order": {
-			orders: []ordered{order, laterOrder}, runs: trialRuns(most*2, toTrial, now.Add(second)),
+		"exposure after other order": {
+			orders: []rolloutOrder{order, laterOrder}, runs: trialRuns(limit*2, toTrial, now.Add(second)),
 		},
-		"to one rolled back": {
-			orders: []ordered{order}, records: []recorded{rolledBack}, statuses: []recorded{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)), want: "refused",
+		"rolled back": {
+			orders: []rolloutOrder{order}, records: []rolloutState{rolledBack}, statuses: []rolloutState{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)), want: "refused",
 		},
-		"to one rolled back by a deaf gateway": {
-			orders: []ordered{order}, records: []recorded{rolledBack}, statuses: []recorded{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)),
-			deaf: []span{{"g", now, now.Add(9 * second)}}, want: "refused",
+		"rolled back, gateway isolated": {
+			orders: []rolloutOrder{order}, records: []rolloutState{rolledBack}, statuses: []rolloutState{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)),
+			isolations: []span{{"g", now, now.Add(9 * second)}}, want: "refused",
 		},
-		"to one rolled back within the bound": {
-			orders: []ordered{order}, records: []recorded{rolledBack}, statuses: []recorded{rolledBack}, calls: sent(2 * second), runs: trialRuns(1, toTrial, now.Add(2*second)),
+		"rolled back, within deadline": {
+			orders: []rolloutOrder{order}, records: []rolloutState{rolledBack}, statuses: []rolloutState{rolledBack}, calls: sent(2 * second), runs: trialRuns(1, toTrial, now.Add(2*second)),
 		},
-		"to one rolled back, held up": {
-			orders: []ordered{order}, records: []recorded{rolledBack}, statuses: []recorded{rolledBack}, calls: sent(2 * second), runs: trialRuns(1, toTrial, now.Add(9*second)),
+		"rolled back, request delayed on its way": {
+			orders: []rolloutOrder{order}, records: []rolloutState{rolledBack}, statuses: []rolloutState{rolledBack}, calls: sent(2 * second), runs: trialRuns(1, toTrial, now.Add(9*second)),
 		},
-		"to one that was ordered again": {
-			orders: []ordered{order, sameOrder}, records: []recorded{rolledBack}, statuses: []recorded{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)),
+		"rolled back, ordered again": {
+			orders: []rolloutOrder{order, sameOrder}, records: []rolloutState{rolledBack}, statuses: []rolloutState{rolledBack}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)),
 		},
-		"to old targets": {
-			orders: []ordered{order}, records: []recorded{completed}, statuses: []recorded{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)), want: "refused",
+		"completed, old targets": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed}, statuses: []rolloutState{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)), want: "refused",
 		},
-		"to old targets by a deaf gateway": {
-			orders: []ordered{order}, records: []recorded{completed}, statuses: []recorded{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)),
-			deaf: []span{{"g", now, now.Add(4 * second)}},
+		"completed, old targets, gateway isolated": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed}, statuses: []rolloutState{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)),
+			isolations: []span{{"g", now, now.Add(4 * second)}},
 		},
-		"to old targets, another is deaf": {
-			orders: []ordered{order}, records: []recorded{completed}, statuses: []recorded{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)),
-			deaf: []span{{"h", now, now.Add(4 * second)}}, want: "refused",
+		"completed, old targets, other gateway isolated": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed}, statuses: []rolloutState{completed}, calls: sent(5 * second), runs: trialRuns(1, toOld, now.Add(5*second)),
+			isolations: []span{{"h", now, now.Add(4 * second)}}, want: "refused",
 		},
-		"to one whose order was changed": {
-			orders: []ordered{order, laterOrder}, records: []recorded{changedTo}, statuses: []recorded{changedTo}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)), want: "refused",
+		"order changed": {
+			orders: []rolloutOrder{order, laterOrder}, records: []rolloutState{changedTo}, statuses: []rolloutState{changedTo}, calls: sent(5 * second), runs: trialRuns(1, toTrial, now.Add(5*second)), want: "refused",
 		},
 		"running, then ended": {
-			orders: []ordered{order}, records: []recorded{running, completed}, statuses: []recorded{running, completed},
+			orders: []rolloutOrder{order}, records: []rolloutState{running, completed}, statuses: []rolloutState{running, completed},
 		},
-		"an end taken back": {
-			orders: []ordered{order}, records: []recorded{completed, running}, statuses: []recorded{completed, running}, want: "state",
+		"completion revoked": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed, running}, statuses: []rolloutState{completed, running}, want: "state",
 		},
-		"two ends": {
-			orders: []ordered{order}, records: []recorded{completed, rolledBack}, statuses: []recorded{completed, rolledBack}, want: "state",
+		"completed and rolled back": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed, rolledBack}, statuses: []rolloutState{completed, rolledBack}, want: "state",
 		},
-		"the same end twice": {
-			orders: []ordered{order}, records: []recorded{completed, completed}, statuses: []recorded{completed, completed}, want: "state",
+		"completed twice": {
+			orders: []rolloutOrder{order}, records: []rolloutState{completed, completed}, statuses: []rolloutState{completed, completed}, want: "state",
 		},
-		"an earlier order comes back": {
-			orders: []ordered{order, laterOrder}, records: []recorded{changedTo, running}, statuses: []recorded{changedTo, running}, want: "state",
+		"earlier order comes back": {
+			orders: []rolloutOrder{order, laterOrder}, records: []rolloutState{changedTo, running}, statuses: []rolloutState{changedTo, running}, want: "state",
 		},
-		"the status says another state": {
-			orders: []ordered{order}, records: []recorded{running}, statuses: []recorded{completed}, want: "status",
+		"status differs from record": {
+			orders: []rolloutOrder{order}, records: []rolloutState{running}, statuses: []rolloutState{completed}, want: "status",
 		},
-		"a record without its status": {
-			orders: []ordered{order}, records: []recorded{running, completed}, statuses: []recorded{running}, want: "status",
+		"record without status": {
+			orders: []rolloutOrder{order}, records: []rolloutState{running, completed}, statuses: []rolloutState{running}, want: "status",
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			seen := history{orders: tc.orders, records: tc.records, statuses: tc.statuses, calls: tc.calls, runs: tc.runs, deaf: tc.deaf}
-			found := slices.Concat(seen.brokenExposure(), seen.brokenRefusals(), seen.brokenStates())
+			seen := history{orders: tc.orders, records: tc.records, statuses: tc.statuses, calls: tc.calls, runs: tc.runs, isolations: tc.isolations}
+			found := slices.Concat(seen.exposureViolations(), seen.refusalViolations(), seen.stateViolations())
 			if tc.want == "" {
 				is.Equal(strings.Join(found, "; "), "")
 				return
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,4 @@
-// Package soak holds a randomized soak of gateways: the real program as
-// separate processes on loopback, before the stand-in of the platform, under
-// faults from outside that a seed draws. It has tests only; docs/SOAK.md says
-// how to run it.
+// Package soak contains a randomized soak test of gateways. It runs the real program as
+// separate processes on loopback, against the emulator of the platform, under external faults
+// that are drawn from a seed. It has tests only; docs/SOAK.md describes how to run it.
 package soak
--- a/internal/soak/fatal_test.go
+++ b/internal/soak/fatal_test.go
@@ -20,79 +20,79 @@
 	"github.com/capersaddle/capersaddle/internal/emulator"
 )
 
-// Requests that end their targets, at gateways that are killed, frozen and cut off from the
-// store meanwhile: each is stopped after the third end, as far as gateways that have been
-// in touch for a while are concerned.
+// This soak sends requests that crash their targets, through gateways that are killed, frozen
+// and cut off from the store meanwhile. Each fatal request must be stopped after its third
+// crash, as far as gateways that have been undisturbed for a while are concerned.
 
 const (
 	fatalTargets = 8
-	// fatalBack is how long a target is away after its end.
-	fatalBack = time.Second
-	// fatalEvery is the time between two sendings of a fatal request.
-	fatalEvery = 150 * time.Millisecond
-	// fatalLength is how long a seed plays.
-	fatalLength = 14 * time.Second
-	// enoughEnds is after how many ends a request must be stopped, and mostLater how often
-	// gateways in touch may send it later than inTouch after that. A gateway is in touch
-	// once nothing has happened to it for so long.
-	enoughEnds = 3
-	mostLater  = 3
-	inTouch    = 3 * time.Second
-	// envFatalSeeds is how many seeds are played.
+	// fatalRestartDelay is how long a target is down after a crash.
+	fatalRestartDelay = time.Second
+	// fatalInterval is the interval at which a fatal request is sent.
+	fatalInterval = 150 * time.Millisecond
+	// fatalDuration is how long a seed runs.
+	fatalDuration = 14 * time.Second
+	// crashLimit is the number of crashes after which a request must be stopped. maxLate is how
+	// often undisturbed gateways may send it later than undisturbedTime after that. A gateway
+	// counts as undisturbed once no fault has affected it for undisturbedTime.
+	crashLimit      = 3
+	maxLate         = 3
+	undisturbedTime = 3 * time.Second
+	// envFatalSeeds names the variable with the number of seeds to run.
 	envFatalSeeds = "CAPERSADDLE_SOAK_FATAL_SEEDS"
 )
 
-// fatalSoak is one seed of it.
+// fatalSoak is one run of the soak with one seed.
 type fatalSoak struct {
 	*soak
-	// struck are the times in which something was done to a gateway.
-	mu     sync.Mutex
-	struck []span
-	// senders are the gateways that took each request, by its id.
-	senders map[string]string
-	sound   int
-	served  int
+	// disturbances are the periods in which a fault affected a gateway.
+	mu           sync.Mutex
+	disturbances []span
+	// senders maps the ID of each request to the gateway that handled it.
+	senders      map[string]string
+	normalSent   int
+	normalServed int
 }
 
-// TestFatalSoak plays seeds of it; more by the environment.
+// TestFatalSoak runs a few seeds; the environment can ask for more.
 func TestFatalSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "capersaddle")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/capersaddle").CombinedOutput()
 	if err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	first := number(t, envFirst, 1)
-	for i := range number(t, envFatalSeeds, 2) {
+	first := envNumber(t, envFirst, 1)
+	for i := range envNumber(t, envFatalSeeds, 2) {
 		seed := uint64(first + i)
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playFatal(t, binary, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runFatalSeed(t, binary, seed) })
 	}
 }
 
-func playFatal(t *testing.T, binary string, seed uint64) {
+func runFatalSeed(t *testing.T, binary string, seed uint64) {
 	s := &fatalSoak{soak: &soak{t: t, binary: binary, seed: seed}, senders: make(map[string]string)}
-	s.beginFatal(4)
-	defer s.end()
-	source := rand.New(rand.NewPCG(seed, 3))
-	ctx, cancel := context.WithTimeout(t.Context(), fatalLength)
+	s.startFatalSystem(4)
+	defer s.stopSystem()
+	rng := rand.New(rand.NewPCG(seed, 3))
+	ctx, cancel := context.WithTimeout(t.Context(), fatalDuration)
 	defer cancel()
 	var calling sync.WaitGroup
-	fatals := 1 + source.IntN(3)
+	fatals := 1 + rng.IntN(3)
 	for fatal := range fatals {
-		calling.Go(func() { s.sendOn(ctx, fmt.Sprintf("fatal %d", fatal), fatalEvery) })
+		calling.Go(func() { s.sendRepeatedly(ctx, fmt.Sprintf("fatal %d", fatal), fatalInterval) })
 	}
-	calling.Go(func() { s.sendOn(ctx, "alike", fatalEvery/10) })
-	calling.Go(func() { s.sendOn(ctx, "", fatalEvery/10) })
-	s.disturbGateways(ctx, source)
+	calling.Go(func() { s.sendRepeatedly(ctx, "alike", fatalInterval/10) })
+	calling.Go(func() { s.sendRepeatedly(ctx, "", fatalInterval/10) })
+	s.disturbGateways(ctx, rng)
 	calling.Wait()
 	s.faults.Wait()
-	s.judgeFatal(fatals)
+	s.checkFatal(fatals)
 }
 
-func (s *fatalSoak) beginFatal(gateways int) {
+func (s *fatalSoak) startFatalSystem(gateways int) {
 	is := is.New(s.t)
-	made, err := emulator.New("127.0.0.1:0")
+	platform, err := emulator.New("127.0.0.1:0")
 	is.NoErr(err)
-	s.platform = made
+	s.platform = platform
 	s.config = emulator.Config{
 		Version: 1,
 		Routes: []emulator.Route{
@@ -105,7 +105,7 @@
 	for i := range fatalTargets {
 		options := emulator.ServerOptions{
 			ID: fmt.Sprintf("t-%d", i), Work: work, KeepsID: s.seed%2 == 0,
-			Fatal: &emulator.Fatal{Body: "fatal", After: work / 2, Back: fatalBack},
+			Fatal: &emulator.Fatal{Body: "fatal", After: work / 2, Back: fatalRestartDelay},
 		}
 		_, err := s.platform.AddServer("plain", "dc", "127.0.0.1:0", options)
 		is.NoErr(err)
@@ -117,11 +117,12 @@
 	}
 }
 
-// sendOn sends requests with a body to gateways in turn; an empty one is another each time.
-func (s *fatalSoak) sendOn(ctx context.Context, body string, every time.Duration) {
+// sendRepeatedly sends requests with the given body to the gateways in turn. If the body is
+// empty, each request gets a different one.
+func (s *fatalSoak) sendRepeatedly(ctx context.Context, body string, interval time.Duration) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for count := 0; ; count++ {
 		select {
@@ -133,11 +134,11 @@
 		if text == "" {
 			text = fmt.Sprint("sound ", count)
 		}
-		sending.Go(func() { s.sendOne(s.gateways[count%len(s.gateways)], fmt.Sprintf("%s-%d", body, count), text) })
+		sending.Go(func() { s.sendRequest(s.gateways[count%len(s.gateways)], fmt.Sprintf("%s-%d", body, count), text) })
 	}
 }
 
-func (s *fatalSoak) sendOne(g *gateway, id, body string) {
+func (s *fatalSoak) sendRequest(g *gateway, id, body string) {
 	s.mu.Lock()
 	s.senders[id] = g.id
 	s.mu.Unlock()
@@ -162,99 +163,99 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sound++
+	s.normalSent++
 	if served {
-		s.served++
+		s.normalServed++
 	}
 }
 
-// disturbGateways has things happen to gateways and the store until the end.
-func (s *fatalSoak) disturbGateways(ctx context.Context, source *rand.Rand) {
+// disturbGateways applies random faults to gateways and the store until the context ends.
+func (s *fatalSoak) disturbGateways(ctx context.Context, rng *rand.Rand) {
 	kinds := []action{kill, kill, pause, storeDown, storeSilent, storeLink}
 	for ctx.Err() == nil {
-		made := event{
-			action: kinds[source.IntN(len(kinds))],
-			which:  source.IntN(len(s.gateways)),
-			lasts:  500*time.Millisecond + time.Duration(source.Int64N(int64(2*time.Second))),
-			link:   conditions[source.IntN(len(conditions))],
+		fault := fault{
+			action:   kinds[rng.IntN(len(kinds))],
+			index:    rng.IntN(len(s.gateways)),
+			duration: 500*time.Millisecond + time.Duration(rng.Int64N(int64(2*time.Second))),
+			link:     conditions[rng.IntN(len(conditions))],
 		}
-		wait := time.Duration(source.Int64N(int64(2500 * time.Millisecond)))
+		wait := time.Duration(rng.Int64N(int64(2500 * time.Millisecond)))
 		select {
 		case <-time.After(wait):
-			s.faults.Go(func() { s.strikeGateway(made) })
+			s.faults.Go(func() { s.applyGatewayFault(fault) })
 		case <-ctx.Done():
 		}
 	}
 }
 
-// strikeGateway carries one fault out and notes whom it struck.
-func (s *fatalSoak) strikeGateway(made event) {
+// applyGatewayFault applies one fault and records the gateway that it affected.
+func (s *fatalSoak) applyGatewayFault(fault fault) {
 	from := time.Now()
-	g := s.gateways[made.which]
-	switch made.action {
+	g := s.gateways[fault.index]
+	switch fault.action {
 	case kill:
 		<-g.signal(syscall.SIGKILL)
-		time.Sleep(made.lasts / 4)
+		time.Sleep(fault.duration / 4)
 		s.start(g)
 	case pause:
 		g.signal(syscall.SIGSTOP)
-		time.Sleep(made.lasts)
+		time.Sleep(fault.duration)
 		g.signal(syscall.SIGCONT)
 	case storeLink:
-		disturbLink(g.store, made)
-		return // the others are heard, and the store has no part in this
+		disturbLink(g.store, fault)
+		return // the gateway still reaches its peers, and the store is not needed for this check
 	case storeDown, storeSilent:
-		s.platform.Store.SetFaults(emulator.StoreFaults{Down: made.action == storeDown, Silent: made.action == storeSilent})
-		time.Sleep(made.lasts)
+		s.platform.Store.SetFaults(emulator.StoreFaults{Down: fault.action == storeDown, Silent: fault.action == storeSilent})
+		time.Sleep(fault.duration)
 		s.platform.Store.SetFaults(emulator.StoreFaults{})
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.struck = append(s.struck, span{name: g.id, from: from, until: time.Now()})
+	s.disturbances = append(s.disturbances, span{name: g.id, from: from, until: time.Now()})
 }
 
-// inTouchAt says whether nothing had happened to a gateway for a while.
-func (s *fatalSoak) inTouchAt(gateway string, at time.Time) bool {
-	return !slices.ContainsFunc(s.struck, func(struck span) bool {
-		return struck.name == gateway && struck.from.Before(at) && struck.until.After(at.Add(-inTouch))
+// undisturbedAt reports whether a gateway had been undisturbed for undisturbedTime.
+func (s *fatalSoak) undisturbedAt(gateway string, at time.Time) bool {
+	return !slices.ContainsFunc(s.disturbances, func(disturbance span) bool {
+		return disturbance.name == gateway && disturbance.from.Before(at) && disturbance.until.After(at.Add(-undisturbedTime))
 	})
 }
 
-// judgeFatal counts what was sent of each fatal request after it must have been stopped.
-func (s *fatalSoak) judgeFatal(fatals int) {
+// checkFatal counts how often each fatal request was sent after it must have been stopped.
+func (s *fatalSoak) checkFatal(fatals int) {
 	runs := s.platform.RunsOf("plain")
 	slices.SortFunc(runs, func(a, b emulator.Run) int { return a.At.Compare(b.At) })
 	for fatal := range fatals {
 		body := fmt.Sprintf("fatal %d", fatal)
-		var ended []string
-		var stopped time.Time
-		later, excused := 0, 0
+		var crashed []string
+		var deadline time.Time
+		late, excused := 0, 0
 		for _, run := range runs {
 			if run.Body != body {
 				continue
 			}
-			if !slices.Contains(ended, run.Server) {
-				ended = append(ended, run.Server)
+			if !slices.Contains(crashed, run.Server) {
+				crashed = append(crashed, run.Server)
 			}
-			if len(ended) == enoughEnds && stopped.IsZero() {
-				stopped = run.At.Add(inTouch)
+			if len(crashed) == crashLimit && deadline.IsZero() {
+				deadline = run.At.Add(undisturbedTime)
 			}
 			switch {
-			case stopped.IsZero() || run.At.Before(stopped):
-			case s.inTouchAt(s.senders[run.ID], run.At):
-				later++
+			case deadline.IsZero() || run.At.Before(deadline):
+			case s.undisturbedAt(s.senders[run.ID], run.At):
+				late++
 			default:
 				excused++
 			}
 		}
-		s.t.Logf("seed %d: %s ended %d targets; sent %d times later, and %d times by gateways out of touch", s.seed, body, len(ended), later, excused)
-		if later > mostLater {
-			s.t.Errorf("seed %d: %s was sent %d times later than it must have been stopped; logs in %s", s.seed, body, later, s.keepLogs())
+		s.t.Logf("seed %d: %s crashed %d targets; sent %d times after the deadline, and %d times by disturbed gateways", s.seed, body, len(crashed), late, excused)
+		if late > maxLate {
+			s.t.Errorf("seed %d: %s was sent %d times after the deadline for stopping it; logs in %s", s.seed, body, late, s.keepLogs())
 		}
 	}
-	s.t.Logf("seed %d: %d of %d sound requests served, %d times something happened to a gateway", s.seed, s.served, s.sound, len(s.struck))
-	if s.served < s.sound/2 {
-		s.t.Errorf("seed %d: only %d of %d sound requests were served; logs in %s", s.seed, s.served, s.sound, s.keepLogs())
+	s.t.Logf("seed %d: %d of %d normal requests served, %d faults affected a gateway", s.seed, s.normalServed, s.normalSent, len(s.disturbances))
+	if s.normalServed < s.normalSent/2 {
+		s.t.Errorf("seed %d: only %d of %d normal requests were served; logs in %s", s.seed, s.normalServed, s.normalSent, s.keepLogs())
 	}
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,46 +11,46 @@
 	"github.com/matryer/is"
 )
 
-// condition is what a proxy does to the connections through it.
+// condition is the way in which a proxy treats its connections.
 type condition int
 
 const (
-	// normal passes everything on.
+	// normal forwards everything.
 	normal condition = iota
-	// delayed passes everything on later.
+	// delayed forwards everything after proxyDelay.
 	delayed
-	// silenced passes nothing on, in either direction, and says nothing.
+	// silenced forwards nothing in either direction and keeps connections open.
 	silenced
-	// oneWay passes on what goes out, and nothing that comes back.
+	// oneWay forwards outgoing bytes but no responses.
 	oneWay
-	// reset breaks connections, open and new ones.
+	// reset resets all connections, existing and new.
 	reset
 )
 
-// delayBy is how much later a delaying proxy passes bytes on.
-const delayBy = 120 * time.Millisecond
+// proxyDelay is the delay that a delaying proxy adds.
+const proxyDelay = 120 * time.Millisecond
 
-// proxy stands on loopback between a gateway and what it calls.
+// proxy is a TCP proxy on loopback between a gateway and the store or a server.
 type proxy struct {
 	listener net.Listener
-	to       string
+	upstream string
 
 	mu sync.Mutex
 	// changed is closed when the condition changes.
 	changed chan struct{}
-	now     condition
+	current condition
 	conns   map[*net.TCPConn]struct{}
 	closed  bool
 	wait    sync.WaitGroup
 }
 
-// newProxy passes connections on to an address, IP:port.
-func newProxy(to string) (*proxy, error) {
+// newProxy starts a proxy that forwards connections to an address, IP:port.
+func newProxy(upstream string) (*proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, to: to, changed: make(chan struct{}), conns: make(map[*net.TCPConn]struct{})}
+	p := &proxy{listener: listener, upstream: upstream, changed: make(chan struct{}), conns: make(map[*net.TCPConn]struct{})}
 	p.wait.Go(p.accept)
 	return p, nil
 }
@@ -58,18 +58,18 @@
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
 // set changes the condition.
-func (p *proxy) set(now condition) {
+func (p *proxy) set(next condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now = now
-	if now == reset {
+	p.current = next
+	if next == reset {
 		p.resetAll()
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// resetAll breaks all connections; p.mu is held.
+// resetAll resets all connections. The caller holds p.mu.
 func (p *proxy) resetAll() {
 	for conn := range p.conns {
 		_ = conn.SetLinger(0)
@@ -78,7 +78,7 @@
 	}
 }
 
-// close ends the proxy and waits.
+// close stops the proxy and waits.
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -96,19 +96,19 @@
 		if err != nil {
 			return
 		}
-		near := accepted.(*net.TCPConn)
-		if !p.track(near) {
+		client := accepted.(*net.TCPConn)
+		if !p.track(client) {
 			continue
 		}
-		p.wait.Go(func() { p.serve(near) })
+		p.wait.Go(func() { p.serve(client) })
 	}
 }
 
-// track notes a connection; one that comes while connections are reset is.
+// track adds a connection, or resets it if the condition is reset or the proxy is closed.
 func (p *proxy) track(conn *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.now == reset {
+	if p.closed || p.current == reset {
 		_ = conn.SetLinger(0)
 		_ = conn.Close()
 		return false
@@ -117,23 +117,23 @@
 	return true
 }
 
-func (p *proxy) serve(near *net.TCPConn) {
-	dialed, err := net.Dial("tcp", p.to)
+func (p *proxy) serve(client *net.TCPConn) {
+	dialed, err := net.Dial("tcp", p.upstream)
 	if err != nil {
-		p.drop(near)
+		p.drop(client)
 		return
 	}
-	far := dialed.(*net.TCPConn)
-	if !p.track(far) {
-		p.drop(near)
+	server := dialed.(*net.TCPConn)
+	if !p.track(server) {
+		p.drop(client)
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { p.carry(far, near, true) })
-	both.Go(func() { p.carry(near, far, false) })
-	both.Wait()
-	p.drop(near)
-	p.drop(far)
+	var directions sync.WaitGroup
+	directions.Go(func() { p.forward(server, client, true) })
+	directions.Go(func() { p.forward(client, server, false) })
+	directions.Wait()
+	p.drop(client)
+	p.drop(server)
 }
 
 func (p *proxy) drop(conn *net.TCPConn) {
@@ -143,14 +143,14 @@
 	_ = conn.Close()
 }
 
-// carry passes bytes of one direction on, until their sender ends; an end that
-// is a reset is passed on as one.
-func (p *proxy) carry(to, from *net.TCPConn, outward bool) {
+// forward copies the bytes of one direction until the sender closes the connection. A reset is
+// forwarded as a reset.
+func (p *proxy) forward(to, from *net.TCPConn, outward bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			if !p.pass(outward) {
+			if !p.waitToForward(outward) {
 				return
 			}
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
@@ -160,7 +160,7 @@
 			}
 		}
 		if err != nil {
-			p.pass(outward)
+			p.waitToForward(outward)
 			if errors.Is(err, io.EOF) {
 				_ = to.CloseWrite()
 				return
@@ -172,20 +172,20 @@
 	}
 }
 
-// pass waits until bytes of a direction may be passed on; false when the
-// proxy has ended.
-func (p *proxy) pass(outward bool) bool {
+// waitToForward waits until bytes of a direction may be forwarded. It returns false once the
+// proxy is closed.
+func (p *proxy) waitToForward(outward bool) bool {
 	for {
 		p.mu.Lock()
-		now, changed, closed := p.now, p.changed, p.closed
+		current, changed, closed := p.current, p.changed, p.closed
 		p.mu.Unlock()
 		switch {
 		case closed:
 			return false
-		case now == silenced, now == oneWay && !outward:
+		case current == silenced, current == oneWay && !outward:
 			<-changed
-		case now == delayed:
-			time.Sleep(delayBy)
+		case current == delayed:
+			time.Sleep(proxyDelay)
 			return true
 		default:
 			return true
@@ -193,11 +193,11 @@
 	}
 }
 
-// TestProxy: what each condition does to one exchange.
+// TestProxy checks the effect of each condition on one exchange.
 func TestProxy(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	got := make(chan byte, 16)
+	received := make(chan byte, 16)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -206,23 +206,23 @@
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
-				one := make([]byte, 1)
+				buffer := make([]byte, 1)
 				for {
-					if _, err := conn.Read(one); err != nil {
+					if _, err := conn.Read(buffer); err != nil {
 						return
 					}
-					got <- one[0]
-					_, _ = conn.Write(one)
+					received <- buffer[0]
+					_, _ = conn.Write(buffer)
 				}
 			}()
 		}
 	}()
 	defer func() { _ = listener.Close() }()
 	cases := map[string]struct {
-		now condition
-		// arrives says that the byte arrives while the condition lasts, answered
-		// that its answer does, dead that the connection has ended after it.
-		arrives, answered, dead bool
+		condition condition
+		// arrives means that the byte arrives while the condition lasts, answered that its
+		// response does, and closed that the connection ends after it.
+		arrives, answered, closed bool
 	}{
 		"normal":   {normal, true, true, false},
 		"delayed":  {delayed, true, true, false},
@@ -244,26 +244,26 @@
 			is.NoErr(err)
 			_, err = io.ReadFull(conn, answer)
 			is.NoErr(err)
-			is.Equal(<-got, byte(1))
-			p.set(tc.now)
+			is.Equal(<-received, byte(1))
+			p.set(tc.condition)
 			_, _ = conn.Write([]byte{2})
 			if tc.arrives {
-				is.Equal(<-got, byte(2))
+				is.Equal(<-received, byte(2))
 			}
-			if tc.answered || tc.dead {
+			if tc.answered || tc.closed {
 				_, err = io.ReadFull(conn, answer)
-				is.Equal(err != nil, tc.dead)
+				is.Equal(err != nil, tc.closed)
 			}
-			is.Equal(len(got), 0)
+			is.Equal(len(received), 0)
 			p.set(normal)
-			if tc.dead {
+			if tc.closed {
 				return
 			}
 			if !tc.arrives {
-				is.Equal(<-got, byte(2))
+				is.Equal(<-received, byte(2))
 			}
 			if !tc.answered {
-				_, err = io.ReadFull(conn, answer) // what was held back comes later
+				_, err = io.ReadFull(conn, answer) // held-back bytes arrive later
 				is.NoErr(err)
 			}
 			is.Equal(answer[0], byte(2))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,37 +20,38 @@
 	host         = "soak.example"
 	streamEvents = 6
 	servers      = 3
-	// envSeeds is how many seeds are played, envFirst the first of them,
-	// envGateways how many gateways there are, and envLength how many seconds
-	// a seed plays.
+	// envSeeds names the variable with the number of seeds to run, envFirst that with the first
+	// seed, envGateways that with the number of gateways, and envLength that with the duration
+	// of a seed in seconds.
 	envSeeds    = "CAPERSADDLE_SOAK_SEEDS"
 	envFirst    = "CAPERSADDLE_SOAK_FIRST"
 	envGateways = "CAPERSADDLE_SOAK_GATEWAYS"
 	envLength   = "CAPERSADDLE_SOAK_LENGTH"
-	// usualLength is how long a seed plays otherwise, in seconds.
-	usualLength = 7
-	// callers send requests side by side, with a pause between two.
+	// defaultLength is the default duration of a seed, in seconds.
+	defaultLength = 7
+	// callers is the number of concurrent callers, and callPause their pause between two
+	// requests.
 	callers   = 12
 	callPause = 15 * time.Millisecond
-	// work is a good server's time to the head of an answer: long enough for five times
-	// as much to be told from a busy machine's delays.
+	// work is a good server's time to the response header. It is long enough for five times as
+	// much to be distinguishable from the delays of a busy machine.
 	work = 8 * time.Millisecond
-	// newConnection in so many calls opens a connection of its own; the others
-	// go on using the one that is open, until its gateway is gone.
-	newConnection = 4
+	// One in newConnectionEvery calls opens a new connection. The others reuse an open
+	// connection until the gateway closes it.
+	newConnectionEvery = 4
 )
 
-// regressions are seeds that failed once, with a line on the cause each.
+// regressions are seeds that have failed before, each with its cause.
 var regressions = []uint64{
-	// 17: a checker that went by when a request reached its server; a proxy had
-	// held it up for a second and more after it was admitted in time.
+	// 17: a check used the time at which a request reached its server, but a proxy had held the
+	// request up for more than a second after it was admitted in time.
 	17,
 }
 
-func number(t *testing.T, name string, otherwise int) int {
+func envNumber(t *testing.T, name string, defaultValue int) int {
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return defaultValue
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil {
@@ -59,98 +60,101 @@
 	return value
 }
 
-// TestSoak plays seeds: a planned one and one with all faults, and those that
-// ever failed; more by the environment.
+// TestSoak runs seeds with planned work only, seeds with all faults, and those that have failed
+// before; the environment can ask for more.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "capersaddle")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/capersaddle").CombinedOutput()
 	if err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	first := number(t, envFirst, 1)
-	gateways := number(t, envGateways, 3)
-	length := time.Duration(number(t, envLength, usualLength)) * time.Second
+	first := envNumber(t, envFirst, 1)
+	gateways := envNumber(t, envGateways, 3)
+	length := time.Duration(envNumber(t, envLength, defaultLength)) * time.Second
 	seeds := append([]uint64(nil), regressions...)
-	for i := range number(t, envSeeds, 3) {
+	for i := range envNumber(t, envSeeds, 3) {
 		seeds = append(seeds, uint64(first+i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { play(t, binary, seed, gateways, length) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSeed(t, binary, seed, gateways, length) })
 	}
 }
 
 type soak struct {
-	t        *testing.T
-	binary   string
-	seed     uint64
-	calm     bool
-	platform *emulator.Platform
-	config   emulator.Config
-	servers  []*emulator.Server
-	// links stand before the servers, in the same order.
+	t           *testing.T
+	binary      string
+	seed        uint64
+	plannedOnly bool
+	platform    *emulator.Platform
+	config      emulator.Config
+	servers     []*emulator.Server
+	// links are the proxies in front of the servers, in the same order.
 	links    []*proxy
 	gateways []*gateway
 	faults   sync.WaitGroup
 
 	mu        sync.Mutex
 	calls     []call
-	configs   []accepted
+	configs   []acceptedConfig
 	revokedAt time.Time
-	// places is held during an evacuation and while a server is cold.
-	places sync.Mutex
-	// evacuations and colds are over, and so are linkFaults, on the ways to servers.
-	evacuations, colds, linkFaults []span
-	ids                            atomic.Int64
+	// placementMu is held during an evacuation and while a server is cold.
+	placementMu sync.Mutex
+	// evacuations, coldPeriods and linkFaults, the disturbances of the links to servers, hold
+	// completed periods only.
+	evacuations, coldPeriods, linkFaults []span
+	ids                                  atomic.Int64
 
-	// trial is ordered in the schedule; orders, records and statuses are what came of it.
+	// trial is the rollout in the schedule; orders, records and statuses are its observed
+	// course.
 	trial    trial
-	orders   []ordered
-	records  []recorded
-	statuses []recorded
-	// deaf are the times in which a gateway, or all if it isn't named, might hear nobody.
-	deaf []span
-	// completed has the versions whose roll-out the store has as completed.
+	orders   []rolloutOrder
+	records  []rolloutState
+	statuses []rolloutState
+	// isolations are the periods in which the named gateway, or every gateway if the name is
+	// empty, may have received no updates.
+	isolations []span
+	// completed receives the versions whose rollout the store reports as completed.
 	completed chan string
-	// entries is held while a server's entry is written, which stopped ones have no more.
-	entries sync.Mutex
-	stopped map[string]bool
+	// entriesMu is held while a server's entry is written. Stopped servers have no entry.
+	entriesMu sync.Mutex
+	stopped   map[string]bool
 }
 
-// play plays one seed and checks what was seen.
-func play(t *testing.T, binary string, seed uint64, gateways int, length time.Duration) {
-	schedule, calm := draw(seed, gateways, 2*servers, length)
-	s := &soak{t: t, binary: binary, seed: seed, calm: calm, trial: drawTrial(seed, length)}
-	s.completed, s.stopped = make(chan string, mostCompleted), make(map[string]bool)
-	s.begin(gateways)
-	defer s.end()
+// runSeed runs one seed and checks what was observed.
+func runSeed(t *testing.T, binary string, seed uint64, gateways int, length time.Duration) {
+	schedule, plannedOnly := drawSchedule(seed, gateways, 2*servers, length)
+	s := &soak{t: t, binary: binary, seed: seed, plannedOnly: plannedOnly, trial: drawTrial(seed, length)}
+	s.completed, s.stopped = make(chan string, maxCompletions), make(map[string]bool)
+	s.startSystem(gateways)
+	defer s.stopSystem()
 	ctx, cancel := context.WithTimeout(t.Context(), length+trialTail)
 	defer cancel()
 	var calling sync.WaitGroup
 	for worker := range callers {
-		calling.Go(func() { s.callOn(ctx, worker) })
+		calling.Go(func() { s.runCaller(ctx, worker) })
 	}
-	began := time.Now()
-	s.faults.Go(func() { s.operate(ctx, began) })
-	for _, made := range schedule {
+	start := time.Now()
+	s.faults.Go(func() { s.runOperator(ctx, start) })
+	for _, fault := range schedule {
 		select {
-		case <-time.After(time.Until(began.Add(made.at))):
-			s.faults.Go(func() { s.strike(made) })
+		case <-time.After(time.Until(start.Add(fault.at))):
+			s.faults.Go(func() { s.applyFault(fault) })
 		case <-ctx.Done():
 		}
 	}
 	calling.Wait()
 	s.faults.Wait()
-	s.judge(schedule)
+	s.checkResults(schedule)
 }
 
-func (s *soak) judge(schedule []event) {
-	seen := &history{calls: s.calls, configs: s.configs, revokedAt: s.revokedAt, evacuations: s.evacuations, colds: s.colds, calm: s.calm}
-	seen.links = s.linkFaults
-	seen.orders, seen.records, seen.statuses, seen.deaf = s.orders, s.records, s.statuses, s.deaf
+func (s *soak) checkResults(schedule []fault) {
+	history := &history{calls: s.calls, configs: s.configs, revokedAt: s.revokedAt, evacuations: s.evacuations, coldPeriods: s.coldPeriods, plannedOnly: s.plannedOnly}
+	history.links = s.linkFaults
+	history.orders, history.records, history.statuses, history.isolations = s.orders, s.records, s.statuses, s.isolations
 	for _, server := range s.servers {
-		seen.runs = append(seen.runs, server.Runs()...)
-		for _, said := range server.SentNotices() {
-			seen.told = append(seen.told, told{SentNotice: said, server: server.ID()})
+		history.runs = append(history.runs, server.Runs()...)
+		for _, notice := range server.SentNotices() {
+			history.notices = append(history.notices, serverNotice{SentNotice: notice, server: server.ID()})
 		}
 	}
 	served := 0
@@ -159,24 +163,24 @@
 			served++
 		}
 	}
-	s.t.Logf("seed %d, calm %v: %d calls, %d served, %d arrivals at servers, %d notices of them, %d faults", s.seed, s.calm, len(s.calls), served, len(seen.runs), len(seen.told), len(schedule))
-	s.t.Logf("%s: %s", s.trial, seen.ends())
+	s.t.Logf("seed %d, planned work only %v: %d calls, %d served, %d arrivals at servers, %d server notices, %d faults", s.seed, s.plannedOnly, len(s.calls), served, len(history.runs), len(history.notices), len(schedule))
+	s.t.Logf("%s: %s", s.trial, history.rolloutSummary())
 	if served < len(s.calls)/4 {
 		s.t.Errorf("only %d of %d calls were served", served, len(s.calls))
 	}
-	if found := seen.broken(); len(found) > 0 {
-		s.t.Errorf("seed %d broke %d promises, the first: %s\nschedule:\n%s\nlogs in %s", s.seed, len(found), found[0], describe(schedule)+s.trial.String(), s.keepLogs())
+	if found := history.violations(); len(found) > 0 {
+		s.t.Errorf("seed %d: %d violations, the first: %s\nschedule:\n%s\nlogs in %s", s.seed, len(found), found[0], formatSchedule(schedule)+s.trial.String(), s.keepLogs())
 	}
 }
 
-// keepLogs copies the gateways' logs to where they outlast the test.
+// keepLogs copies the gateways' logs to a directory that outlives the test.
 func (s *soak) keepLogs() string {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("capersaddle-soak-%d-", s.seed))
 	if err != nil {
 		return err.Error()
 	}
 	for _, g := range s.gateways {
-		if data, err := os.ReadFile(g.log); err == nil {
+		if data, err := os.ReadFile(g.logFile); err == nil {
 			_ = os.WriteFile(filepath.Join(dir, g.id+".log"), data, 0o600)
 		}
 	}
--- a/internal/soak/system_test.go
+++ b/internal/soak/system_test.go
@@ -19,34 +19,34 @@
 	"github.com/capersaddle/capersaddle/internal/loopback"
 )
 
-// gateway is one process and where it listens.
+// gateway is a gateway process and its addresses.
 type gateway struct {
-	id      string
-	file    string
-	callers string
-	log     string
-	// store stands between the gateway and the store.
+	id           string
+	settingsFile string
+	callers      string
+	logFile      string
+	// store is the proxy between the gateway and the store.
 	store    *proxy
 	stopping atomic.Bool
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
-	// lives counts the processes that were started.
-	lives int
+	// starts is the number of processes started so far.
+	starts int
 }
 
-// life names the gateway's process of this moment.
-func (g *gateway) life() string {
+// incarnation identifies the gateway's current process.
+func (g *gateway) incarnation() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fmt.Sprintf("%s/%d", g.id, g.lives)
+	return fmt.Sprintf("%s/%d", g.id, g.starts)
 }
 
-// ports are drawn by all seeds.
+// ports is shared by all seeds.
 var ports loopback.Ports
 
-// freeAddress gives an address that nobody else gets.
+// freeAddress returns an address that no other process uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	address, err := ports.Address()
@@ -56,11 +56,11 @@
 	return address
 }
 
-func (s *soak) begin(gateways int) {
+func (s *soak) startSystem(gateways int) {
 	is := is.New(s.t)
-	made, err := emulator.New("127.0.0.1:0")
+	platform, err := emulator.New("127.0.0.1:0")
 	is.NoErr(err)
-	s.platform = made
+	s.platform = platform
 	s.config = emulator.Config{
 		Routes: []emulator.Route{
 			{Name: "pay", Host: host, Prefix: "/pay/", Kind: "non_idempotent", Service: "plain", TimeoutMs: 1500, LatencyMs: 100, MaxAttempts: 1},
@@ -70,16 +70,16 @@
 		Services: []emulator.Service{{Name: "plain", ColdPerS: coldRate}, {Name: "engine", ColdPerS: coldRate, Engine: map[string]any{"slots": 8}}},
 		Limits:   emulator.Limits{BodyBytes: 1 << 20, IdleMs: 15000},
 	}
-	s.accept()
+	s.acceptConfig()
 	for i := range servers {
 		s.addServer(fmt.Sprintf("p-%d", i))
 		s.addServer(fmt.Sprintf("e-%d", i))
 	}
 	for number := range s.servers {
-		is.NoErr(s.enter(number, "ready"))
+		is.NoErr(s.writeEntry(number, "ready"))
 	}
-	s.addTrials()
-	s.platform.Store.Observe(s.observe)
+	s.addTrialServers()
+	s.platform.Store.Observe(s.recordChange)
 	dir := s.t.TempDir()
 	var seeds []string
 	for i := range gateways {
@@ -87,7 +87,8 @@
 	}
 }
 
-// addServer starts a server that gateways reach through a proxy, by its entry.
+// addServer starts a server that gateways reach through a proxy, whose address is in the
+// server's entry.
 func (s *soak) addServer(id string) {
 	is := is.New(s.t)
 	options := emulator.ServerOptions{ID: id, Version: releaseOf(id), Work: work, Gap: 5 * time.Millisecond}
@@ -102,30 +103,30 @@
 	s.links = append(s.links, link)
 }
 
-// enter writes a server's entry with a state.
-func (s *soak) enter(number int, state string) error {
-	return s.enterCold(number, state, 0)
+// writeEntry writes a server's entry with the given state.
+func (s *soak) writeEntry(number int, state string) error {
+	return s.writeColdEntry(number, state, 0)
 }
 
-// enterCold is the same of a server that is cold for a while. One that has stopped has
-// no entry.
-func (s *soak) enterCold(number int, state string, cold time.Duration) error {
-	s.entries.Lock()
-	defer s.entries.Unlock()
+// writeColdEntry writes the entry of a server that is cold for a while. Stopped servers get no
+// entry.
+func (s *soak) writeColdEntry(number int, state string, cold time.Duration) error {
+	s.entriesMu.Lock()
+	defer s.entriesMu.Unlock()
 	id := s.servers[number].ID()
 	if s.stopped[id] {
 		return nil
 	}
 	return s.platform.EnterAt(emulator.Entry{
-		ID: id, Service: serviceOf(id), Zone: placeOf(id), Address: s.links[number].address(),
+		ID: id, Service: serviceOf(id), Zone: dataCenterOf(id), Address: s.links[number].address(),
 		Version: releaseOf(id), State: state, Cold: cold,
 	})
 }
 
-// stop ends a server at once, and its entry.
-func (s *soak) stop(number int) {
-	s.entries.Lock()
-	defer s.entries.Unlock()
+// stopServer stops a server immediately and removes its entry.
+func (s *soak) stopServer(number int) {
+	s.entriesMu.Lock()
+	defer s.entriesMu.Unlock()
 	server := s.servers[number]
 	s.stopped[server.ID()] = true
 	s.platform.Leave(server)
@@ -139,12 +140,12 @@
 	return "plain"
 }
 
-// addGateway writes settings and starts a gateway; it returns its address for
+// addGateway writes a gateway's settings and starts it. It returns the gateway's address for
 // peers.
 func (s *soak) addGateway(dir, id string, seeds []string) string {
 	store, err := newProxy(s.platform.StoreAddress())
 	is.New(s.t).NoErr(err)
-	g := &gateway{id: id, file: filepath.Join(dir, id+".json"), callers: freeAddress(s.t), log: filepath.Join(dir, id+".log"), store: store}
+	g := &gateway{id: id, settingsFile: filepath.Join(dir, id+".json"), callers: freeAddress(s.t), logFile: filepath.Join(dir, id+".log"), store: store}
 	peers := freeAddress(s.t)
 	data, err := json.Marshal(map[string]any{
 		"role": "gateway", "id": id, "data_center": "dc", "callers": g.callers, "ready": freeAddress(s.t), "peers": peers,
@@ -154,19 +155,19 @@
 		"cold":    map[string]any{"multiple": coldMultiple, "extra": coldExtra}, "log": map[string]any{"format": "json"},
 	})
 	is.New(s.t).NoErr(err)
-	is.New(s.t).NoErr(os.WriteFile(g.file, data, 0o600))
+	is.New(s.t).NoErr(os.WriteFile(g.settingsFile, data, 0o600))
 	s.gateways = append(s.gateways, g)
 	s.start(g)
 	return peers
 }
 
 func (s *soak) start(g *gateway) {
-	log, err := os.OpenFile(g.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(g.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		s.t.Error(err)
 		return
 	}
-	cmd := exec.Command(s.binary, "gateway", g.file)
+	cmd := exec.Command(s.binary, "gateway", g.settingsFile)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
 		s.t.Error(err)
@@ -175,7 +176,7 @@
 	done := make(chan struct{})
 	g.mu.Lock()
 	g.cmd, g.done = cmd, done
-	g.lives++
+	g.starts++
 	g.mu.Unlock()
 	g.stopping.Store(false)
 	go func() {
@@ -185,7 +186,8 @@
 	}()
 }
 
-// signal signals the gateway's process and returns what is closed at its end.
+// signal sends a signal to the gateway's process and returns a channel that is closed when the
+// process exits.
 func (g *gateway) signal(signal syscall.Signal) chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,8 +195,8 @@
 	return g.done
 }
 
-// end ends only processes that the soak started, by their ids.
-func (s *soak) end() {
+// stopSystem ends only processes that the soak started, by their process IDs.
+func (s *soak) stopSystem() {
 	for _, g := range s.gateways {
 		g.signal(syscall.SIGCONT)
 		<-g.signal(syscall.SIGKILL)
@@ -209,14 +211,14 @@
 	_ = s.platform.Close()
 }
 
-// strike carries one fault out.
-func (s *soak) strike(made event) {
-	g := s.gateways[made.which%len(s.gateways)]
-	number := made.which % len(s.servers)
-	switch made.action {
+// applyFault applies one fault.
+func (s *soak) applyFault(fault fault) {
+	g := s.gateways[fault.index%len(s.gateways)]
+	number := fault.index % len(s.servers)
+	switch fault.action {
 	case kill:
 		<-g.signal(syscall.SIGKILL)
-		time.Sleep(made.lasts / 4)
+		time.Sleep(fault.duration / 4)
 		s.start(g)
 	case terminate:
 		if g.stopping.Swap(true) {
@@ -225,75 +227,75 @@
 		<-g.signal(syscall.SIGTERM)
 		s.start(g)
 	case pause:
-		defer s.deafen(g.id)()
+		defer s.beginIsolation(g.id)()
 		g.signal(syscall.SIGSTOP)
-		time.Sleep(made.lasts)
+		time.Sleep(fault.duration)
 		g.signal(syscall.SIGCONT)
 	case hangUp:
 		g.signal(syscall.SIGHUP)
 	case storeDown:
-		s.disturb(emulator.StoreFaults{Down: true}, made.lasts)
+		s.disturbStore(emulator.StoreFaults{Down: true}, fault.duration)
 	case storeSilent:
-		s.disturb(emulator.StoreFaults{Silent: true}, made.lasts)
+		s.disturbStore(emulator.StoreFaults{Silent: true}, fault.duration)
 	case storeSlow:
-		s.disturb(emulator.StoreFaults{Delay: made.lasts / 4}, made.lasts)
-	case storeLoses:
-		s.disturb(emulator.StoreFaults{LoseAnswers: true}, made.lasts)
+		s.disturbStore(emulator.StoreFaults{Delay: fault.duration / 4}, fault.duration)
+	case storeLosesAnswers:
+		s.disturbStore(emulator.StoreFaults{LoseAnswers: true}, fault.duration)
 	case compact:
 		s.platform.Store.Compact()
-	case change:
-		s.change()
-	case changeUnseen:
-		s.changeUnseen()
+	case changeConfig:
+		s.changeConfig()
+	case changeDuringOutage:
+		s.changeDuringOutage()
 	case misbehave:
-		s.servers[number].Misbehave(made.mode, 4)
+		s.servers[number].Misbehave(fault.mode, 4)
 	case drainServer:
-		s.drain(number, made.lasts)
+		s.drain(number, fault.duration)
 	case evacuate:
-		s.evacuate(placeOf(s.servers[number].ID()), made.lasts)
-	case turnCold:
-		s.turnCold(number, made.lasts)
+		s.evacuate(dataCenterOf(s.servers[number].ID()), fault.duration)
+	case coldStart:
+		s.coldStart(number, fault.duration)
 	case storeLink:
-		disturbLink(g.store, made)
-	case leaveInAnswers:
+		disturbLink(g.store, fault)
+	case announceLeaving:
 		s.servers[number].SetNotice(emulator.Notice{Leaving: true})
-	case askForRest:
-		s.askForRest(s.servers[number], made)
+	case shedWithRetryAfter:
+		s.shedWithRetryAfter(s.servers[number], fault)
 	case serverLink:
 		from := time.Now()
-		disturbLink(s.links[number], made)
+		disturbLink(s.links[number], fault)
 		s.mu.Lock()
 		s.linkFaults = append(s.linkFaults, span{name: s.servers[number].ID(), from: from, until: time.Now()})
 		s.mu.Unlock()
 	}
 }
 
-// askForRest has a server turn away what comes for a while.
-func (s *soak) askForRest(server *emulator.Server, made event) {
-	server.SetNotice(emulator.Notice{RetryAfter: made.rest})
+// shedWithRetryAfter makes a server reject requests with a Retry-After header for a while.
+func (s *soak) shedWithRetryAfter(server *emulator.Server, fault fault) {
+	server.SetNotice(emulator.Notice{RetryAfter: fault.retryAfter})
 	server.TurnBad(&emulator.Bad{Share: 1, Fails: emulator.Shed})
-	time.Sleep(made.lasts)
+	time.Sleep(fault.duration)
 	server.TurnBad(nil)
 	server.SetNotice(emulator.Notice{})
 }
 
-func disturbLink(link *proxy, made event) {
-	link.set(made.link)
-	time.Sleep(made.lasts)
+func disturbLink(link *proxy, fault fault) {
+	link.set(fault.link)
+	time.Sleep(fault.duration)
 	link.set(normal)
 }
 
-func (s *soak) disturb(faults emulator.StoreFaults, lasts time.Duration) {
-	defer s.deafen("")()
+func (s *soak) disturbStore(faults emulator.StoreFaults, duration time.Duration) {
+	defer s.beginIsolation("")()
 	s.platform.Store.SetFaults(faults)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.platform.Store.SetFaults(emulator.StoreFaults{})
 }
 
-// change has the operator write a configuration; the first takes the key of
-// workspace "gone" away.
-func (s *soak) change() {
-	s.accept()
+// changeConfig writes a new configuration as the operator. The first change revokes the key of
+// workspace "gone".
+func (s *soak) changeConfig() {
+	s.acceptConfig()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.revokedAt.IsZero() {
@@ -301,19 +303,18 @@
 	}
 }
 
-// changeUnseen changes the configuration while the store answers nobody.
-func (s *soak) changeUnseen() {
-	const longer = revocation + 1500*time.Millisecond
-	defer s.deafen("")()
+// changeDuringOutage changes the configuration while the store answers no calls.
+func (s *soak) changeDuringOutage() {
+	const outage = revocation + 1500*time.Millisecond
+	defer s.beginIsolation("")()
 	s.platform.Store.SetFaults(emulator.StoreFaults{Silent: true})
-	s.change()
-	time.Sleep(longer)
+	s.changeConfig()
+	time.Sleep(outage)
 	s.platform.Store.SetFaults(emulator.StoreFaults{})
 }
 
-// accept writes the next configuration. Only the first one has the workspace
-// "gone".
-func (s *soak) accept() {
+// acceptConfig writes the next configuration. Only the first one contains the workspace "gone".
+func (s *soak) acceptConfig() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config.Tenants = nil
@@ -325,47 +326,48 @@
 	if err := s.platform.Accept(&s.config); err != nil {
 		s.t.Error(err)
 	}
-	s.configs = append(s.configs, accepted{version: s.config.Version, at: time.Now()})
+	s.configs = append(s.configs, acceptedConfig{version: s.config.Version, at: time.Now()})
 }
 
-// placeOf is the data centre of a server: the first of each service is alone in its own.
-func placeOf(id string) string {
+// dataCenterOf returns the data centre of a server. The first server of each service is in a
+// separate one.
+func dataCenterOf(id string) string {
 	if strings.HasSuffix(id, "-0") {
 		return "dc-0"
 	}
 	return "dc"
 }
 
-// evacuate has the operator evacuate a data centre for a while.
-func (s *soak) evacuate(place string, lasts time.Duration) {
-	s.places.Lock() // one ends another of the same data centre
-	defer s.places.Unlock()
-	s.platform.Evacuate(place, true)
+// evacuate evacuates a data centre for a while, as the operator.
+func (s *soak) evacuate(dataCenter string, duration time.Duration) {
+	s.placementMu.Lock() // ending one evacuation would end an overlapping one of the same data centre
+	defer s.placementMu.Unlock()
+	s.platform.Evacuate(dataCenter, true)
 	from := time.Now()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.mu.Lock()
-	s.evacuations = append(s.evacuations, span{name: place, from: from, until: time.Now()})
+	s.evacuations = append(s.evacuations, span{name: dataCenter, from: from, until: time.Now()})
 	s.mu.Unlock()
-	s.platform.Evacuate(place, false)
+	s.platform.Evacuate(dataCenter, false)
 }
 
-// turnCold has a server cold for a while.
-func (s *soak) turnCold(number int, lasts time.Duration) {
-	s.places.Lock() // a later entry replaces an earlier one
-	defer s.places.Unlock()
+// coldStart makes a server cold for a while.
+func (s *soak) coldStart(number int, duration time.Duration) {
+	s.placementMu.Lock() // a later entry would replace the earlier one
+	defer s.placementMu.Unlock()
 	server := s.servers[number]
-	if err := s.enterCold(number, "ready", lasts); err != nil {
+	if err := s.writeColdEntry(number, "ready", duration); err != nil {
 		s.t.Error(err)
 	}
 	from := time.Now()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.colds = append(s.colds, span{name: server.ID(), from: from, until: from.Add(lasts)})
+	s.coldPeriods = append(s.coldPeriods, span{name: server.ID(), from: from, until: from.Add(duration)})
 }
 
-func (s *soak) drain(number int, lasts time.Duration) {
-	_ = s.enter(number, "draining")
-	time.Sleep(lasts)
-	_ = s.enter(number, "ready")
+func (s *soak) drain(number int, duration time.Duration) {
+	_ = s.writeEntry(number, "draining")
+	time.Sleep(duration)
+	_ = s.writeEntry(number, "ready")
 }
--- a/internal/soak/trials_test.go
+++ b/internal/soak/trials_test.go
@@ -14,89 +14,93 @@
 )
 
 const (
-	// oldRelease is the version that serves at the beginning; trialRelease is ordered, and
-	// changedRelease is what a changed order names, a good one always.
+	// oldRelease is the version that serves at the start. trialRelease is the version ordered
+	// first, and changedRelease, which is always good, the one that a changed order names.
 	oldRelease, trialRelease, changedRelease = "v1", "v2", "v3"
-	// trialTail is for how long a seed goes on behind its schedule, without new faults:
-	// what must have ended by then shows.
+	// trialTail is how long a seed continues after its schedule without new faults, so that
+	// overdue effects show.
 	trialTail = 3 * time.Second
-	// trialShare and trialSlack bound what a version on trial gets. They are larger than
-	// usual: a move of all requests has to fit into an order of a few seconds.
+	// trialShare and trialSlack limit the requests that a version on trial gets. They are
+	// larger than usual because a move of all requests has to fit into an order of a few
+	// seconds.
 	trialShare = 0.2
 	trialSlack = 150
-	// rollback is the gateways' bound for rolling back, and their grants are bounded by it.
+	// rollback is the gateways' time limit for rolling back, which also limits their grants.
 	rollback = 2 * time.Second
-	// mostCompleted is more than a seed's orders, each of which is completed once.
-	mostCompleted = 4
+	// maxCompletions exceeds the number of a seed's orders, each of which completes at most
+	// once.
+	maxCompletions = 4
 )
 
-// form is how a version on trial behaves.
-type form string
+// behavior is how a version on trial behaves.
+type behavior string
 
 const (
-	good     form = "good"
-	fails    form = "fails"
-	slow     form = "slow"
-	oneRoute form = "one_route"
-	badLate  form = "bad_late"
+	good        behavior = "good"
+	failing     behavior = "fails"
+	slow        behavior = "slow"
+	oneRoute    behavior = "one_route"
+	failingLate behavior = "bad_late"
 )
 
-// race is what operators do while a roll-out is under way.
-type race string
+// intervention is what operators do during a rollout.
+type intervention string
 
 const (
-	noRace    race = "none"
-	changed   race = "changed"
-	withdrawn race = "withdrawn"
-	again     race = "again"
+	noIntervention intervention = "none"
+	changeOrder    intervention = "changed"
+	withdrawOrder  intervention = "withdrawn"
+	repeatOrder    intervention = "again"
 )
 
-// A good version, which alone comes to a move and a completion, is as likely as all others.
+// A good version is as likely as all others together, because only a good one reaches the move
+// and the completion.
 var (
-	forms = []form{good, good, good, good, fails, slow, oneRoute, badLate}
-	races = []race{noRace, noRace, noRace, changed, withdrawn, again}
+	behaviors     = []behavior{good, good, good, good, failing, slow, oneRoute, failingLate}
+	interventions = []intervention{noIntervention, noIntervention, noIntervention, changeOrder, withdrawOrder, repeatOrder}
 )
 
-// trial is the roll-out of a schedule.
+// trial is the rollout in a schedule.
 type trial struct {
 	service string
-	// at is when it is ordered, within the order's time, and raceAfter the time from there
-	// to the operators' next word.
-	at, within, raceAfter time.Duration
-	form                  form
-	race                  race
-	// stops says that the old targets stop as soon as the store has the completion;
-	// otherwise they go on, and what still reaches them shows.
-	stops bool
+	// at is when the rollout is ordered, duration the duration in the order, and
+	// interventionAfter the time from the order to the intervention.
+	at, duration, interventionAfter time.Duration
+	behavior                        behavior
+	intervention                    intervention
+	// stopOldTargets stops the old targets as soon as the store reports the completion.
+	// Otherwise they keep running, so that requests that still reach them are observed.
+	stopOldTargets bool
 }
 
 func (t trial) String() string {
-	return fmt.Sprintf("%v order of %s at %s within %v, race %s after %v, old targets stop=%v", t.at, t.form, t.service, t.within, t.race, t.raceAfter, t.stops)
+	return fmt.Sprintf("%v order of %s at %s within %v, race %s after %v, old targets stop=%v", t.at, t.behavior, t.service, t.duration, t.intervention, t.interventionAfter, t.stopOldTargets)
 }
 
-// drawTrial draws the roll-out by a source of its own, as drawPlaces does.
+// drawTrial draws the rollout from a random source of its own, like
+// drawEvacuationsAndColdStarts.
 func drawTrial(seed uint64, length time.Duration) trial {
-	source := rand.New(rand.NewPCG(seed, 3))
-	part := func(least, most float64) time.Duration {
-		return time.Duration((least + source.Float64()*(most-least)) * float64(length))
+	rng := rand.New(rand.NewPCG(seed, 3))
+	fraction := func(low, high float64) time.Duration {
+		return time.Duration((low + rng.Float64()*(high-low)) * float64(length))
 	}
-	made := trial{
-		service: []string{"plain", "plain", "engine"}[source.IntN(3)],
-		at:      part(0.1, 0.2),
-		within:  part(0.7, 0.9),
-		form:    forms[source.IntN(len(forms))],
-		race:    races[source.IntN(len(races))],
-		stops:   source.IntN(2) == 0,
+	drawn := trial{
+		service:        []string{"plain", "plain", "engine"}[rng.IntN(3)],
+		at:             fraction(0.1, 0.2),
+		duration:       fraction(0.7, 0.9),
+		behavior:       behaviors[rng.IntN(len(behaviors))],
+		intervention:   interventions[rng.IntN(len(interventions))],
+		stopOldTargets: rng.IntN(2) == 0,
 	}
-	made.raceAfter = time.Duration((0.2 + 0.4*source.Float64()) * float64(made.within))
-	return made
+	drawn.interventionAfter = time.Duration((0.2 + 0.4*rng.Float64()) * float64(drawn.duration))
+	return drawn
 }
 
-// bad is how the servers of the version fail; nil for a good one.
+// bad describes how the servers of the version fail; nil for a good version.
 func (t trial) bad(seed uint64) *emulator.Bad {
 	const share = 0.4
-	switch t.form {
-	case fails:
+	switch t.behavior {
+	case failing:
 		return &emulator.Bad{Share: share, Seed: seed}
 	case slow:
 		return &emulator.Bad{Slower: 5, Seed: seed}
@@ -106,33 +110,34 @@
 			path = "/chat/"
 		}
 		return &emulator.Bad{Share: share, Path: path, Seed: seed}
-	case badLate:
-		return &emulator.Bad{Share: share, After: t.within / 2, Seed: seed}
+	case failingLate:
+		return &emulator.Bad{Share: share, After: t.duration / 2, Seed: seed}
 	default:
 		return nil
 	}
 }
 
-// ordered is a word of the operators about a service; without a version it withdraws.
-type ordered struct {
+// rolloutOrder is an operators' order about a service. An order without a version withdraws the
+// previous one.
+type rolloutOrder struct {
 	service, version string
 	revision         int64
 	at               time.Time
 }
 
-// recorded is a state of a roll-out as the store had it, by its record or its status.
-type recorded struct {
+// rolloutState is a state of a rollout in the store, from its record or its status.
+type rolloutState struct {
 	service  string
 	at       time.Time
 	revision int64
 	version  string
 	state    string
-	// order is a record's only.
+	// order is the revision of the order; set for records only.
 	order int64
 }
 
-// addTrials starts the targets of the later versions; they have no entries yet.
-func (s *soak) addTrials() {
+// addTrialServers starts the servers of the later versions, which have no entries yet.
+func (s *soak) addTrialServers() {
 	prefix := "p"
 	if s.trial.service == "engine" {
 		prefix = "e"
@@ -144,7 +149,8 @@
 	}
 }
 
-// releaseOf is the version of a server by its id: those of the beginning name none.
+// releaseOf returns the version of a server, which is part of its ID except for the initial
+// servers.
 func releaseOf(id string) string {
 	if parts := strings.Split(id, "-"); len(parts) == 3 {
 		return parts[1]
@@ -152,119 +158,118 @@
 	return oldRelease
 }
 
-// operate has the operators order the roll-out, say their next word, and stop old
-// targets.
-func (s *soak) operate(ctx context.Context, began time.Time) {
-	s.faults.Go(func() { s.stopOld(ctx) })
-	if !wait.For(ctx, time.Until(began.Add(s.trial.at))) {
+// runOperator orders the rollout, makes the intervention, and stops old targets.
+func (s *soak) runOperator(ctx context.Context, start time.Time) {
+	s.faults.Go(func() { s.stopOldServers(ctx) })
+	if !wait.For(ctx, time.Until(start.Add(s.trial.at))) {
 		return
 	}
-	s.order(trialRelease, s.trial.bad(s.seed))
-	if !wait.For(ctx, time.Until(began.Add(s.trial.at+s.trial.raceAfter))) {
+	s.startRollout(trialRelease, s.trial.bad(s.seed))
+	if !wait.For(ctx, time.Until(start.Add(s.trial.at+s.trial.interventionAfter))) {
 		return
 	}
-	switch s.trial.race {
-	case changed:
-		s.order(changedRelease, nil)
-	case withdrawn:
-		s.withdraw()
-	case again:
-		s.reorder(trialRelease)
-	case noRace:
+	switch s.trial.intervention {
+	case changeOrder:
+		s.startRollout(changedRelease, nil)
+	case withdrawOrder:
+		s.withdrawTrial()
+	case repeatOrder:
+		s.placeOrder(trialRelease)
+	case noIntervention:
 	}
 }
 
-// order has the targets of a version come and the operators order it.
-func (s *soak) order(release string, bad *emulator.Bad) {
+// startRollout registers the targets of a version and orders it.
+func (s *soak) startRollout(release string, bad *emulator.Bad) {
 	for number, server := range s.servers {
 		if releaseOf(server.ID()) != release {
 			continue
 		}
 		server.TurnBad(bad)
-		if err := s.enter(number, "ready"); err != nil {
+		if err := s.writeEntry(number, "ready"); err != nil {
 			s.t.Error(err)
 		}
 	}
-	s.reorder(release)
+	s.placeOrder(release)
 }
 
-// reorder has the operators order a version whose targets are there.
-func (s *soak) reorder(release string) {
+// placeOrder orders a version whose targets are registered already.
+func (s *soak) placeOrder(release string) {
 	at := time.Now()
-	revision, err := s.platform.Order(s.trial.service, release, s.trial.within)
+	revision, err := s.platform.Order(s.trial.service, release, s.trial.duration)
 	if err != nil {
 		s.t.Error(err)
 	}
-	s.noteOrder(ordered{service: s.trial.service, version: release, revision: revision, at: at})
+	s.addOrder(rolloutOrder{service: s.trial.service, version: release, revision: revision, at: at})
 }
 
-func (s *soak) withdraw() {
+func (s *soak) withdrawTrial() {
 	at := time.Now()
 	s.platform.Withdraw(s.trial.service)
-	s.noteOrder(ordered{service: s.trial.service, at: at})
+	s.addOrder(rolloutOrder{service: s.trial.service, at: at})
 }
 
-func (s *soak) noteOrder(word ordered) {
+func (s *soak) addOrder(order rolloutOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.orders = append(s.orders, word)
+	s.orders = append(s.orders, order)
 }
 
-// stopOld stops the targets of other versions when the store has a completion.
-func (s *soak) stopOld(ctx context.Context) {
+// stopOldServers stops the targets of other versions once the store reports a completion.
+func (s *soak) stopOldServers(ctx context.Context) {
 	for {
 		select {
 		case release := <-s.completed:
-			s.stopOthers(release)
+			s.stopOtherReleases(release)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (s *soak) stopOthers(release string) {
-	if !s.trial.stops {
+func (s *soak) stopOtherReleases(release string) {
+	if !s.trial.stopOldTargets {
 		return
 	}
 	for number, server := range s.servers {
 		if serviceOf(server.ID()) == s.trial.service && releaseOf(server.ID()) != release {
-			s.stop(number)
+			s.stopServer(number)
 		}
 	}
 }
 
-// observe notes what the store has of roll-outs; it is called with the store locked.
-func (s *soak) observe(changed emulator.Item) {
+// recordChange records the rollout states in the store. It is called with the store locked.
+func (s *soak) recordChange(changed emulator.Item) {
 	if service, ok := strings.CutPrefix(changed.Key, "capersaddle/rollout/"); ok && !changed.Gone {
-		var read struct {
+		var record struct {
 			Version  string `json:"version"`
 			Revision int64  `json:"revision"`
 			State    string `json:"state"`
 		}
-		if err := json.Unmarshal(changed.Value, &read); err != nil {
+		if err := json.Unmarshal(changed.Value, &record); err != nil {
 			s.t.Error(err)
 		}
-		s.noteRecord(recorded{service, time.Now(), changed.Revision, read.Version, read.State, read.Revision})
+		s.addRecord(rolloutState{service, time.Now(), changed.Revision, record.Version, record.State, record.Revision})
 	}
 	if service, ok := strings.CutPrefix(changed.Key, "status/rollout/"); ok && !changed.Gone {
-		var read struct {
+		var status struct {
 			Version string `json:"target_version"`
 			State   string `json:"state"`
 		}
-		if err := json.Unmarshal(changed.Value, &read); err != nil {
+		if err := json.Unmarshal(changed.Value, &status); err != nil {
 			s.t.Error(err)
 		}
-		s.noteStatus(recorded{service: service, at: time.Now(), revision: changed.Revision, version: read.Version, state: read.State})
+		s.addStatus(rolloutState{service: service, at: time.Now(), revision: changed.Revision, version: status.Version, state: status.State})
 	}
 }
 
-func (s *soak) noteRecord(found recorded) {
+func (s *soak) addRecord(found rolloutState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.records = append(s.records, found)
 }
 
-func (s *soak) noteStatus(found recorded) {
+func (s *soak) addStatus(found rolloutState) {
 	s.mu.Lock()
 	s.statuses = append(s.statuses, found)
 	s.mu.Unlock()
@@ -273,17 +278,17 @@
 	}
 	select {
 	case s.completed <- found.version:
-	default: // so many completions are a checker's finding
+	default: // the checks report surplus completions
 	}
 }
 
-// deafen notes that a gateway, or all if it isn't named, may hear nobody until the
-// returned function is called.
-func (s *soak) deafen(gateway string) func() {
+// beginIsolation records that a gateway, or every gateway if the name is empty, may receive no
+// updates until the returned function is called.
+func (s *soak) beginIsolation(gateway string) func() {
 	from := time.Now()
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.deaf = append(s.deaf, span{name: gateway, from: from, until: time.Now()})
+		s.isolations = append(s.isolations, span{name: gateway, from: from, until: time.Now()})
 	}
 }
