--- a/internal/session/callers_test.go
+++ b/internal/session/callers_test.go
@@ -19,9 +19,9 @@
 	"github.com/capersaddle/capersaddle/internal/target"
 )
 
-// command sends an operators' command and says how it ended.
-func (w *world) command(p *process, who string, command config.Command) (config.Result, error) {
-	command.Operator = who
+// command sends an operator's command and records the outcome.
+func (w *world) command(p *process, operator string, command config.Command) (config.Result, error) {
+	command.Operator = operator
 	ctx, cancel := context.WithTimeout(w.ctx, 10*time.Second)
 	defer cancel()
 	result, err := p.editor.Do(ctx, command)
@@ -29,15 +29,15 @@
 	for _, c := range command.Changes {
 		names = append(names, c.Name)
 	}
-	what := fmt.Sprintf("%s changes %s through %s", who, strings.Join(names, ", "), p.name)
+	description := fmt.Sprintf("%s changes %s through %s", operator, strings.Join(names, ", "), p.name)
 	switch {
 	case err != nil:
 		failure := fault.From(err)
-		w.say("operator", "%s: %s", what, describeFailure(failure))
+		w.record("operator", "%s: %s", description, describeFailure(failure))
 	case result.Repeat:
-		w.say("operator", "%s: was accepted before, at revision %d", what, result.Revision)
+		w.record("operator", "%s: was accepted before, at revision %d", description, result.Revision)
 	default:
-		w.say("operator", "%s: accepted at revision %d", what, result.Revision)
+		w.record("operator", "%s: accepted at revision %d", description, result.Revision)
 	}
 	return result, err
 }
@@ -49,28 +49,28 @@
 	return fmt.Sprintf("refused (%s, %s)", failure.Kind, failure.State)
 }
 
-func set(name string, value any) config.Change {
+func newChange(name string, value any) config.Change {
 	data, _ := json.Marshal(value)
 	return config.Change{Name: name, Value: data}
 }
 
-// configure sets the first configuration and waits until all have it.
+// configure applies the first configuration and waits until all processes have it.
 func (w *world) configure(workspaces ...string) {
 	changes := []config.Change{
-		set("model/"+model, config.Model{}),
-		set("service/"+service, config.Service{NotRepeatable: []string{"/credit"}, Slots: 8}),
+		newChange("model/"+model, config.Model{}),
+		newChange("service/"+service, config.Service{NotRepeatable: []string{"/credit"}, Slots: 8}),
 	}
 	for _, workspace := range workspaces {
-		changes = append(changes, set("workspace/"+workspace, config.Workspace{KeyHashes: []string{config.HashKey(workspace + "-key")}}))
+		changes = append(changes, newChange("workspace/"+workspace, config.Workspace{KeyHashes: []string{config.HashKey(workspace + "-key")}}))
 	}
-	for _, name := range slices.Sorted(mapsKeys(w.routers)) {
+	for _, name := range slices.Sorted(keysOf(w.routers)) {
 		_, _ = w.command(w.routers[name], "ama", config.Command{ID: "first", Changes: changes})
 		break
 	}
 	time.Sleep(15 * time.Second)
 }
 
-func mapsKeys[V any](m map[string]V) func(func(string) bool) {
+func keysOf[V any](m map[string]V) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for key := range m {
 			if !yield(key) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// call sends a request to a router as a caller would.
+// call sends a request to a router as a caller does.
 func (w *world) call(p *process, workspace, method, path string, header map[string]string, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequestWithContext(w.ctx, method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+workspace+"-key")
@@ -89,57 +89,58 @@
 	}
 	recorder := httptest.NewRecorder()
 	func() {
-		// A broken stream ends in http.ErrAbortHandler, as under a server.
+		// A broken stream panics with http.ErrAbortHandler, which an HTTP server would recover
+		// from.
 		defer func() { _ = recover() }()
 		p.handler.ServeHTTP(recorder, request)
 	}()
 	return recorder
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error struct {
 		Code     string `json:"code"`
 		RunState string `json:"run_state"`
 	} `json:"error"`
 }
 
-// refusal gives the kind and run state of an error answer.
-func refusal(body string) string {
-	var answer errorAnswer
-	_ = json.Unmarshal([]byte(body), &answer)
-	return answer.Error.Code + ", " + answer.Error.RunState
+// errorSummary returns the kind and the run state of an error response.
+func errorSummary(body string) string {
+	var response errorResponse
+	_ = json.Unmarshal([]byte(body), &response)
+	return response.Error.Code + ", " + response.Error.RunState
 }
 
-// newKey makes a key with a short name for the session. The UUIDv7 is put
-// together here because a library's generator never goes back in time, and
-// each session begins at the same virtual time.
+// newKey creates a key and registers a short name for it in the transcript. It builds the
+// UUIDv7 itself because a library's generator never goes back in time, while each session
+// starts at the same virtual time.
 func (w *world) newKey(name string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.keys++
+	w.keyCount++
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(time.Now().UnixMilli())<<16)
-	binary.BigEndian.PutUint32(id[12:], w.keys)
+	binary.BigEndian.PutUint32(id[12:], w.keyCount)
 	id[6] = 0x70
 	id[8] = 0x80
 	w.names[id.String()] = name
 	return id.String()
 }
 
-// topUp sends a keyed request and says what came back.
+// topUp sends a request with an idempotency key and records the response.
 func (w *world) topUp(p *process, workspace, key string) *httptest.ResponseRecorder {
-	answer := w.call(p, workspace, http.MethodPost, "/v1/services/"+service+"/credit", map[string]string{router.HeaderKey: key}, `{"meter":"4711"}`)
-	what := fmt.Sprintf("%s tops up with %s through %s", workspace, key, p.name)
-	if answer.Code == http.StatusOK {
-		w.say("caller", "%s: %s", what, answer.Body)
-		return answer
+	response := w.call(p, workspace, http.MethodPost, "/v1/services/"+service+"/credit", map[string]string{router.HeaderKey: key}, `{"meter":"4711"}`)
+	description := fmt.Sprintf("%s tops up with %s through %s", workspace, key, p.name)
+	if response.Code == http.StatusOK {
+		w.record("caller", "%s: %s", description, response.Body)
+		return response
 	}
-	w.say("caller", "%s: status %d (%s), come back after %s s", what, answer.Code, refusal(answer.Body.String()), answer.Header().Get("Retry-After"))
-	return answer
+	w.record("caller", "%s: status %d (%s), come back after %s s", description, response.Code, errorSummary(response.Body.String()), response.Header().Get("Retry-After"))
+	return response
 }
 
-// streamed is a chat as its caller saw it.
-type streamed struct {
+// chatResult is a streamed chat response as the caller received it.
+type chatResult struct {
 	status    int
 	text      string
 	pieces    int
@@ -149,22 +150,22 @@
 	cached    int64
 }
 
-// chat streams a chat and says what came back.
-func (w *world) chat(p *process, workspace, question string, tokens int) streamed {
-	return w.converse(p, workspace, "", tokens, say("user", question))
+// chat streams a chat and returns the result.
+func (w *world) chat(p *process, workspace, question string, tokens int) chatResult {
+	return w.sendChat(p, workspace, "", tokens, chatMessage("user", question))
 }
 
-// returning sends the next turn of a chat with its placement token.
-func (w *world) returning(p *process, workspace, question string, before streamed) streamed {
-	return w.converse(p, workspace, before.placement, 2, say("user", question), say("assistant", before.text), say("user", "and then?"))
+// returnChat sends the next turn of a chat with its placement token.
+func (w *world) returnChat(p *process, workspace, question string, previous chatResult) chatResult {
+	return w.sendChat(p, workspace, previous.placement, 2, chatMessage("user", question), chatMessage("assistant", previous.text), chatMessage("user", "and then?"))
 }
 
-func say(role, text string) target.ChatMessage {
+func chatMessage(role, text string) target.ChatMessage {
 	content, _ := json.Marshal(text)
 	return target.ChatMessage{Role: role, Content: content}
 }
 
-func (w *world) converse(p *process, workspace, token string, tokens int, messages ...target.ChatMessage) streamed {
+func (w *world) sendChat(p *process, workspace, token string, tokens int, messages ...target.ChatMessage) chatResult {
 	body, _ := json.Marshal(map[string]any{
 		"model": model, "stream": true, "max_tokens": tokens,
 		"stream_options": target.StreamOptions{IncludeUsage: true},
@@ -174,26 +175,26 @@
 	if token != "" {
 		header[router.HeaderPlacement] = token
 	}
-	answer := w.call(p, workspace, http.MethodPost, "/v1/chat/completions", header, string(body))
-	got := streamed{status: answer.Code, placement: answer.Header().Get(router.HeaderPlacement)}
-	if got.status != http.StatusOK {
-		got.failure = refusal(answer.Body.String())
-		return got
+	response := w.call(p, workspace, http.MethodPost, "/v1/chat/completions", header, string(body))
+	result := chatResult{status: response.Code, placement: response.Header().Get(router.HeaderPlacement)}
+	if result.status != http.StatusOK {
+		result.failure = errorSummary(response.Body.String())
+		return result
 	}
-	for event := range strings.SplitSeq(answer.Body.String(), "\n\n") {
-		got.take(strings.TrimPrefix(event, "data: "))
+	for event := range strings.SplitSeq(response.Body.String(), "\n\n") {
+		result.addEvent(strings.TrimPrefix(event, "data: "))
 	}
-	return got
+	return result
 }
 
-func (s *streamed) take(data string) {
+func (s *chatResult) addEvent(data string) {
 	if data == "[DONE]" {
 		s.done = true
 		return
 	}
 	var chunk struct {
 		target.Chunk
-		errorAnswer
+		errorResponse
 	}
 	if json.Unmarshal([]byte(data), &chunk) != nil {
 		return
@@ -210,8 +211,8 @@
 	}
 }
 
-// String tells a chat's end as a person would.
-func (s streamed) String() string {
+// String describes the outcome of a chat in plain words.
+func (s chatResult) String() string {
 	switch {
 	case s.done:
 		return fmt.Sprintf("whole, %d pieces from %s", s.pieces, s.placement)
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -1,7 +1,7 @@
-// Package session holds whole sessions of the system in virtual time, compared
-// with golden files that read like an on-call person's log. It has tests only.
+// Package session runs complete sessions of the system in virtual time and compares their
+// transcripts with golden files, which read like an on-call engineer's log. It has tests only.
 //
-// Routers and agents are the real ones; between them is link's memory network,
-// and around them the stand-ins. Each line of a golden file is something that
-// a caller, an operator, a target or the store saw.
+// Routers and agents are the real implementations. They communicate over link's in-memory
+// network, and their surroundings are emulated. Each line of a golden file is an observation of
+// a caller, an operator, a target or the store.
 package session
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -17,45 +17,45 @@
 	"github.com/capersaddle/capersaddle/internal/target/fakeengine"
 )
 
-// Each session is a story with its own checks; the golden file holds all that
-// was seen.
+// TestSessions runs sessions, each with checks of its own, and compares everything that was
+// observed with the session's golden file.
 func TestSessions(t *testing.T) {
 	tests := map[string]func(w *world, is *is.I){
-		"store lost for six hours":            storeLost,
+		"store lost for six hours":            storeOutage,
 		"paused owner wakes":                  pausedOwner,
 		"surge of two workspaces":             surge,
 		"planned stop with long streams":      plannedStop,
-		"two operators in conflict":           operatorsInConflict,
-		"lost answer of the store":            lostAnswer,
+		"two operators in conflict":           conflictingOperators,
+		"lost answer of the store":            lostStoreAnswer,
 		"flapping engine":                     flappingEngine,
 		"top-up through three routers":        topUpThroughThree,
-		"planned stop hands over its slots":   handOver,
+		"planned stop hands over its slots":   slotHandover,
 		"engine breaks in the middle":         brokenEngine,
 		"store restored to an older state":    storeRestored,
 		"deadline in the queue answers once":  deadlineInQueue,
 		"a key that was closed stays closed":  closedKey,
-		"answer of the service is lost":       serviceAnswerLost,
+		"answer of the service is lost":       lostServiceAnswer,
 		"router restarts during store outage": routerRestart,
-		"planned stop hands the cache on":     func(w *world, is *is.I) { is.Equal(cacheAfterStop(w, is), 1.0) },
+		"planned stop hands the cache on":     func(w *world, is *is.I) { is.Equal(cacheHitRateAfterStop(w, is), 1.0) },
 		"operator confirms two dead hosts":    twoDeadHosts,
 		"a host's clock is wrong":             wrongClock,
-		"a router's list lags behind a mark":  laggingList,
+		"a router's list lags behind a mark":  laggingRouter,
 		"placements are followed":             placements,
 		"planned stop keeps the cache": func(w *world, is *is.I) {
-			w.cache.KeepOnLeave = true
-			is.Equal(cacheAfterStop(w, is), 0.0)
+			w.cacheOptions.KeepOnLeave = true
+			is.Equal(cacheHitRateAfterStop(w, is), 0.0)
 		},
 	}
-	for name, play := range tests {
+	for name, session := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t)
 				func() {
-					defer w.end()
-					play(w, is.New(t))
+					defer w.close()
+					session(w, is.New(t))
 				}()
-				w.compare()
+				w.compareGolden()
 			})
 		})
 	}
@@ -76,9 +76,9 @@
 
 func surge(w *world, is *is.I) {
 	w.startAll(4, 0, 2)
-	w.say("caller", "accra-shops sends 60 chats at once, clinic 2")
+	w.record("caller", "accra-shops sends 60 chats at once, clinic 2")
 	var mu sync.Mutex
-	ends := make(map[string]map[string]int)
+	outcomes := make(map[string]map[string]int)
 	var wait sync.WaitGroup
 	send := func(workspace string, i int) {
 		wait.Go(func() {
@@ -86,14 +86,14 @@
 			got := w.chat(r, workspace, fmt.Sprintf("shift %d", i), 20)
 			mu.Lock()
 			defer mu.Unlock()
-			if ends[workspace] == nil {
-				ends[workspace] = make(map[string]int)
+			if outcomes[workspace] == nil {
+				outcomes[workspace] = make(map[string]int)
 			}
-			end := "whole"
+			outcome := "whole"
 			if !got.done {
-				end = got.failure
+				outcome = got.failure
 			}
-			ends[workspace][end]++
+			outcomes[workspace][outcome]++
 		})
 	}
 	for i := range 60 {
@@ -102,29 +102,29 @@
 	for i := range 2 {
 		send("clinic", i)
 	}
-	worst := 0
+	maxInFlight := 0
 	for range 20 {
 		time.Sleep(20 * time.Millisecond)
 		for _, p := range w.agents {
 			for _, load := range p.agent.Loads() {
-				worst = max(worst, load.InFlight)
-				is.True(load.InFlight <= load.Limit) // never above the bound
+				maxInFlight = max(maxInFlight, load.InFlight)
+				is.True(load.InFlight <= load.Limit) // never above the limit
 			}
 		}
 	}
 	wait.Wait()
-	time.Sleep(time.Until(w.began.Add(30 * time.Second)))
-	w.quietEngines()
-	w.say("engine", "most in flight at one engine: %d", worst)
+	time.Sleep(time.Until(w.start.Add(30 * time.Second)))
+	w.dropEngineLines()
+	w.record("engine", "most in flight at one engine: %d", maxInFlight)
 	for _, workspace := range []string{"accra-shops", "clinic"} {
-		w.say("caller", "%s: %v", workspace, ends[workspace])
+		w.record("caller", "%s: %v", workspace, outcomes[workspace])
 	}
-	is.Equal(ends["clinic"]["whole"], 2)
+	is.Equal(outcomes["clinic"]["whole"], 2)
 }
 
-// quietEngines drops the engines' own lines, whose order within a surge says
-// nothing.
-func (w *world) quietEngines() {
+// dropEngineLines drops the engines' own lines from the transcript, because their order during
+// a surge is not significant.
+func (w *world) dropEngineLines() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	kept := w.lines[:0]
@@ -139,80 +139,80 @@
 func plannedStop(w *world, is *is.I) {
 	w.startAll(3, 0, 2)
 	r := w.routers["router-0"]
-	home := w.chat(r, "clinic", "a long report", 1).placement
-	w.settle()
+	holder := w.chat(r, "clinic", "a long report", 1).placement
+	w.waitForLoadUpdates()
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		got := w.chat(r, "clinic", "a long report", 500)
-		w.say("caller", "the long report: %v", got)
+		w.record("caller", "the long report: %v", got)
 		is.True(got.done)
 		is.Equal(got.pieces, 500)
-		is.Equal(got.placement, home)
+		is.Equal(got.placement, holder)
 	})
 	time.Sleep(time.Second)
-	marked := time.Now()
-	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{set("mark/"+home, config.Mark{Leaving: true})}})
+	markedAt := time.Now()
+	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{newChange("mark/"+holder, config.Mark{Leaving: true})}})
 	is.NoErr(err)
 	time.Sleep(2 * time.Second)
-	runs := len(w.engines[home].Runs())
+	runs := len(w.engines[holder].Runs())
 	for i := range 4 {
 		got := w.chat(w.routers[fmt.Sprintf("router-%d", i%2)], "clinic", "a long report", 2)
-		w.say("caller", "the same chat %v after the mark: %v", time.Since(marked).Round(time.Second), got)
-		is.True(got.placement != home)
+		w.record("caller", "the same chat %v after the mark: %v", time.Since(markedAt).Round(time.Second), got)
+		is.True(got.placement != holder)
 	}
-	is.Equal(len(w.engines[home].Runs()), runs) // nothing new came
+	is.Equal(len(w.engines[holder].Runs()), runs) // no new request arrived
 	wait.Wait()
-	w.say("engine", "%s has %d in flight", home, w.agents["host-of-"+home].agent.Loads()[home].InFlight)
+	w.record("engine", "%s has %d in flight", holder, w.agents["host-of-"+holder].agent.Loads()[holder].InFlight)
 }
 
 func flappingEngine(w *world, is *is.I) {
 	w.startAll(3, 0, 1)
 	r := w.routers["router-0"]
-	home := w.chat(r, "clinic", "flap", 1).placement
-	w.settle()
+	holder := w.chat(r, "clinic", "flap", 1).placement
+	w.waitForLoadUpdates()
 	for round := range 4 {
-		w.engines[home].Inject(fakeengine.Fault{CutAfter: 2})
+		w.engines[holder].Inject(fakeengine.Fault{CutAfter: 2})
 		got := w.chat(r, "clinic", "flap", 6)
-		w.say("caller", "round %d: %v", round+1, got)
+		w.record("caller", "round %d: %v", round+1, got)
 		is.True(got.done)
-		w.die(w.agents["host-of-"+home])
+		w.disconnect(w.agents["host-of-"+holder])
 		time.Sleep(8 * time.Second)
-		w.agents["host-of-"+home].close()
-		w.addAgent("host-of-"+home, agent.Target{ID: home, Pool: model, Engine: w.engines[home]})
-		w.network.SetDown("host-of-"+home, false)
+		w.agents["host-of-"+holder].close()
+		w.addAgent("host-of-"+holder, agent.Target{ID: holder, Pool: model, Engine: w.engines[holder]})
+		w.network.SetDown("host-of-"+holder, false)
 		time.Sleep(4 * time.Second)
 	}
 	got := w.chat(r, "clinic", "flap", 6)
-	w.say("caller", "after four restarts in a minute: %v", got)
+	w.record("caller", "after four restarts in a minute: %v", got)
 	is.True(got.done)
-	is.True(got.placement != home) // held back until it is steady
+	is.True(got.placement != holder) // the engine is held back until it is stable
 	time.Sleep(3 * time.Minute)
 	got = w.chat(r, "clinic", "flap", 6)
-	w.say("caller", "three quiet minutes later: %v", got)
-	is.Equal(got.placement, home)
+	w.record("caller", "three quiet minutes later: %v", got)
+	is.Equal(got.placement, holder)
 }
 
 func brokenEngine(w *world, is *is.I) {
 	w.startAll(3, 0, 1)
 	r := w.routers["router-0"]
-	whole := w.chat(r, "clinic", "a fault summary", 12)
-	w.say("caller", "undisturbed: %v", whole)
-	w.settle()
-	w.engines[whole.placement].Inject(fakeengine.Fault{CutAfter: 5})
-	cut := w.chat(r, "clinic", "a fault summary", 12)
-	w.say("caller", "the engine breaks after 5 pieces: %v", cut)
-	w.settle()
-	is.Equal(cut.text, whole.text)
+	complete := w.chat(r, "clinic", "a fault summary", 12)
+	w.record("caller", "undisturbed: %v", complete)
+	w.waitForLoadUpdates()
+	w.engines[complete.placement].Inject(fakeengine.Fault{CutAfter: 5})
+	resumed := w.chat(r, "clinic", "a fault summary", 12)
+	w.record("caller", "the engine breaks after 5 pieces: %v", resumed)
+	w.waitForLoadUpdates()
+	is.Equal(resumed.text, complete.text)
 	for _, engine := range w.engines {
 		engine.Inject(fakeengine.Fault{CutAfter: 1}, fakeengine.Fault{CutAfter: 1}, fakeengine.Fault{CutAfter: 1}, fakeengine.Fault{CutAfter: 1})
 	}
-	none := w.chat(r, "clinic", "a fault summary", 12)
-	w.say("caller", "every engine breaks: %v", none)
-	is.True(!none.done && none.failure != "")
+	failed := w.chat(r, "clinic", "a fault summary", 12)
+	w.record("caller", "every engine breaks: %v", failed)
+	is.True(!failed.done && failed.failure != "")
 }
 
 func deadlineInQueue(w *world, is *is.I) {
-	w.gate.MaxInFlight = 2
+	w.admissionOptions.MaxInFlight = 2
 	w.startAll(1, 0, 1)
 	r := w.routers["router-0"]
 	var wait sync.WaitGroup
@@ -220,53 +220,53 @@
 		wait.Go(func() { w.chat(r, "accra-shops", fmt.Sprintf("long %d", i), 1500) })
 	}
 	time.Sleep(time.Second)
-	began := time.Now()
-	answer := w.call(r, "clinic", http.MethodPost, "/v1/chat/completions", map[string]string{"Capersaddle-Timeout": "20s"},
+	start := time.Now()
+	response := w.call(r, "clinic", http.MethodPost, "/v1/chat/completions", map[string]string{"Capersaddle-Timeout": "20s"},
 		`{"model":"volta-chat","messages":[{"role":"user","content":"short"}]}`)
-	w.say("caller", "a full engine: status %d (%s) after %v, come back after %s s", answer.Code, refusal(answer.Body.String()), time.Since(began), answer.Header().Get("Retry-After"))
-	is.True(time.Since(began) < 20*time.Second+time.Millisecond)
+	w.record("caller", "a full engine: status %d (%s) after %v, come back after %s s", response.Code, errorSummary(response.Body.String()), time.Since(start), response.Header().Get("Retry-After"))
+	is.True(time.Since(start) < 20*time.Second+time.Millisecond)
 	wait.Wait()
 	is.Equal(len(w.engines["engine-0"].Runs()), 2)
 }
 
-// cacheAfterStop stops an engine and tells which share of its chats found
-// their prefixes at their next homes.
-func cacheAfterStop(w *world, is *is.I) float64 {
+// cacheHitRateAfterStop stops an engine and returns the share of its chats that found their
+// prefix cached on the engine that took over.
+func cacheHitRateAfterStop(w *world, is *is.I) float64 {
 	w.startAll(4, 0, 2)
 	r := w.routers["router-0"]
 	const chats = 24
-	long := func(i int) string { return fmt.Sprintf("%d ", i) + strings.Repeat("shift log of the whole month ", 20) }
-	homes := make(map[int]streamed)
+	prompt := func(i int) string { return fmt.Sprintf("%d ", i) + strings.Repeat("shift log of the whole month ", 20) }
+	firstChats := make(map[int]chatResult)
 	for i := range chats {
-		homes[i] = w.chat(r, "clinic", long(i), 2)
-		w.settle()
+		firstChats[i] = w.chat(r, "clinic", prompt(i), 2)
+		w.waitForLoadUpdates()
 	}
-	stopped := homes[0].placement
-	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{set("mark/"+stopped, config.Mark{Leaving: true})}})
+	stopped := firstChats[0].placement
+	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{newChange("mark/"+stopped, config.Mark{Leaving: true})}})
 	is.NoErr(err)
 	time.Sleep(5 * time.Second)
 	moved, cached := 0, 0
 	for i := range chats {
-		if homes[i].placement != stopped {
+		if firstChats[i].placement != stopped {
 			continue
 		}
 		moved++
-		got := w.returning(w.routers["router-1"], "clinic", long(i), homes[i])
-		w.settle()
+		got := w.returnChat(w.routers["router-1"], "clinic", prompt(i), firstChats[i])
+		w.waitForLoadUpdates()
 		is.True(got.done)
 		is.True(got.placement != stopped)
 		if got.cached > 0 {
 			cached++
 		}
 	}
-	w.quietEngines()
-	w.say("engine", "%s is to stop; it handed the cache of %d chats on", stopped, w.agents["host-of-"+stopped].agent.CacheMoves())
-	w.say("caller", "its %d chats came back elsewhere, %d found their prefix", moved, cached)
+	w.dropEngineLines()
+	w.record("engine", "%s is to stop; it handed the cache of %d chats on", stopped, w.agents["host-of-"+stopped].agent.CacheMoves())
+	w.record("caller", "its %d chats came back elsewhere, %d found their prefix", moved, cached)
 	return float64(cached) / float64(moved)
 }
 
-// placements: agents give their engines the models that the operators placed,
-// without an election; engines that come and go cause few loads.
+// placements checks that agents load the models that operators placed onto their engines
+// without an election, and that engines that go and return cause few loads.
 func placements(w *world, is *is.I) {
 	for i := range 5 {
 		w.addManaged(fmt.Sprintf("engine-%d", i))
@@ -274,77 +274,78 @@
 	w.addRouter("router-0")
 	r := w.routers["router-0"]
 	w.configure("clinic")
-	place := func(id string, volta, tips int) {
+	placeModels := func(id string, volta, tips int) {
 		_, err := w.command(r, "ama", config.Command{ID: id, Changes: []config.Change{
-			set("placement/"+model, config.Placement{Replicas: volta}),
-			set("placement/tips-chat", config.Placement{Replicas: tips}),
+			newChange("placement/"+model, config.Placement{Replicas: volta}),
+			newChange("placement/tips-chat", config.Placement{Replicas: tips}),
 		}})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 	}
-	loads := func() int {
+	totalLoads := func() int {
 		sum := 0
 		for _, engine := range w.engines {
 			sum += engine.Loads()
 		}
 		return sum
 	}
-	// The order of loads within a second says nothing; what is held does.
-	show := func() {
-		w.quietEngines()
-		var held []string
+	// Only the resulting models are recorded, because the order of loads within a second is not
+	// significant.
+	recordHoldings := func() {
+		w.dropEngineLines()
+		var holdings []string
 		for _, peer := range r.members.Peers() {
 			for _, t := range peer.Targets {
-				held = append(held, fmt.Sprintf("%s holds %q", t.ID, t.Pool))
+				holdings = append(holdings, fmt.Sprintf("%s holds %q", t.ID, t.Pool))
 			}
 		}
-		w.say("operator", "%s; %d loads so far", strings.Join(held, ", "), loads())
+		w.record("operator", "%s; %d loads so far", strings.Join(holdings, ", "), totalLoads())
 	}
-	place("place-1", 3, 1)
-	is.Equal(loads(), 4)
-	show()
-	held := w.chat(r, "clinic", "served by a placed engine", 3)
-	w.say("caller", "a chat: %v", held)
-	is.True(held.done)
+	placeModels("place-1", 3, 1)
+	is.Equal(totalLoads(), 4)
+	recordHoldings()
+	chat := w.chat(r, "clinic", "served by a placed engine", 3)
+	w.record("caller", "a chat: %v", chat)
+	is.True(chat.done)
 
-	w.say("operator", "the host of %s dies", held.placement)
-	w.die(w.agents["host-of-"+held.placement])
+	w.record("operator", "the host of %s dies", chat.placement)
+	w.disconnect(w.agents["host-of-"+chat.placement])
 	time.Sleep(2 * time.Minute)
-	is.Equal(loads(), 5) // the idle engine stands in
-	show()
-	w.say("operator", "the host of %s is back", held.placement)
-	w.wake(w.agents["host-of-"+held.placement])
+	is.Equal(totalLoads(), 5) // the idle engine takes over
+	recordHoldings()
+	w.record("operator", "the host of %s is back", chat.placement)
+	w.reconnect(w.agents["host-of-"+chat.placement])
 	time.Sleep(2 * time.Minute)
-	is.Equal(loads(), 5) // and stays
-	show()
+	is.Equal(totalLoads(), 5) // the returned engine causes no further load
+	recordHoldings()
 
-	place("place-2", 1, 3)
-	show()
-	is.True(loads() <= 8)
-	is.Equal(w.weights.Refused(), 0) // the turns keep the weight store's rate
+	placeModels("place-2", 1, 3)
+	recordHoldings()
+	is.True(totalLoads() <= 8)
+	is.Equal(w.weights.Refused(), 0) // taking turns keeps within the weight store's rate
 	err := w.engines["engine-0"].Order(w.ctx, target.Order{Token: 1, Action: "unload", Model: model})
-	w.say("engine", "an order with an old token: %v", err)
+	w.record("engine", "an order with an old token: %v", err)
 	is.True(err != nil)
 }
 
-// laggingList: a router that hears nothing for 5 s still believes in a target
-// that was marked; the target's agent takes nothing new all the same.
-func laggingList(w *world, is *is.I) {
+// laggingRouter checks that a router without updates for 5 s still considers a marked target
+// usable, but that the target's agent rejects new requests anyway.
+func laggingRouter(w *world, is *is.I) {
 	w.startAll(3, 0, 2)
 	r, lagging := w.routers["router-0"], w.routers["router-1"]
-	before := w.chat(lagging, "clinic", "a chat with a home", 2)
-	lagging.setCut(true)
-	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{set("mark/"+before.placement, config.Mark{Leaving: true})}})
+	first := w.chat(lagging, "clinic", "a chat with a home", 2)
+	lagging.setDisconnected(true)
+	_, err := w.command(r, "ama", config.Command{ID: "stop", Changes: []config.Change{newChange("mark/"+first.placement, config.Mark{Leaving: true})}})
 	is.NoErr(err)
 	time.Sleep(2 * time.Second)
-	runs := len(w.engines[before.placement].Runs())
+	runs := len(w.engines[first.placement].Runs())
 	for range 6 {
-		got := w.returning(lagging, "clinic", "a chat with a home", before)
+		got := w.returnChat(lagging, "clinic", "a chat with a home", first)
 		is.True(got.done)
-		is.True(got.placement != before.placement)
+		is.True(got.placement != first.placement)
 		time.Sleep(500 * time.Millisecond)
 	}
-	is.Equal(len(w.engines[before.placement].Runs()), runs)
-	w.quietEngines()
-	w.say("caller", "6 chats through the lagging router, with tokens for %s: whole, from others", before.placement)
+	is.Equal(len(w.engines[first.placement].Runs()), runs)
+	w.dropEngineLines()
+	w.record("caller", "6 chats through the lagging router, with tokens for %s: whole, from others", first.placement)
 }
--- a/internal/session/world_test.go
+++ b/internal/session/world_test.go
@@ -38,17 +38,17 @@
 	service = "topup"
 )
 
-// line is one line of a session.
+// line is one line of the transcript.
 type line struct {
 	at    time.Duration
 	actor string
 	text  string
 }
 
-// world is one small system in virtual time.
+// world is a small system in virtual time.
 type world struct {
 	t        *testing.T
-	began    time.Time
+	start    time.Time
 	network  *link.Memory
 	store    *fakestore.Store
 	weights  *fakeweights.Weights
@@ -56,19 +56,19 @@
 	services map[string]*fakeservice.Server
 	agents   map[string]*process
 	routers  map[string]*process
-	// gate is what agents are started with.
-	gate  admission.Options
-	cache agent.CacheOptions
-	// keys counts the keys made.
-	keys uint32
-	// names gives short names to random ids, such as keys.
+	// admissionOptions and cacheOptions are passed to each agent at its start.
+	admissionOptions admission.Options
+	cacheOptions     agent.CacheOptions
+	// keyCount is the number of keys created so far.
+	keyCount uint32
+	// names maps random IDs, such as keys, to short names.
 	names map[string]string
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wait   sync.WaitGroup
 
-	holds []func()
+	releases []func()
 
 	mu    sync.Mutex
 	lines []line
@@ -85,48 +85,46 @@
 	handler  http.Handler
 	editor   *config.Editor
 	world    *world
-	// cut says that the host is cut off, or paused, or dead.
-	cut bool
-	// wrong is the error of its wall clock.
-	wrong  time.Duration
-	closed bool
+	// disconnected reports that the host is cut off, paused, or dead.
+	disconnected bool
+	// clockError is the error of the process's wall clock.
+	clockError time.Duration
+	closed     bool
 }
 
 func newWorld(t *testing.T) *world {
 	ctx, cancel := context.WithCancel(t.Context())
 	w := &world{
-		t:        t,
-		began:    time.Now(),
-		network:  link.NewMemory(),
-		store:    fakestore.New(),
-		weights:  fakeweights.New(2),
-		engines:  make(map[string]*fakeengine.Engine),
-		services: make(map[string]*fakeservice.Server),
-		agents:   make(map[string]*process),
-		routers:  make(map[string]*process),
-		names:    make(map[string]string),
-		gate:     admission.DefaultOptions(),
-		ctx:      ctx,
-		cancel:   cancel,
+		t:                t,
+		start:            time.Now(),
+		network:          link.NewMemory(),
+		store:            fakestore.New(),
+		weights:          fakeweights.New(2),
+		engines:          make(map[string]*fakeengine.Engine),
+		services:         make(map[string]*fakeservice.Server),
+		agents:           make(map[string]*process),
+		routers:          make(map[string]*process),
+		names:            make(map[string]string),
+		admissionOptions: admission.DefaultOptions(),
+		ctx:              ctx,
+		cancel:           cancel,
 	}
-	w.gate.Floor = 2
-	w.wait.Go(w.exchangeBeats)
+	w.admissionOptions.Floor = 2
+	w.wait.Go(w.exchangeHeartbeats)
 	return w
 }
 
-// say adds a line to the session.
-func (w *world) say(actor, format string, args ...any) {
+// record adds a line to the transcript.
+func (w *world) record(actor, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, name := range w.names {
 		text = strings.ReplaceAll(text, id, name)
 	}
-	w.lines = append(w.lines, line{at: time.Since(w.began), actor: actor, text: text})
+	w.lines = append(w.lines, line{at: time.Since(w.start), actor: actor, text: text})
 }
 
-// process plumbing
-
 func (w *world) newProcess(name, role string) *process {
 	p := &process{name: name, world: w, state: config.NewState()}
 	p.members = member.NewList(member.DefaultOptions(), &wire.Member{
@@ -138,15 +136,15 @@
 		Incarnation: uint64(time.Now().UnixMilli()),
 		Session:     uuid.NewString(),
 	})
-	p.follower = config.NewFollower(p.state, &hostStore{Store: w.store, process: p}, p, quiet())
+	p.follower = config.NewFollower(p.state, &hostStore{Store: w.store, process: p}, p, discardLog())
 	return p
 }
 
-func quiet() *log.Logger {
+func discardLog() *log.Logger {
 	return log.New(io.Discard)
 }
 
-// session of a process, as its members know it.
+// session returns the process's session ID in the member list.
 func (p *process) session() string {
 	for _, peer := range p.members.Peers() {
 		if peer.ID == p.name {
@@ -156,16 +154,16 @@
 	return ""
 }
 
-// Wall and Boot are the process's clocks.
+// Wall and Boot return the process's clocks.
 func (p *process) Wall() time.Time {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	return time.Now().Add(p.wrong)
+	return time.Now().Add(p.clockError)
 }
 
-func (p *process) Boot() time.Duration { return time.Since(p.world.began) }
+func (p *process) Boot() time.Duration { return time.Since(p.world.start) }
 
-// Ahead, Watcher and Pull make a process config.Peers.
+// Ahead, Watcher and Pull implement config.Peers.
 func (p *process) Ahead(revision uint64) (string, bool) { return p.members.Ahead(revision) }
 
 func (p *process) Watcher() bool { return p.members.Watcher() }
@@ -178,7 +176,7 @@
 	return reply.GetDelta(), nil
 }
 
-// handle serves what all roles share, then the role's own.
+// handle serves the requests that all roles have in common, then those of the process's role.
 func (p *process) handle(ctx context.Context, open *wire.Open, stream link.Stream) {
 	if pull := open.GetPull(); pull != nil {
 		_ = stream.Send(&wire.Reply{Kind: &wire.Reply_Delta{Delta: p.state.DeltaSince(pull.GetHave())}})
@@ -189,7 +187,7 @@
 	}
 }
 
-func (w *world) run(p *process) {
+func (w *world) startProcess(p *process) {
 	w.network.Serve(p.name, p.handle)
 	_ = p.follower.Start(w.ctx)
 	if p.agent != nil {
@@ -217,7 +215,7 @@
 	}
 }
 
-// addAgent starts an agent beside targets that exist already.
+// addAgent starts an agent for existing targets.
 func (w *world) addAgent(name string, targets ...agent.Target) *process {
 	p := w.newProcess(name, member.RoleAgent)
 	p.agent = agent.New(agent.Options{
@@ -225,56 +223,55 @@
 		Session:    p.session(),
 		DataCenter: "accra-1",
 		Targets:    targets,
-		Admission:  w.gate,
-		Cache:      w.cache,
+		Admission:  w.admissionOptions,
+		Cache:      w.cacheOptions,
 		Once:       once.DefaultOptions(),
 		Members:    p.members,
 		Config:     p.state,
 		Store:      &hostStore{Store: w.store, process: p},
 		Dialer:     w.network.From(name),
 		Clock:      p,
-		Log:        quiet(),
+		Log:        discardLog(),
 	})
 	w.mu.Lock()
 	w.agents[name] = p
 	w.mu.Unlock()
-	w.run(p)
+	w.startProcess(p)
 	return p
 }
 
-// addEngine makes an engine with an agent of its own.
+// addEngine adds an engine with an agent of its own.
 func (w *world) addEngine(id string) *fakeengine.Engine {
 	engine := fakeengine.New(fakeengine.Options{Name: id, Step: 20 * time.Millisecond, Log: func(text string) {
-		w.say("engine", "%s", w.shorten(text))
+		w.record("engine", "%s", w.stripRequestID(text))
 	}}, model)
 	w.engines[id] = engine
 	w.addAgent("host-of-"+id, agent.Target{ID: id, Pool: model, Engine: engine})
 	return engine
 }
 
-// addManaged makes an engine that holds nothing, with an agent that follows
-// the placements.
+// addManaged adds an engine without a model, with an agent that follows the placements.
 func (w *world) addManaged(id string) {
 	engine := fakeengine.New(fakeengine.Options{Name: id, Step: 20 * time.Millisecond, ChecksFence: true, Fetch: w.weights.Fetch, Log: func(text string) {
 		if !strings.Contains(text, " req-") {
-			w.say("engine", "%s", text)
+			w.record("engine", "%s", text)
 		}
 	}})
 	w.engines[id] = engine
 	w.addAgent("host-of-"+id, agent.Target{ID: id, Managed: true, Engine: engine})
 }
 
-// shorten takes random request ids out of a line.
-func (w *world) shorten(text string) string {
+// stripRequestID removes a random request ID and what follows it from a line.
+func (w *world) stripRequestID(text string) string {
 	if at := strings.Index(text, " req-"); at >= 0 {
 		return text[:at]
 	}
 	return text
 }
 
-// addService makes a server of the plain service with an agent of its own.
+// addService adds a server of the plain service with an agent of its own.
 func (w *world) addService(id string) *fakeservice.Server {
-	server := fakeservice.New(id, func(text string) { w.say("service", "%s", text) })
+	server := fakeservice.New(id, func(text string) { w.record("service", "%s", text) })
 	w.services[id] = server
 	w.addAgent("host-of-"+id, agent.Target{ID: id, Pool: service, Service: server})
 	return server
@@ -287,7 +284,7 @@
 		Members: p.members,
 		Config:  p.state,
 		Dialer:  w.network.From(name),
-		Log:     quiet(),
+		Log:     discardLog(),
 		Metrics: router.NoMetrics{},
 		Seed:    1,
 	})
@@ -296,34 +293,34 @@
 	w.mu.Lock()
 	w.routers[name] = p
 	w.mu.Unlock()
-	w.run(p)
+	w.startProcess(p)
 	return p
 }
 
-// beatOffset keeps beats away from the moments at which the processes' own
-// loops wake, so that it never hangs on chance who comes first.
-const beatOffset = 37 * time.Millisecond
+// heartbeatOffset keeps heartbeats apart from the times at which the processes' own loops wake,
+// so that their order is deterministic.
+const heartbeatOffset = 37 * time.Millisecond
 
-// exchangeBeats lets all processes that are not cut off hear each other.
-func (w *world) exchangeBeats() {
-	w.sleep(beatOffset)
+// exchangeHeartbeats delivers heartbeats between all processes that are not disconnected.
+func (w *world) exchangeHeartbeats() {
+	w.sleep(heartbeatOffset)
 	for w.sleep(500 * time.Millisecond) {
 		all := w.processes()
 		for _, from := range all {
 			from.members.Expire()
 			for _, to := range all {
-				if from != to && !from.isCut() && !to.isCut() {
-					beat := from.members.Compose(&wire.Beat{ConfigRevision: from.state.Revision()}, 1200)
-					to.members.Receive(beat)
+				if from != to && !from.isDisconnected() && !to.isDisconnected() {
+					heartbeat := from.members.Compose(&wire.Beat{ConfigRevision: from.state.Revision()}, 1200)
+					to.members.Receive(heartbeat)
 				}
 			}
 		}
 	}
 }
 
-// settle lets words on load pass, so that the next chat's place hangs on the
-// order of engines alone.
-func (w *world) settle() {
+// waitForLoadUpdates waits until load reports have spread, so that the placement of the next
+// chat depends on the rendezvous order of engines alone.
+func (w *world) waitForLoadUpdates() {
 	time.Sleep(3 * time.Second)
 }
 
@@ -353,76 +350,76 @@
 	}
 }
 
-// die cuts a host off from everything, as when it dies or is paused; the
-// others come to suspect it.
-func (w *world) die(p *process) {
+// disconnect cuts a host off from everything, as when it dies or is paused. The others start to
+// suspect it.
+func (w *world) disconnect(p *process) {
 	w.network.SetDown(p.name, true)
-	p.setCut(true)
+	p.setDisconnected(true)
 	for _, other := range w.processes() {
 		other.members.Suspect(p.name)
 	}
 }
 
-// wake connects a host again that was paused.
-func (w *world) wake(p *process) {
+// reconnect reconnects a host that was paused.
+func (w *world) reconnect(p *process) {
 	w.network.SetDown(p.name, false)
-	p.setCut(false)
+	p.setDisconnected(false)
 }
 
-func (p *process) isCut() bool {
+func (p *process) isDisconnected() bool {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	return p.cut
+	return p.disconnected
 }
 
-func (p *process) setCut(cut bool) {
+func (p *process) setDisconnected(disconnected bool) {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
-	p.cut = cut
+	p.disconnected = disconnected
 }
 
-// hostStore is the store as seen from one host.
+// hostStore is the store as seen by one host.
 type hostStore struct {
 	*fakestore.Store
 	process *process
 }
 
-// Get reads a value, unless the host is cut off.
+// Get reads a value, unless the host is disconnected.
 func (s *hostStore) Get(ctx context.Context, key string) (external.Value, error) {
-	if s.process.isCut() {
+	if s.process.isDisconnected() {
 		return external.Value{}, fakestore.ErrAway
 	}
 	return s.Store.Get(ctx, key)
 }
 
-// Put writes a value, unless the host is cut off.
+// Put writes a value, unless the host is disconnected.
 func (s *hostStore) Put(ctx context.Context, key string, data []byte, base uint64) (uint64, error) {
-	if s.process.isCut() {
+	if s.process.isDisconnected() {
 		return 0, fakestore.ErrAway
 	}
 	return s.Store.Put(ctx, key, data, base)
 }
 
-// Watch waits for a change, unless the host is cut off.
+// Watch waits for a change, unless the host is disconnected.
 func (s *hostStore) Watch(ctx context.Context, key string, known uint64) (external.Value, error) {
-	if s.process.isCut() {
+	if s.process.isDisconnected() {
 		return external.Value{}, fakestore.ErrAway
 	}
 	return s.Store.Watch(ctx, key, known)
 }
 
-// hold makes a channel that something waits on until it is released, at the
-// latest at the session's end.
-func (w *world) hold() (channel chan struct{}, release func()) {
+// newHold returns a channel to wait on and a function that closes it. The channel is closed at
+// the end of the session at the latest.
+func (w *world) newHold() (channel chan struct{}, release func()) {
 	channel = make(chan struct{})
 	release = sync.OnceFunc(func() { close(channel) })
-	w.holds = append(w.holds, release)
+	w.releases = append(w.releases, release)
 	return channel, release
 }
 
-// end closes everything.
-func (w *world) end() {
-	for _, release := range w.holds {
+// close stops everything.
+func (w *world) close() {
+	for _, release := range w.releases {
 		release()
 	}
 	w.cancel()
@@ -435,12 +432,12 @@
 	}
 	w.wait.Wait()
 	if w.t.Failed() {
-		w.t.Logf("the session so far:\n%s", w.text())
+		w.t.Logf("transcript so far:\n%s", w.transcript())
 	}
 }
 
-// text writes the session's lines in the order of time.
-func (w *world) text() string {
+// transcript returns the session's lines in order of time.
+func (w *world) transcript() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	slices.SortStableFunc(w.lines, func(a, b line) int {
@@ -453,9 +450,9 @@
 	return text.String()
 }
 
-// compare holds the session against its golden file.
-func (w *world) compare() {
-	got := w.text()
+// compareGolden compares the transcript with the session's golden file.
+func (w *world) compareGolden() {
+	got := w.transcript()
 	name := filepath.Join("testdata", strings.ReplaceAll(filepath.Base(w.t.Name()), "_", "-")+".golden")
 	if os.Getenv("UPDATE_GOLDEN") != "" {
 		is.New(w.t).NoErr(os.WriteFile(name, []byte(got), 0o600))
