--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,3 +1,3 @@
-// Package e2e runs the binary's processes for real: kills, freezes and cuts.
-// It has tests only.
+// Package e2e tests the binary's real processes, which it kills, freezes and disconnects. It
+// has tests only.
 package e2e
--- a/internal/e2e/processes_test.go
+++ b/internal/e2e/processes_test.go
@@ -26,8 +26,8 @@
 
 const (
 	apiKey = "e2e-key"
-	// patience bounds a hang; no check depends on speed.
-	patience = 90 * time.Second
+	// waitTimeout only detects a hang; no check depends on speed.
+	waitTimeout = 90 * time.Second
 )
 
 var (
@@ -36,7 +36,7 @@
 	buildErr  error
 )
 
-// build makes the binary once for all tests.
+// build builds the binary once for all tests.
 func build(t testing.TB) string {
 	buildOnce.Do(func() {
 		dir, err := os.MkdirTemp("", "capersaddle-e2e")
@@ -63,7 +63,7 @@
 	os.Exit(code)
 }
 
-// child is one process of the system under test.
+// child is a process of the system under test.
 type child struct {
 	t    testing.TB
 	cmd  *exec.Cmd
@@ -94,26 +94,26 @@
 
 // fixture is a small system of real processes on loopback.
 type fixture struct {
-	t      testing.TB
-	binary string
-	dir    string
-	store  string
-	agents map[string]*child
-	router map[string]*child
-	// address and operators are the routers'.
-	address   map[string]string
-	operators map[string]string
-	seed      string
-	urls      map[string]string
-	engines   map[string]*child
-	// admission are the agents' bounds.
+	t       testing.TB
+	binary  string
+	dir     string
+	store   string
+	agents  map[string]*child
+	routers map[string]*child
+	// callers and operators are the routers' addresses, by router ID.
+	callers    map[string]string
+	operators  map[string]string
+	seed       string
+	targetURLs map[string]string
+	engines    map[string]*child
+	// admission holds the agents' admission settings.
 	admission map[string]any
 }
 
-// ports are drawn by all tests of the package.
+// ports is shared by all tests of the package.
 var ports loopback.Ports
 
-// freePort gives an address that nobody else gets.
+// freePort returns an address that no other process uses.
 func (f *fixture) freePort() string {
 	address, err := ports.Address()
 	is.New(f.t).NoErr(err)
@@ -123,9 +123,9 @@
 func newFixture(t testing.TB) *fixture {
 	f := &fixture{
 		t: t, binary: build(t), dir: t.TempDir(),
-		agents: make(map[string]*child), router: make(map[string]*child),
-		address: make(map[string]string), operators: make(map[string]string),
-		urls: make(map[string]string), engines: make(map[string]*child), admission: make(map[string]any),
+		agents: make(map[string]*child), routers: make(map[string]*child),
+		callers: make(map[string]string), operators: make(map[string]string),
+		targetURLs: make(map[string]string), engines: make(map[string]*child), admission: make(map[string]any),
 	}
 	f.store = f.freePort()
 	f.start("fake", "store", "--listen", f.store)
@@ -133,17 +133,17 @@
 	return f
 }
 
-func (f *fixture) settings(role, id string, more map[string]any) string {
-	all := map[string]any{
+func (f *fixture) writeSettings(role, id string, extra map[string]any) string {
+	settings := map[string]any{
 		"role": role, "id": id, "data_center": "accra-1", "operators": f.freePort(),
 		"link": f.freePort(), "beat": f.freePort(), "seeds": []string{f.seed},
 		"store": "http://" + f.store, "log": map[string]any{"level": "info"},
 		"admission": f.admission, "cache": map[string]any{}, "once": map[string]any{}, "membership": map[string]any{},
 	}
-	for name, value := range more {
-		all[name] = value
+	for name, value := range extra {
+		settings[name] = value
 	}
-	data, _ := json.Marshal(all)
+	data, _ := json.Marshal(settings)
 	file := filepath.Join(f.dir, id+".json")
 	is.New(f.t).NoErr(os.WriteFile(file, data, 0o600))
 	return file
@@ -152,48 +152,48 @@
 func (f *fixture) addRouter(id string) {
 	address := f.freePort()
 	operators := f.freePort()
-	more := map[string]any{"callers": address, "operators": operators}
-	if len(f.router) == 0 {
-		more["beat"] = f.seed
+	extra := map[string]any{"callers": address, "operators": operators}
+	if len(f.routers) == 0 {
+		extra["beat"] = f.seed
 	}
-	f.router[id] = f.start("router", f.settings("router", id, more))
-	f.address[id], f.operators[id] = address, operators
+	f.routers[id] = f.start("router", f.writeSettings("router", id, extra))
+	f.callers[id], f.operators[id] = address, operators
 }
 
 func (f *fixture) addEngine(id string, flags ...string) {
 	address := f.freePort()
-	f.urls[id] = "http://" + address
+	f.targetURLs[id] = "http://" + address
 	f.engines[id] = f.start(append([]string{"fake", "engine", "--listen", address, "--name", id, "--model", "m"}, flags...)...)
 	f.addAgent(id, "engine", "m")
 }
 
 func (f *fixture) addService(id string) {
 	address := f.freePort()
-	f.urls[id] = "http://" + address
+	f.targetURLs[id] = "http://" + address
 	f.start("fake", "service", "--listen", address, "--name", id)
 	f.addAgent(id, "service", "topup")
 }
 
 func (f *fixture) addAgent(id, kind, pool string) {
-	targets := []map[string]any{{"id": id, "kind": kind, "pool": pool, "url": f.urls[id]}}
-	f.agents[id] = f.start("agent", f.settings("agent", "host-of-"+id, map[string]any{"targets": targets}))
+	targets := []map[string]any{{"id": id, "kind": kind, "pool": pool, "url": f.targetURLs[id]}}
+	f.agents[id] = f.start("agent", f.writeSettings("agent", "host-of-"+id, map[string]any{"targets": targets}))
 }
 
-// until waits for a condition; it fails the test when patience is out.
-func (f *fixture) until(what string, condition func() bool) {
+// waitUntil waits for a condition and fails the test after waitTimeout.
+func (f *fixture) waitUntil(what string, condition func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("never: %s", what)
+			f.t.Fatalf("timed out waiting: %s", what)
 		}
 		<-ticker.C
 	}
 }
 
-// configure sets the configuration through a router.
+// configure applies the configuration through a router.
 func (f *fixture) configure(id string) {
 	document := func(name string, value any) config.Change {
 		data, _ := json.Marshal(value)
@@ -204,7 +204,7 @@
 		document("model/m", config.Model{}),
 		document("service/topup", config.Service{NotRepeatable: []string{"/credit"}}),
 	}})
-	f.until("the first configuration is accepted", func() bool {
+	f.waitUntil("the first configuration is accepted", func() bool {
 		response, err := http.Post("http://"+f.operators[id]+"/operator/v1/command", "application/json", bytes.NewReader(command))
 		if err != nil {
 			return false
@@ -214,18 +214,18 @@
 	})
 }
 
-// reply is an HTTP answer; err tells that it was not whole.
-type reply struct {
+// httpResult is an HTTP response; err is set if it is incomplete.
+type httpResult struct {
 	status int
 	header http.Header
 	body   string
 	err    error
 }
 
-func (f *fixture) send(id, path string, header map[string]string, body string) reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (f *fixture) send(id, path string, header map[string]string, body string) httpResult {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.address[id]+path, strings.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.callers[id]+path, strings.NewReader(body))
 	is.New(f.t).NoErr(err)
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	for name, value := range header {
@@ -233,23 +233,23 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return reply{err: err}
+		return httpResult{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
+	return httpResult{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 }
 
-func (f *fixture) chat(id string, tokens int) reply {
+func (f *fixture) chat(id string, tokens int) httpResult {
 	return f.send(id, "/v1/chat/completions", nil, `{"model":"m","stream":true,"max_tokens":`+strconv.Itoa(tokens)+`,"messages":[{"role":"user","content":"hello"}]}`)
 }
 
-func (f *fixture) topUp(id, key string) reply {
+func (f *fixture) topUp(id, key string) httpResult {
 	return f.send(id, "/v1/services/topup/credit", map[string]string{"Idempotency-Key": key}, "{}")
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func whole(r reply, tokens int) bool {
+func isCompleteChat(r httpResult, tokens int) bool {
 	return r.err == nil && strings.Contains(r.body, "[DONE]") && strings.Count(r.body, `"content":`) >= tokens
 }
