--- a/internal/dev/story.go
+++ b/internal/dev/story.go
@@ -42,7 +42,7 @@
 	t := &storyRunner{stack: stack}
 	steps := []struct {
 		name string
-		play func(context.Context) (string, error)
+		run func(context.Context) (string, error)
 	}{
 		{"a streamed chat", t.streamedChat},
 		{"its return hits the prefix cache", t.returningChat},
@@ -57,7 +57,7 @@
 	for _, step := range steps {
 		stepCtx, cancel := context.WithTimeout(ctx, stepTimeout)
 		start := time.Now()
-		seen, err := step.play(stepCtx)
+		seen, err := step.run(stepCtx)
 		cancel()
 		if err != nil {
 			seen = err.Error()
--- a/internal/emulator/notice.go
+++ b/internal/emulator/notice.go
@@ -92,12 +92,12 @@
 }
 
 // String describes the violation.
-func (d IgnoredNotice) String() string {
-	request := "that it is leaving"
-	if !d.Notice.Leaving {
-		request = "to rest for " + d.Notice.RetryAfter + " s"
+func (n IgnoredNotice) String() string {
+	demand := "that it leaves"
+	if !n.Notice.Leaving {
+		demand = "to rest for " + n.Notice.RetryAfter + " s"
 	}
-	return fmt.Sprintf("%s told %s %s but got %d requests afterwards", d.Server, d.Gateway, request, len(d.Late))
+	return fmt.Sprintf("%s told %s %s, and got %d requests after that", n.Server, n.Gateway, demand, len(n.Late))
 }
 
 // IgnoredNotices returns the cases in which gateways did not act on the server's notices.
@@ -106,7 +106,7 @@
 func (s *Server) IgnoredNotices(gatewayOf func(request string) string) []IgnoredNotice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var found []IgnoredNotice
+	var ignored []IgnoredNotice
 	for _, sent := range s.sentNotices {
 		gateway := gatewayOf(sent.Request)
 		from, to, maxRequests := sent.limits()
@@ -120,10 +120,10 @@
 			}
 		}
 		if len(late) > maxRequests {
-			found = append(found, IgnoredNotice{Server: s.options.ID, Gateway: gateway, Notice: sent, Late: late})
+			ignored = append(ignored, IgnoredNotice{Server: s.options.ID, Gateway: gateway, Notice: sent, Late: late})
 		}
 	}
-	return found
+	return ignored
 }
 
 // farFuture is later than any event.
--- a/internal/emulator/operator.go
+++ b/internal/emulator/operator.go
@@ -49,12 +49,12 @@
 
 // Status reads the system's report on a service's rollout. It returns false if there is none.
 func (p *Platform) Status(service string) (Status, bool, error) {
-	found, ok := p.Store.Get("status/rollout/" + service)
+	item, ok := p.Store.Get("status/rollout/" + service)
 	if !ok {
 		return Status{}, false, nil
 	}
-	status := Status{Revision: found.Revision}
-	err := json.Unmarshal(found.Value, &status)
+	status := Status{Revision: item.Revision}
+	err := json.Unmarshal(item.Value, &status)
 	return status, err == nil, errors.Wrapf(err, "decode rollout status of %q", service)
 }
 
@@ -149,11 +149,11 @@
 func (p *Platform) serversOf(service string, matches func(version string) bool) []registeredServer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var found []registeredServer
+	var servers []registeredServer
 	for _, server := range p.servers {
 		if server.service == service && matches(server.options.Version) {
-			found = append(found, server)
+			servers = append(servers, server)
 		}
 	}
-	return found
+	return servers
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -157,8 +157,8 @@
 func (s *Store) Get(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found, ok := s.items[key]
-	return found, ok
+	item, ok := s.items[key]
+	return item, ok
 }
 
 // ApplyLateWrites applies the writes that were kept, each if its condition still holds, and
--- a/internal/emulator/store_calls.go
+++ b/internal/emulator/store_calls.go
@@ -12,7 +12,7 @@
 
 func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	found, ok := s.items[r.URL.Query().Get("private_key")]
+	item, ok := s.items[r.URL.Query().Get("private_key")]
 	at := s.revision
 	s.mu.Unlock()
 	if !ok {
@@ -22,7 +22,7 @@
 	reply(w, http.StatusOK, struct {
 		Item
 		At int64 `json:"at"`
-	}{found, at})
+	}{item, at})
 }
 
 // rangeResponse is one page of a range.
@@ -167,9 +167,9 @@
 	current := []Item{}
 	revisionsMatch := true
 	for _, expected := range body.Expected {
-		found := s.items[expected.Key]
-		current = append(current, Item{Key: expected.Key, Value: found.Value, Revision: found.Revision})
-		revisionsMatch = revisionsMatch && found.Revision == expected.Revision
+		item := s.items[expected.Key]
+		current = append(current, Item{Key: expected.Key, Value: item.Value, Revision: item.Revision})
+		revisionsMatch = revisionsMatch && item.Revision == expected.Revision
 	}
 	if !revisionsMatch {
 		return http.StatusPreconditionFailed, rangeResponse{Items: current, At: s.revision}
--- a/internal/soak/check_notices_test.go
+++ b/internal/soak/check_notices_test.go
@@ -36,20 +36,20 @@
 	for _, c := range h.calls {
 		calls[c.id] = c
 	}
-	var found []string
+	var violations []string
 	for _, notice := range h.notices {
 		receiver := calls[notice.Request]
 		if receiver.incarnation == "" {
 			continue // it is unknown which process received the notice
 		}
 		if notice.Leaving {
-			found = append(found, h.leavingViolations(notice, receiver, calls)...)
+			violations = append(violations, h.leavingViolations(notice, receiver, calls)...)
 		}
 		if rest, ok := parseRetryAfter(notice.RetryAfter); ok {
-			found = append(found, h.restViolations(notice, rest, receiver, calls)...)
+			violations = append(violations, h.restViolations(notice, rest, receiver, calls)...)
 		}
 	}
-	return found
+	return violations
 }
 
 // leavingViolations judges calls by the time at which callers sent them, because a proxy may
@@ -59,15 +59,15 @@
 	if !passedOn {
 		return nil
 	}
-	var found []string
+	var violations []string
 	for _, run := range h.runs {
 		c := calls[run.ID]
 		if serverIDOf(run) != notice.server || c.incarnation != receiver.incarnation || c.sentAt.Sub(receiver.endedAt) <= leavingGrace {
 			continue
 		}
-		found = append(found, fmt.Sprintf("leaving: %s reached %s, sent to %s %v after that gateway had relayed the leaving notice", c.id, notice.server, c.incarnation, c.sentAt.Sub(receiver.endedAt)))
+		violations = append(violations, fmt.Sprintf("leaving: %s reached %s, sent to %s %v after that gateway had relayed the leaving notice", c.id, notice.server, c.incarnation, c.sentAt.Sub(receiver.endedAt)))
 	}
-	return found
+	return violations
 }
 
 // restViolations ignores periods in which a proxy or a pause of the gateway may have held
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -131,7 +131,7 @@
 
 // callViolations compares each caller's result with what servers saw of the call.
 func (h *history) callViolations() []string {
-	var found []string
+	var violations []string
 	ran, arrived, byRevokedKey := make(map[string]int), make(map[string]int), make(map[string]bool)
 	for _, run := range h.runs {
 		arrived[run.ID]++
@@ -142,25 +142,25 @@
 	}
 	for _, c := range h.calls {
 		if strings.HasPrefix(c.path, "/pay/") && ran[c.id] > 1 {
-			found = append(found, fmt.Sprintf("at most once: %s ran %d times", c.id, ran[c.id]))
+			violations = append(violations, fmt.Sprintf("at most once: %s ran %d times", c.id, ran[c.id]))
 		}
 		if byRevokedKey[c.id] && h.sentAfterRevocation(c) {
-			found = append(found, fmt.Sprintf("revocation: %s ran, sent %v after its key was revoked", c.id, c.sentAt.Sub(h.revokedAt)))
+			violations = append(violations, fmt.Sprintf("revocation: %s ran, sent %v after its key was revoked", c.id, c.sentAt.Sub(h.revokedAt)))
 		}
 		if promisesNotRun(c.status) && ran[c.id] > 0 {
-			found = append(found, fmt.Sprintf("not run: %s was refused with %d and ran", c.id, c.status))
+			violations = append(violations, fmt.Sprintf("not run: %s was refused with %d and ran", c.id, c.status))
 		}
 		if c.err == nil && c.status == http.StatusOK && !c.isComplete() {
-			found = append(found, fmt.Sprintf("wrong answer: %s got %q by %q", c.id, c.body, c.stamp))
+			violations = append(violations, fmt.Sprintf("wrong answer: %s got %q by %q", c.id, c.body, c.stamp))
 		}
 		if ran[c.id] > maxAttempts {
-			found = append(found, fmt.Sprintf("attempts: %s ran %d times", c.id, ran[c.id]))
+			violations = append(violations, fmt.Sprintf("attempts: %s ran %d times", c.id, ran[c.id]))
 		}
 		if h.plannedOnly && c.wasCut(arrived[c.id] > 0) {
-			found = append(found, fmt.Sprintf("planned work: %s was cut: %v", c.id, c.err))
+			violations = append(violations, fmt.Sprintf("planned work: %s was cut: %v", c.id, c.err))
 		}
 	}
-	return found
+	return violations
 }
 
 // wasCut reports whether a call failed that should not have: one that was forwarded to a
@@ -200,7 +200,7 @@
 	}
 	runs := slices.Clone(h.runs)
 	slices.SortStableFunc(runs, func(a, b emulator.Run) int { return a.At.Compare(b.At) })
-	var found []string
+	var violations []string
 	// seen holds the versions that servers saw from each incarnation, with the time.
 	seen := make(map[string][]acceptedConfig)
 	for _, run := range runs {
@@ -211,15 +211,15 @@
 		}
 		for _, newer := range seen[c.incarnation] {
 			if newer.version > version && c.sentAt.Sub(newer.at) > configRevertTolerance {
-				found = append(found, fmt.Sprintf("config reverted: %s was handled with %d, sent %v after %s had used %d", c.id, version, c.sentAt.Sub(newer.at), c.incarnation, newer.version))
+				violations = append(violations, fmt.Sprintf("config reverted: %s was handled with %d, sent %v after %s had used %d", c.id, version, c.sentAt.Sub(newer.at), c.incarnation, newer.version))
 			}
 		}
 		seen[c.incarnation] = append(seen[c.incarnation], acceptedConfig{version: version, at: run.At})
 		if required := h.requiredVersion(c.sentAt); h.plannedOnly && version < required {
-			found = append(found, fmt.Sprintf("in force: %s was handled with %d, although %d had been accepted for %v", c.id, version, required, configDeadline))
+			violations = append(violations, fmt.Sprintf("in force: %s was handled with %d, although %d had been accepted for %v", c.id, version, required, configDeadline))
 		}
 	}
-	return found
+	return violations
 }
 
 // targetOf returns the ID of the server to which a gateway sent a run.
@@ -239,16 +239,16 @@
 	for _, c := range h.calls {
 		sentAt[c.id] = c.sentAt
 	}
-	var found []string
+	var violations []string
 	for _, run := range h.runs {
 		sent, known := sentAt[run.ID]
 		for _, evacuated := range h.evacuations {
 			if known && dataCenterOf(targetOf(run)) == evacuated.name && sent.Sub(evacuated.from) > entryDeadline && run.At.Before(evacuated.until) {
-				found = append(found, fmt.Sprintf("evacuation: %s reached %s, sent %v after its data centre was evacuated", run.ID, targetOf(run), sent.Sub(evacuated.from)))
+				violations = append(violations, fmt.Sprintf("evacuation: %s reached %s, sent %v after its data centre was evacuated", run.ID, targetOf(run), sent.Sub(evacuated.from)))
 			}
 		}
 	}
-	return found
+	return violations
 }
 
 // coldViolations checks, with planned work only, that no cold server got more requests than
@@ -257,7 +257,7 @@
 	if !h.plannedOnly {
 		return nil
 	}
-	var found []string
+	var violations []string
 	for _, cold := range h.coldPeriods {
 		var arrivals []time.Time
 		for _, run := range h.runs {
@@ -267,10 +267,10 @@
 		}
 		slices.SortFunc(arrivals, time.Time.Compare)
 		if count := maxWithin(arrivals, time.Second); float64(count) > coldMultiple*coldRate+coldExtra {
-			found = append(found, fmt.Sprintf("cold: %s got %d requests within a second", cold.name, count))
+			violations = append(violations, fmt.Sprintf("cold: %s got %d requests within a second", cold.name, count))
 		}
 	}
-	return found
+	return violations
 }
 
 // maxWithin returns the largest number of moments, which are sorted, within a window of the
--- a/internal/soak/check_trials_test.go
+++ b/internal/soak/check_trials_test.go
@@ -31,8 +31,8 @@
 // rolloutSummary describes how the rollouts ended and how many requests each version got.
 func (h *history) rolloutSummary() string {
 	var states []string
-	for _, found := range h.records {
-		states = append(states, fmt.Sprintf("%s %s", found.version, found.state))
+	for _, record := range h.records {
+		states = append(states, fmt.Sprintf("%s %s", record.version, record.state))
 	}
 	text := strings.Join(slices.Compact(states), ", ")
 	if len(h.orders) == 0 {
@@ -62,7 +62,7 @@
 // plus the slack. Further attempts of a request count towards the version's total, but not as
 // requests.
 func (h *history) exposureViolations() []string {
-	var found []string
+	var violations []string
 	for number, order := range h.orders {
 		if order.version == "" {
 			continue
@@ -79,12 +79,12 @@
 			}
 			exposed++
 			if float64(exposed) > trialShare*float64(len(requests))+trialSlack+maxUncounted {
-				found = append(found, fmt.Sprintf("exposure: %d of %d requests had reached %s %v after its order", exposed, len(requests), order.version, run.At.Sub(order.at)))
+				violations = append(violations, fmt.Sprintf("exposure: %d of %d requests had reached %s %v after its order", exposed, len(requests), order.version, run.At.Sub(order.at)))
 				break
 			}
 		}
 	}
-	return found
+	return violations
 }
 
 // endOf returns when an order ended, either by reaching a final state or through a later order.
@@ -115,7 +115,7 @@
 // refusals returns the refusals that the records show. Each ends with a new order for the
 // version.
 func (h *history) refusals() []refusal {
-	var found []refusal
+	var refusals []refusal
 	known := make(map[string]bool)
 	for _, record := range h.records {
 		for _, version := range h.refusedBy(record) {
@@ -124,13 +124,13 @@
 				continue
 			}
 			known[key] = true
-			found = append(found, refusal{
+			refusals = append(refusals, refusal{
 				service: record.service, version: version, from: record.at, until: h.nextOrderTime(record, version),
 				superseded: version != record.version,
 			})
 		}
 	}
-	return found
+	return refusals
 }
 
 // refusedBy returns the versions that must get no more requests according to a record: the
@@ -182,7 +182,7 @@
 	for _, c := range h.calls {
 		calls[c.id] = c
 	}
-	var found []string
+	var violations []string
 	for _, refused := range h.refusals() {
 		for _, run := range h.arrivalsAt(refused.service) {
 			c, known := calls[run.ID]
@@ -196,10 +196,10 @@
 			if refused.superseded && h.mayBeIsolated(c, refused.from) {
 				continue
 			}
-			found = append(found, fmt.Sprintf("refused: %s reached %s by %s, sent %v after the store had recorded the version as refused", c.id, targetOf(run), c.incarnation, late))
+			violations = append(violations, fmt.Sprintf("refused: %s reached %s by %s, sent %v after the store had recorded the version as refused", c.id, targetOf(run), c.incarnation, late))
 		}
 	}
-	return found
+	return violations
 }
 
 // mayBeIsolated reports whether the gateway of a call may have been isolated at any time
@@ -213,15 +213,15 @@
 // stateViolations checks that the end of an order is never revoked or changed, that no earlier
 // order comes back, and that statuses agree with records.
 func (h *history) stateViolations() []string {
-	var found []string
+	var violations []string
 	ends := make(map[int64]rolloutState)
 	newest := make(map[string]int64)
 	for _, record := range h.records {
 		if end, isEnded := ends[record.order]; isEnded {
-			found = append(found, fmt.Sprintf("state: order %d of %s was %s and then %s", record.order, record.version, end.state, record.state))
+			violations = append(violations, fmt.Sprintf("state: order %d of %s was %s and then %s", record.order, record.version, end.state, record.state))
 		}
 		if record.order < newest[record.service] {
-			found = append(found, fmt.Sprintf("state: order %d came back after %d", record.order, newest[record.service]))
+			violations = append(violations, fmt.Sprintf("state: order %d came back after %d", record.order, newest[record.service]))
 		}
 		newest[record.service] = max(newest[record.service], record.order)
 		if record.isFinal() {
@@ -229,15 +229,15 @@
 		}
 	}
 	if len(h.records) != len(h.statuses) {
-		return append(found, fmt.Sprintf("status: %d for %d records", len(h.statuses), len(h.records)))
+		return append(violations, fmt.Sprintf("status: %d for %d records", len(h.statuses), len(h.records)))
 	}
 	for number, record := range h.records {
 		status := h.statuses[number]
 		if status.service != record.service || status.version != record.version || status.state != record.state {
-			found = append(found, fmt.Sprintf("status: %s %s while the record says %s %s", status.version, status.state, record.version, record.state))
+			violations = append(violations, fmt.Sprintf("status: %s %s while the record says %s %s", status.version, status.state, record.version, record.state))
 		}
 	}
-	return found
+	return violations
 }
 
 // trialRuns returns the given number of arrivals at a target, spread over the second after a
--- a/internal/soak/trials_test.go
+++ b/internal/soak/trials_test.go
@@ -263,21 +263,21 @@
 	}
 }
 
-func (s *soak) addRecord(found rolloutState) {
+func (s *soak) addRecord(state rolloutState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.records = append(s.records, found)
+	s.records = append(s.records, state)
 }
 
-func (s *soak) addStatus(found rolloutState) {
+func (s *soak) addStatus(state rolloutState) {
 	s.mu.Lock()
-	s.statuses = append(s.statuses, found)
+	s.statuses = append(s.statuses, state)
 	s.mu.Unlock()
-	if found.state != emulator.StateCompleted {
+	if state.state != emulator.StateCompleted {
 		return
 	}
 	select {
-	case s.completed <- found.version:
+	case s.completed <- state.version:
 	default: // the checks report surplus completions
 	}
 }
