--- a/internal/dev/story.go
+++ b/internal/dev/story.go
@@ -42,7 +42,7 @@
 	t := &storyRunner{stack: stack}
 	steps := []struct {
 		name string
-		run func(context.Context) (string, error)
+		run  func(context.Context) (string, error)
 	}{
 		{"a streamed chat", t.streamedChat},
 		{"its return hits the prefix cache", t.returningChat},
