--- a/internal/process/quarantine_test.go
+++ b/internal/process/quarantine_test.go
@@ -455,7 +455,7 @@
 	c := f.startFatalCallers(t, "/ask/1", 1)
 	f.awaitStopped(t, "plain", 0)
 	c.stop()
-	f.platform.Mend()
+	f.platform.DisableCrashes()
 	url := "http://" + f.gateways[0].Addresses().Operators + process.PathQuarantine
 	response, err := http.Get(url)
 	is.NoErr(err)
--- a/internal/process/rest_test.go
+++ b/internal/process/rest_test.go
@@ -23,7 +23,7 @@
 // requestRest makes servers reject a share of their requests and ask for rest.
 func requestRest(retryAfter string, share float64, servers ...*emulator.Server) {
 	for _, server := range servers {
-		server.Say(emulator.Says{RetryAfter: retryAfter})
+		server.SetNotice(emulator.Notice{RetryAfter: retryAfter})
 		server.TurnBad(&emulator.Bad{Share: share, Fails: emulator.Shed})
 	}
 }
@@ -32,7 +32,7 @@
 func resume(servers ...*emulator.Server) {
 	for _, server := range servers {
 		server.TurnBad(nil)
-		server.Say(emulator.Says{})
+		server.SetNotice(emulator.Notice{})
 	}
 }
 
@@ -56,7 +56,7 @@
 			f.replaceGateway(t, 1)
 		}},
 		"one of them leaves meanwhile": {"2", 1, func(_ *testing.T, f *fleet) {
-			f.engines[0].Say(emulator.Says{Leaving: true, RetryAfter: "2"})
+			f.engines[0].SetNotice(emulator.Notice{Leaving: true, RetryAfter: "2"})
 		}},
 	}
 	for name, test := range cases {
@@ -121,7 +121,7 @@
 	runs := len(resting.Runs())
 	keepRunning(t, time.Second)
 	is.Equal(len(resting.Runs()), runs)
-	restarted, err := f.platform.BeginAgain(resting)
+	restarted, err := f.platform.Restart(resting)
 	is.NoErr(err)
 	eventually(t, "the restarted target gets requests", func() bool { return len(restarted.Runs()) > 0 })
 	c.stop()
--- a/internal/process/steady_callers_test.go
+++ b/internal/process/steady_callers_test.go
@@ -144,8 +144,8 @@
 	t.Helper()
 	notices := 0
 	for _, server := range servers {
-		notices += len(server.Said())
-		for _, violation := range server.Disregarded(gatewayInRequestID) {
+		notices += len(server.SentNotices())
+		for _, violation := range server.IgnoredNotices(gatewayInRequestID) {
 			t.Error(violation)
 		}
 	}
--- a/internal/process/target_leave_test.go
+++ b/internal/process/target_leave_test.go
@@ -71,7 +71,7 @@
 			keepRunning(t, 500*time.Millisecond)
 			leaving := []*emulator.Server{f.engines[0], f.engines[1], f.plain[0]}
 			for _, server := range leaving {
-				server.Say(emulator.Says{Leaving: true})
+				server.SetNotice(emulator.Notice{Leaving: true})
 			}
 			keepRunning(t, 300*time.Millisecond)
 			test.disrupt(t, f, leaving...)
@@ -91,7 +91,7 @@
 	c := f.startSteadyCallers(t)
 	keepRunning(t, 300*time.Millisecond)
 	for _, server := range f.plain {
-		server.Say(emulator.Says{Leaving: true})
+		server.SetNotice(emulator.Notice{Leaving: true})
 	}
 	keepRunning(t, 2500*time.Millisecond)
 	start := time.Now()
@@ -119,9 +119,9 @@
 	c := f.startSteadyCallers(t)
 	keepRunning(t, 300*time.Millisecond)
 	left := f.plain[0]
-	left.Say(emulator.Says{Leaving: true})
+	left.SetNotice(emulator.Notice{Leaving: true})
 	keepRunning(t, 2500*time.Millisecond)
-	restarted, err := f.platform.BeginAgain(left)
+	restarted, err := f.platform.Restart(left)
 	is.New(t).NoErr(err)
 	eventually(t, "the restarted target gets requests", func() bool { return len(restarted.Runs()) > 0 })
 	c.stop()
--- a/internal/process/target_restart_test.go
+++ b/internal/process/target_restart_test.go
@@ -69,7 +69,7 @@
 			return ask(gateway, fmt.Sprintf("next-%d", number)) && f.heldPromptCount(t, gateway) > before
 		})
 	}
-	restarted, err := f.platform.BeginAgain(target)
+	restarted, err := f.platform.Restart(target)
 	is.NoErr(err)
 	eventually(t, "both gateways know of the restart", func() bool {
 		return f.countLogLines(`"msg":"target_changed"`, `"target":"again"`) >= 2
--- a/pkg/cmd/dev/dev.go
+++ b/pkg/cmd/dev/dev.go
@@ -87,7 +87,7 @@
 
 // runStory runs the scenario and prints its results.
 func runStory(ctx context.Context, opts *DevOptions, stack *dev.Stack) error {
-	table := dev.Tell(ctx, stack)
+	table := dev.RunStory(ctx, stack)
 	if err := printTable(opts, table); err != nil {
 		return err
 	}
