--- a/internal/crashstore/saver_test.go
+++ b/internal/crashstore/saver_test.go
@@ -55,7 +55,7 @@
 }
 
 // crash records the crash of a target's incarnation during a request.
-func (w *fixture) crash(fingerprint quarantine.Fingerprint, incarnation quarantine.Instance) {
+func (w *fixture) crash(fingerprint quarantine.Fingerprint, incarnation quarantine.Incarnation) {
 	w.table.Crashed(fingerprint, incarnation, time.Now())
 }
 
@@ -63,7 +63,7 @@
 func (w *fixture) saved() map[quarantine.Fingerprint]int {
 	ends := make(map[quarantine.Fingerprint]int)
 	for _, record := range w.store.records {
-		ends[record.Fingerprint] = len(record.Instances)
+		ends[record.Fingerprint] = len(record.Incarnations)
 	}
 	return ends
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -320,8 +320,8 @@
 }
 
 // quarantineLife returns the identifier of an incarnation in quarantine records.
-func quarantineLife(incarnation string) quarantine.Instance {
-	return quarantine.Instance(policy.HashName(incarnation) >> 32)
+func quarantineLife(incarnation string) quarantine.Incarnation {
+	return quarantine.Incarnation(policy.HashName(incarnation) >> 32)
 }
 
 // probe probes the address of a target; c.mu must be held.
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -237,7 +237,7 @@
 
 // holdBack marks a request as held back, as other gateways found out.
 func holdBack(w *testGateway, subject quarantine.Subject) {
-	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Instances: []quarantine.Instance{1, 2, 3}}
+	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Incarnations: []quarantine.Incarnation{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
 
@@ -354,7 +354,7 @@
 		w := newTestGateway(lost, respond(200, "yes"))
 		prober := startCrashes(t, w)
 		prober.refuses.Store(true)
-		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Instances: []quarantine.Instance{1}}, time.Now())
+		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Incarnations: []quarantine.Incarnation{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
 		is.Equal(w.caller.status, http.StatusOK)
 		is.Equal(len(w.sender.sent), 2)
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -105,7 +105,7 @@
 		table := quarantine.New()
 		const fingerprint = 7
 		for incarnation := range quarantine.Limit {
-			table.Crashed(fingerprint, quarantine.Instance(incarnation), clock.Now())
+			table.Crashed(fingerprint, quarantine.Incarnation(incarnation), clock.Now())
 		}
 		is.True(table.Held(fingerprint, clock.Check()))
 		defer clock.Simulate(quarantine.FirstTerm)()
--- a/internal/observe/quarantine.go
+++ b/internal/observe/quarantine.go
@@ -8,7 +8,7 @@
 func (o *Observer) CrashNoted(target string, change quarantine.Change) {
 	o.metrics.crashes.Inc()
 	if change.Suspicious() {
-		o.log.Warn(EventCrash, "target", target, "print", change.Fingerprint, "ends", len(change.Instances))
+		o.log.Warn(EventCrash, "target", target, "print", change.Fingerprint, "ends", len(change.Incarnations))
 	}
 }
 
@@ -19,10 +19,10 @@
 	if change.HoldEnded() {
 		event = EventCleared
 	}
-	o.log.Warn(event, "print", change.Fingerprint, "ends", len(change.Instances), "before", change.Before, "peer", peer)
+	o.log.Warn(event, "print", change.Fingerprint, "ends", len(change.Incarnations), "before", change.Before, "peer", peer)
 }
 
 // TrialBegan logs that one copy of a request that is held back is sent to a target.
 func (o *Observer) TrialBegan(target string, change quarantine.Change) {
-	o.log.Warn(EventTrial, "target", target, "print", change.Fingerprint, "ends", len(change.Instances), "trial", change.Trials)
+	o.log.Warn(EventTrial, "target", target, "print", change.Fingerprint, "ends", len(change.Incarnations), "trial", change.Trials)
 }
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -122,7 +122,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b outgoingRecord) int {
-		return cmp.Or(cmp.Compare(len(b.record.Instances), len(a.record.Instances)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
+		return cmp.Or(cmp.Compare(len(b.record.Incarnations), len(a.record.Incarnations)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
 	})
 	return all
 }
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -24,7 +24,7 @@
 func (n *node) table() *quarantine.Table { return n.service.crashes.table }
 
 // recordCrash records at a gateway that an instance of a target crashed under a request.
-func (n *node) recordCrash(fingerprint quarantine.Fingerprint, instance quarantine.Instance) {
+func (n *node) recordCrash(fingerprint quarantine.Fingerprint, instance quarantine.Incarnation) {
 	if change := n.table().Crashed(fingerprint, instance, time.Now()); change.Changed {
 		n.service.Spread(change)
 	}
@@ -99,7 +99,7 @@
 			is := is.New(t)
 			nodes := gateways(t)
 			for i := range 3 {
-				nodes[i].recordCrash(fatal, quarantine.Instance(i))
+				nodes[i].recordCrash(fatal, quarantine.Incarnation(i))
 			}
 			nodes[3].recordCrash(fatal+1, 7) // another request that was in flight at one of the crashes
 			waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
@@ -114,7 +114,7 @@
 func TestClearReachesAllGateways(t *testing.T) {
 	nodes := newLargeFleet(t)
 	for instance := range 3 {
-		nodes[0].recordCrash(fatal, quarantine.Instance(instance))
+		nodes[0].recordCrash(fatal, quarantine.Incarnation(instance))
 	}
 	waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
 	nodes[largeFleet-1].service.Spread(nodes[largeFleet-1].table().Answered(fatal, time.Now()))
@@ -134,10 +134,10 @@
 	network := link.NewMemory()
 	nodes := newFleet(t, network, 4)
 	for i := range 3 {
-		nodes[i].recordCrash(fatal, quarantine.Instance(i))
+		nodes[i].recordCrash(fatal, quarantine.Incarnation(i))
 		waitFor(t, "another gateway has the record", func() bool {
 			for j, n := range nodes {
-				if records := n.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Instances) == i+1 {
+				if records := n.table().Records(time.Now()); j != i && len(records) == 1 && len(records[0].Incarnations) == i+1 {
 					return true
 				}
 			}
@@ -167,7 +167,7 @@
 func TestDigestMismatchSendsRecords(t *testing.T) {
 	nodes := newFleet(t, link.NewMemory(), 2)
 	for instance := range 3 {
-		nodes[0].table().Crashed(fatal, quarantine.Instance(instance), time.Now()) // nothing is sent
+		nodes[0].table().Crashed(fatal, quarantine.Incarnation(instance), time.Now()) // nothing is sent
 	}
 	waitFor(t, "the other gateway holds the request", func() bool { return allHold(nodes, fatal) })
 	nodes[1].table().Lift(fatal, time.Now()) // nothing is sent here either
@@ -190,7 +190,7 @@
 		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
 	for instance := range 3 {
-		change := nodes[0].table().Crashed(fatal, quarantine.Instance(instance), time.Now())
+		change := nodes[0].table().Crashed(fatal, quarantine.Incarnation(instance), time.Now())
 		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
 	is.True(len(service.crashes.pending) <= maxPending+1)
@@ -249,7 +249,7 @@
 			for request := range tc.records {
 				record := quarantine.Record{Fingerprint: quarantine.Fingerprint(1<<60 + request), Epoch: 1}
 				for instance := range tc.crashes {
-					record.Instances = append(record.Instances, quarantine.Instance(1<<30+instance))
+					record.Incarnations = append(record.Incarnations, quarantine.Incarnation(1<<30+instance))
 				}
 				heartbeat.CrashRecords = append(heartbeat.CrashRecords, record.Message())
 			}
@@ -323,7 +323,7 @@
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
 	for instance := range 3 {
-		first.table().Crashed(fatal, quarantine.Instance(instance), time.Now())
+		first.table().Crashed(fatal, quarantine.Incarnation(instance), time.Now())
 	}
 	got := listen(t, first).next(func(heartbeat *wire.GatewayBeat) bool { return len(heartbeat.GetCrashRecords()) > 0 })
 	is.Equal(got.GetId(), "node-0")
@@ -357,7 +357,7 @@
 	queue := newCrashQueue(quarantine.New(), budget)
 	sent := 0
 	for i := range 100_000 {
-		record := quarantine.Record{Fingerprint: quarantine.Fingerprint(i), Instances: []quarantine.Instance{1}}
+		record := quarantine.Record{Fingerprint: quarantine.Fingerprint(i), Incarnations: []quarantine.Incarnation{1}}
 		if queue.allowRepost(record, CrashKeepers) {
 			sent += CrashKeepers * proto.Size(record.Message())
 		}
--- a/internal/process/gateway_quarantine_http_test.go
+++ b/internal/process/gateway_quarantine_http_test.go
@@ -40,7 +40,7 @@
 			is := is.New(t)
 			table := quarantine.New()
 			if tc.held {
-				table.Merge(quarantine.Record{Fingerprint: fingerprint, Instances: []quarantine.Instance{1, 2, 3}}, clock.Now())
+				table.Merge(quarantine.Record{Fingerprint: fingerprint, Incarnations: []quarantine.Incarnation{1, 2, 3}}, clock.Now())
 			}
 			observer := observe.New(NewLogger(discard{}, settings.Log{}), observe.NewMetrics(prometheus.NewRegistry()))
 			crashes := gateway.NewCrashes(table, balance.New(balance.DefaultOptions()), nil, observer)
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -11,9 +11,9 @@
 func (r Record) Message() *wire.CrashRecord {
 	message := &wire.CrashRecord{
 		Print: uint64(r.Fingerprint), Epoch: r.Epoch,
-		Trial: r.Trials, UnrunTrials: r.UnrunTrials, TrialLife: uint32(r.TrialInstance),
+		Trial: r.Trials, UnrunTrials: r.UnrunTrials, TrialLife: uint32(r.TrialIncarnation),
 	}
-	for _, instance := range r.Instances {
+	for _, instance := range r.Incarnations {
 		message.Lives = append(message.Lives, uint32(instance))
 	}
 	return message
@@ -23,10 +23,10 @@
 func RecordOf(message *wire.CrashRecord) Record {
 	record := Record{
 		Fingerprint: Fingerprint(message.GetPrint()), Epoch: message.GetEpoch(),
-		Trials: message.GetTrial(), UnrunTrials: message.GetUnrunTrials(), TrialInstance: Instance(message.GetTrialLife()),
+		Trials: message.GetTrial(), UnrunTrials: message.GetUnrunTrials(), TrialIncarnation: Incarnation(message.GetTrialLife()),
 	}
 	for _, instance := range message.GetLives() {
-		record.Instances = append(record.Instances, Instance(instance))
+		record.Incarnations = append(record.Incarnations, Incarnation(instance))
 	}
 	return record.Normal()
 }
--- a/internal/quarantine/message_test.go
+++ b/internal/quarantine/message_test.go
@@ -26,7 +26,7 @@
 
 // FuzzDecode checks that arbitrary bytes give an error or records in their normal form.
 func FuzzDecode(f *testing.F) {
-	data, err := quarantine.Encode([]quarantine.Record{{Fingerprint: 7, Epoch: 1, Instances: []quarantine.Instance{3, 4}}})
+	data, err := quarantine.Encode([]quarantine.Record{{Fingerprint: 7, Epoch: 1, Incarnations: []quarantine.Incarnation{3, 4}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,13 +12,13 @@
 	// there had seen 2 crashes, and none 3; where it had crashed 13 targets, 18 of 104 had seen 2,
 	// and 4 had seen 3.
 	Limit = 3
-	// maxInstances limits the distinct crashes that are recorded for one request. With that many,
+	// maxIncarnations limits the distinct crashes that are recorded for one request. With that many,
 	// its term reached MaxTerm long before.
-	maxInstances = 16
+	maxIncarnations = 16
 )
 
 // Instance identifies a crashed instance of a target: the upper half of the hash of its name.
-type Instance uint32
+type Incarnation uint32
 
 // Record is the crash record of one request. Records of the same request from several gateways
 // merge into one; the order and repetition of merges don't matter.
@@ -28,23 +28,23 @@
 	// wins.
 	Epoch uint32
 	// Instances are the instances that have crashed under the request since it was last cleared,
-	// sorted, without duplicates, at most maxInstances.
-	Instances []Instance
+	// sorted, without duplicates, at most maxIncarnations.
+	Incarnations []Incarnation
 	// Trials counts the trials that have started since the request was last cleared, and
-	// UnrunTrials those that no target ran. TrialInstance is the instance that runs or ran the last
+	// UnrunTrials those that no target ran. TrialIncarnation is the instance that runs or ran the last
 	// trial; zero if none did.
 	Trials, UnrunTrials uint32
-	TrialInstance       Instance
+	TrialIncarnation       Incarnation
 }
 
 // atLimit reports whether the request has enough crashes to be held, at least for a while.
 func (r Record) atLimit() bool {
-	return len(r.Instances) >= Limit
+	return len(r.Incarnations) >= Limit
 }
 
 // Suspicious reports whether the request was in flight at more than one crash.
 func (r Record) Suspicious() bool {
-	return len(r.Instances) >= Limit-1
+	return len(r.Incarnations) >= Limit-1
 }
 
 // join merges two records of the same request.
@@ -55,21 +55,21 @@
 		}
 		return r
 	}
-	r.Instances = append(slices.Clone(r.Instances), other.Instances...)
-	if cmp.Or(cmp.Compare(other.Trials, r.Trials), cmp.Compare(other.UnrunTrials, r.UnrunTrials), cmp.Compare(other.TrialInstance, r.TrialInstance)) > 0 {
-		r.Trials, r.UnrunTrials, r.TrialInstance = other.Trials, other.UnrunTrials, other.TrialInstance
+	r.Incarnations = append(slices.Clone(r.Incarnations), other.Incarnations...)
+	if cmp.Or(cmp.Compare(other.Trials, r.Trials), cmp.Compare(other.UnrunTrials, r.UnrunTrials), cmp.Compare(other.TrialIncarnation, r.TrialIncarnation)) > 0 {
+		r.Trials, r.UnrunTrials, r.TrialIncarnation = other.Trials, other.UnrunTrials, other.TrialIncarnation
 	}
 	return r.Normal()
 }
 
 // Normal returns the record in the form that its fields' comments describe, whatever its origin.
 func (r Record) Normal() Record {
-	instances := slices.Clone(r.Instances)
+	instances := slices.Clone(r.Incarnations)
 	slices.Sort(instances)
 	instances = slices.Compact(instances)
-	r.Instances = instances[:min(len(instances), maxInstances)]
+	r.Incarnations = instances[:min(len(instances), maxIncarnations)]
 	if r.UnrunTrials = min(r.UnrunTrials, r.Trials); r.Trials == r.UnrunTrials {
-		r.TrialInstance = 0
+		r.TrialIncarnation = 0
 	}
 	return r
 }
@@ -77,8 +77,8 @@
 // Equal reports whether two records are the same.
 func (r Record) Equal(other Record) bool {
 	same := r.Fingerprint == other.Fingerprint && r.Epoch == other.Epoch
-	sameTrial := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialInstance == other.TrialInstance
-	return same && sameTrial && slices.Equal(r.Instances, other.Instances)
+	sameTrial := r.Trials == other.Trials && r.UnrunTrials == other.UnrunTrials && r.TrialIncarnation == other.TrialIncarnation
+	return same && sameTrial && slices.Equal(r.Incarnations, other.Incarnations)
 }
 
 // Change describes the effect of an update on a request's record.
@@ -117,7 +117,7 @@
 	}
 	const prime = 0x9e3779b97f4a7c15
 	hash := uint64(r.Fingerprint) ^ uint64(r.Epoch)*prime ^ uint64(r.Trials)<<32 ^ uint64(r.UnrunTrials)
-	for _, instance := range append(slices.Clone(r.Instances), r.TrialInstance) {
+	for _, instance := range append(slices.Clone(r.Incarnations), r.TrialIncarnation) {
 		hash = (hash ^ uint64(instance)) * prime
 		hash ^= hash >> 29
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -48,7 +48,7 @@
 // term returns how long the request is held.
 func (e *entry) term() time.Duration {
 	term := FirstTerm
-	for range len(e.Instances) - Limit {
+	for range len(e.Incarnations) - Limit {
 		term = min(termGrowth*term, MaxTerm)
 	}
 	return term
@@ -63,7 +63,7 @@
 func (e *entry) expired(now time.Time) bool {
 	ttl := suspectTTL
 	switch {
-	case len(e.Instances) == 0:
+	case len(e.Incarnations) == 0:
 		ttl = clearedTTL
 	case e.atLimit():
 		// After the term the request is on probation for the same time again, or at least for an
@@ -101,13 +101,13 @@
 // If this process has just received an answer to the same request from another target, as happens
 // to requests that many callers send alike, the answer excuses one crash. A request that crashes
 // every target that runs it is never answered.
-func (t *Table) Crashed(fingerprint Fingerprint, instance Instance, now time.Time) Change {
+func (t *Table) Crashed(fingerprint Fingerprint, instance Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.consumeAnswer(fingerprint, now) {
 		return Change{}
 	}
-	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Instances: []Instance{instance}}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Incarnations: []Incarnation{instance}}, now)
 }
 
 // consumeAnswer reports whether the request was fully answered here within answeredTTL. One answer
@@ -138,7 +138,7 @@
 // clear clears a request if any crashes are recorded for it. The caller holds t.mu.
 func (t *Table) clear(fingerprint Fingerprint, now time.Time) Change {
 	e, ok := t.entries[fingerprint]
-	if !ok || len(e.Instances) == 0 {
+	if !ok || len(e.Incarnations) == 0 {
 		return Change{}
 	}
 	return t.apply(Record{Fingerprint: fingerprint, Epoch: e.Epoch + 1}, now)
@@ -153,7 +153,7 @@
 	e, ok := t.entries[other.Fingerprint]
 	before := 0
 	if ok {
-		before = len(e.Instances)
+		before = len(e.Incarnations)
 	}
 	change := t.apply(other, now)
 	if !change.Changed || !change.Suspicious() || !t.consumeAnswer(other.Fingerprint, now) {
@@ -186,7 +186,7 @@
 		e = &entry{Record: Record{Fingerprint: other.Fingerprint}}
 	}
 	joined := e.join(other)
-	change := Change{Record: joined, Before: len(e.Instances), Changed: !joined.Equal(e.Record), NewToSender: !joined.Equal(other)}
+	change := Change{Record: joined, Before: len(e.Incarnations), Changed: !joined.Equal(e.Record), NewToSender: !joined.Equal(other)}
 	if !change.Changed {
 		return change
 	}
@@ -223,7 +223,7 @@
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Instances), len(b.Instances)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(len(a.Incarnations), len(b.Incarnations)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	for _, e := range all[:len(all)/share] {
 		t.remove(e)
@@ -293,12 +293,12 @@
 	t.expire(now)
 	records := make([]Record, 0, len(t.entries))
 	for _, e := range t.entries {
-		if len(e.Instances) >= minCrashes {
+		if len(e.Incarnations) >= minCrashes {
 			records = append(records, e.Record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(len(b.Instances), len(a.Instances)), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(len(b.Incarnations), len(a.Incarnations)), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return records
 }
@@ -326,7 +326,7 @@
 	var cases []HeldRequest
 	for _, e := range t.entries {
 		if e.isHeld(now) {
-			cases = append(cases, HeldRequest{Fingerprint: e.Fingerprint, Crashes: len(e.Instances), Remaining: e.term() - now.Sub(e.changedAt)})
+			cases = append(cases, HeldRequest{Fingerprint: e.Fingerprint, Crashes: len(e.Incarnations), Remaining: e.term() - now.Sub(e.changedAt)})
 		}
 	}
 	slices.SortFunc(cases, func(a, b HeldRequest) int {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,7 +17,7 @@
 func crash(table *quarantine.Table, fingerprint quarantine.Fingerprint, from, count int, now time.Time) quarantine.Change {
 	var change quarantine.Change
 	for instance := range count {
-		change = table.Crashed(fingerprint, quarantine.Instance(from+instance), now)
+		change = table.Crashed(fingerprint, quarantine.Incarnation(from+instance), now)
 	}
 	return change
 }
@@ -79,7 +79,7 @@
 					continue
 				}
 				crashes++
-				table.Crashed(testFingerprint, quarantine.Instance(crashes), now)
+				table.Crashed(testFingerprint, quarantine.Incarnation(crashes), now)
 			}
 			is.True(crashes <= quarantine.Limit+maxLater)
 		})
@@ -195,7 +195,7 @@
 			request := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "request"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				sent = append(sent, table.Crashed(request, quarantine.Instance(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
+				sent = append(sent, table.Crashed(request, quarantine.Incarnation(rapid.IntRange(1, 30).Draw(t, "life")), now).Record)
 			case 2:
 				sent = append(sent, table.Lift(request, now).Record)
 			case 3:
@@ -262,7 +262,7 @@
 		message.Epoch = rapid.Uint32().Draw(t, "epoch")
 		message.Lives = rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 60).Draw(t, "lives")
 		record := quarantine.RecordOf(message)
-		if len(record.Instances) > 16 || !slices.IsSorted(record.Instances) || len(slices.Compact(slices.Clone(record.Instances))) != len(record.Instances) {
+		if len(record.Incarnations) > 16 || !slices.IsSorted(record.Incarnations) || len(slices.Compact(slices.Clone(record.Incarnations))) != len(record.Incarnations) {
 			t.Fatalf("%v", record)
 		}
 		if again := quarantine.RecordOf(record.Message()); !again.Equal(record) {
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -83,7 +83,7 @@
 
 // StartTrial starts a trial at an instance of a target if MayStartTrial holds. The caller has to
 // announce it to the other gateways before the trial ends.
-func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Instance, now time.Time) (Change, bool) {
+func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Incarnation, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
@@ -92,22 +92,22 @@
 	}
 	updated := e.Record
 	updated.Trials++
-	updated.TrialInstance = instance
+	updated.TrialIncarnation = instance
 	return t.apply(updated, now), true
 }
 
 // TrialNotRun records that no target ran the trial that started at an instance, so that another
 // one may start.
-func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Instance, now time.Time) Change {
+func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
-	if !ok || e.TrialInstance != instance || instance == 0 {
+	if !ok || e.TrialIncarnation != instance || instance == 0 {
 		return Change{}
 	}
 	updated := e.Record
 	updated.UnrunTrials++
-	updated.TrialInstance = 0
+	updated.TrialIncarnation = 0
 	return t.apply(updated, now)
 }
 
@@ -116,7 +116,7 @@
 	if !e.isHeld(now) || e.Trials-e.UnrunTrials >= MaxTrials {
 		return false
 	}
-	if e.TrialInstance != 0 && !e.trialCrashed() && now.Sub(e.changedAt) < trialTimeout {
+	if e.TrialIncarnation != 0 && !e.trialCrashed() && now.Sub(e.changedAt) < trialTimeout {
 		return false
 	}
 	blame := t.blame(e)
@@ -162,7 +162,7 @@
 // blame compares a request with all others. The caller holds t.mu.
 func (t *Table) blame(e *entry) blame {
 	result := blame{changedAt: e.changedAt}
-	unexplained, uncovered := slices.Clone(e.Instances), slices.Clone(e.Instances)
+	unexplained, uncovered := slices.Clone(e.Incarnations), slices.Clone(e.Incarnations)
 	for _, other := range t.entries {
 		if other == e || !other.sharesCrash(e) {
 			continue
@@ -170,7 +170,7 @@
 		if other.changedAt.After(result.changedAt) {
 			result.changedAt = other.changedAt
 		}
-		crashedWith := func(instance Instance) bool { return slices.Contains(other.Instances, instance) }
+		crashedWith := func(instance Incarnation) bool { return slices.Contains(other.Incarnations, instance) }
 		if other.Suspicious() {
 			uncovered = slices.DeleteFunc(uncovered, crashedWith)
 		}
@@ -179,7 +179,7 @@
 		}
 	}
 	result.explained, result.covered = len(unexplained) <= maxUnexplained, len(uncovered) == 0
-	if e.trialCrashed() && slices.Contains(unexplained, e.TrialInstance) {
+	if e.trialCrashed() && slices.Contains(unexplained, e.TrialIncarnation) {
 		result.explained = false
 	}
 	return result
@@ -187,19 +187,19 @@
 
 // trialCrashed reports whether the target of the last trial crashed.
 func (r Record) trialCrashed() bool {
-	return r.TrialInstance != 0 && slices.Contains(r.Instances, r.TrialInstance)
+	return r.TrialIncarnation != 0 && slices.Contains(r.Incarnations, r.TrialIncarnation)
 }
 
 // sharesCrash reports whether two requests were in flight at the same crash.
 func (r Record) sharesCrash(other *entry) bool {
-	return slices.ContainsFunc(r.Instances, func(instance Instance) bool { return slices.Contains(other.Instances, instance) })
+	return slices.ContainsFunc(r.Incarnations, func(instance Incarnation) bool { return slices.Contains(other.Incarnations, instance) })
 }
 
 // triedBefore reports whether a request is tried before another: the one with the most crashes
 // comes first.
 func (r Record) triedBefore(other *entry) bool {
-	if len(r.Instances) != len(other.Instances) {
-		return len(r.Instances) > len(other.Instances)
+	if len(r.Incarnations) != len(other.Incarnations) {
+		return len(r.Incarnations) > len(other.Incarnations)
 	}
 	return r.Fingerprint < other.Fingerprint
 }
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -201,7 +201,7 @@
 	table := twoFatalAndShared(now)
 	for trial := range quarantine.MaxTrials {
 		now = now.Add(time.Minute)
-		_, started := table.StartTrial(shared, 0, quarantine.Instance(90+trial), now)
+		_, started := table.StartTrial(shared, 0, quarantine.Incarnation(90+trial), now)
 		is.True(started)
 	}
 	_, started := table.StartTrial(shared, 0, 80, now.Add(time.Minute))
@@ -239,7 +239,7 @@
 		for i := range tables {
 			tables[i] = quarantine.New()
 		}
-		instance := quarantine.Instance(0)
+		instance := quarantine.Incarnation(0)
 		trials := make(map[quarantine.Fingerprint]int)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
