--- a/internal/admission/rest.go
+++ b/internal/admission/rest.go
@@ -29,7 +29,7 @@
 func (r *rest) needsProbe() bool { return !r.until.IsZero() }
 
 // Rest makes the gate refuse everything for the given time, unless it already does so for longer.
-func (g *Gate) Rest(length time.Duration) {
+func (g *Gate) BackOff(length time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	until := clock.Check().Add(length)
--- a/internal/admission/rest_test.go
+++ b/internal/admission/rest_test.go
@@ -29,9 +29,9 @@
 			waiting <- refusal
 		}()
 		synctest.Wait()
-		g.Rest(3 * time.Second)
+		g.BackOff(3 * time.Second)
 		is.Equal((<-waiting).RetryAfter, 3*time.Second)
-		g.Rest(time.Second) // the longest rest applies
+		g.BackOff(time.Second) // the longest rest applies
 		g.Answered()        // an answer to an earlier request doesn't end the rest
 		before[0].Release()
 		time.Sleep(2 * time.Second)
@@ -67,7 +67,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
-		g.Rest(time.Second)
+		g.BackOff(time.Second)
 		time.Sleep(time.Second)
 		for range 3 {
 			probe, refusal := g.Admit(t.Context(), Ticket{})
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -14,7 +14,7 @@
 func (p *place) heedRest(rest time.Duration, err error) {
 	switch {
 	case rest > 0:
-		p.gate.Rest(rest)
+		p.gate.BackOff(rest)
 	case err == nil:
 		p.gate.Answered()
 	}
