--- a/internal/admission/rest_test.go
+++ b/internal/admission/backoff_test.go
@@ -11,9 +11,9 @@
 	"github.com/capersaddle/capersaddle/internal/fault"
 )
 
-// During a rest the gate refuses new and queued requests, with the time that remains. After it one
-// request probes the target, and the other queued ones wait for its answer.
-func TestRestRefusesThenProbes(t *testing.T) {
+// During a backoff the gate refuses new and queued requests, with the time that remains. After it
+// one request probes the target, and the other queued ones wait for its answer.
+func TestBackoffRefusesThenProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		g := NewGate(DefaultOptions())
@@ -31,8 +31,8 @@
 		synctest.Wait()
 		g.BackOff(3 * time.Second)
 		is.Equal((<-waiting).RetryAfter, 3*time.Second)
-		g.BackOff(time.Second) // the longest rest applies
-		g.Answered()        // an answer to an earlier request doesn't end the rest
+		g.BackOff(time.Second) // the longest backoff applies
+		g.Answered()           // an answer to an earlier request doesn't end the backoff
 		before[0].Release()
 		time.Sleep(2 * time.Second)
 		_, refusal := g.Admit(t.Context(), Ticket{Wait: true})
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -82,7 +82,7 @@
 	mean    float64
 	meanAt  time.Time
 	leaving bool
-	rest    rest
+	backoff backoff
 	queues  *queues
 	// releaseInterval is the smoothed time between two releases.
 	releaseInterval time.Duration
@@ -132,7 +132,7 @@
 }
 
 func (g *Gate) hasRoom() bool {
-	if g.rest.probing {
+	if g.backoff.probing {
 		return false
 	}
 	return g.inFlight+g.foreign < g.currentLimit()
@@ -149,8 +149,8 @@
 // admitOne admits one request; g.mu is held.
 func (g *Gate) admitOne() *Place {
 	g.inFlight++
-	g.rest.probing = g.rest.needsProbe()
-	return &Place{gate: g, probe: g.rest.probing}
+	g.backoff.probing = g.backoff.needsProbe()
+	return &Place{gate: g, probe: g.backoff.probing}
 }
 
 // Admit admits a request, waiting for a free place if the ticket allows it. A refusal means that
@@ -161,9 +161,9 @@
 		g.mu.Unlock()
 		return nil, errLeaving()
 	}
-	if remaining := g.rest.remaining(); remaining > 0 {
+	if remaining := g.backoff.remaining(); remaining > 0 {
 		g.mu.Unlock()
-		return nil, errResting(remaining)
+		return nil, errBackingOff(remaining)
 	}
 	if g.hasRoom() && g.queues.len() == 0 {
 		defer g.mu.Unlock()
@@ -245,7 +245,7 @@
 		defer g.mu.Unlock()
 		g.inFlight--
 		if p.probe {
-			g.rest.probing = false
+			g.backoff.probing = false
 		}
 		g.updateReleaseInterval()
 		g.admitWaiting()
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -228,8 +228,8 @@
 	return time.Duration(float64(ahead+1) / l.admissionRate(now) * float64(time.Second))
 }
 
-// maxRetryFraction is the largest part of a caller's remaining time after which it is asked to
-// retry; a caller asked to wait longer comes back by itself.
+// maxRetryFraction limits the time after which a caller is asked to retry, as a part of its
+// remaining time. A caller that is asked to wait longer retries sooner by itself.
 const maxRetryFraction = 1.0 / 3
 
 // spareRate returns the part of the admission rate that is available to callers that retry. It is
--- a/internal/balance/announcement.go
+++ b/internal/balance/announcement.go
@@ -28,7 +28,7 @@
 // NoticeChange is the part of a notice that was not known yet.
 type NoticeChange struct {
 	Leaving bool
-	// BackingOff reports whether the target requested a new back-off, or one so much longer that
+	// BackingOff reports whether the target requested a new backoff, or one so much longer that
 	// it is worth reporting.
 	BackingOff bool
 	Unreadable bool
--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -11,9 +11,9 @@
 // part of the load when it is asked, so that the load changes as gradually as the target asks,
 // and gateways exchange no messages about it.
 //
-// After the back-off one request probes the target. Others follow only when it is answered
-// without a new back-off. A target that keeps backing off thus costs a gateway one request at
-// a time, and the requests that many gateways held back do not arrive all at once.
+// After the backoff one request probes the target. Others follow only when it is answered
+// without a new backoff. A target that keeps backing off thus costs a gateway one request at
+// a time, and the requests that many gateways withheld do not arrive all at once.
 
 const (
 	// probeTimeout is how long a probe without an answer blocks other requests.
@@ -22,14 +22,14 @@
 	// at the same time; maxProbeOffset limits the total for all gateways.
 	probeInterval  = 5 * time.Millisecond
 	maxProbeOffset = 2 * time.Second
-	// minReportedExtension is by how much a back-off must grow to be reported again: each
-	// request in flight at the first back-off is rejected with a time of its own.
+	// minReportedExtension is by how much a backoff must grow to be reported again: each
+	// request in flight at the first backoff is rejected with a time of its own.
 	minReportedExtension = 500 * time.Millisecond
 )
 
-// backoff is the back-off that a target requested from this gateway.
+// backoff is the backoff that a target requested from this gateway.
 type backoff struct {
-	// until is the end of the longest requested back-off; zero if none was requested, or a
+	// until is the end of the longest requested backoff; zero if none was requested, or a
 	// probe has succeeded since.
 	until time.Time
 	// probeAt is when the gateway probes the target, not before until.
@@ -38,7 +38,7 @@
 	probedAt time.Time
 }
 
-// extend prolongs the back-off to a time, if that is later than the known end. It reports
+// extend prolongs the backoff to a time, if that is later than the known end. It reports
 // whether the change is worth reporting.
 func (b *backoff) extend(until time.Time, offset time.Duration, now time.Time) (isNew bool) {
 	if !until.After(b.until) {
@@ -52,7 +52,7 @@
 // active reports whether the target wants no requests now.
 func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// unprobed reports whether there is a back-off, possibly over, after which no probe has
+// unprobed reports whether there is a backoff, possibly over, after which no probe has
 // succeeded yet.
 func (b *backoff) unprobed() bool { return !b.until.IsZero() }
 
@@ -62,15 +62,15 @@
 	return b.unprobed() && (now.Before(b.probeAt) || now.Sub(b.probedAt) < probeTimeout)
 }
 
-// probeOffset returns how long after the end of a back-off this gateway probes. The caller
+// probeOffset returns how long after the end of a backoff this gateway probes. The caller
 // must hold b.mu.
 func (b *Balancer) probeOffset(target *state) time.Duration {
 	maxOffset := min(probeInterval*time.Duration(b.gateways.Count), maxProbeOffset)
 	return time.Duration(b.windowOffset(target) * float64(maxOffset))
 }
 
-// EndProbe records that the request that probed a target after a back-off has ended. If it was
-// answered, others may follow unless the target has requested another back-off in the
+// EndProbe records that the request that probed a target after a backoff has ended. If it was
+// answered, others may follow unless the target has requested another backoff in the
 // meantime. If it ended without an answer, another request may probe.
 func (b *Balancer) EndProbe(incarnation string, answered bool, now time.Time) {
 	b.mu.Lock()
@@ -87,19 +87,19 @@
 }
 
 const (
-	// Callers that are told to come back when a target is available again are spread over
+	// Callers that are asked to retry when a target is available again are spread over
 	// retrySpreadShare of the time until then, at least minRetrySpread and at most
 	// maxRetrySpread.
 	retrySpreadShare = 0.25
 	minRetrySpread   = 50 * time.Millisecond
 	maxRetrySpread   = time.Second
 	// maxRetryIn limits that time: a target that joins in the meantime serves immediately, and
-	// a back-off of hours is no reason for callers to stay away for hours.
+	// a backoff of hours is no reason for callers to stay away for hours.
 	maxRetryIn = 30 * time.Second
 )
 
 // RetryIn returns after which time a caller for whom no target is open may retry, because a
-// target's back-off ends then. It returns false if a target is open, or none is backing off.
+// target's backoff ends then. It returns false if a target is open, or none is backing off.
 // Callers are spread over a while after that time.
 func (b *Balancer) RetryIn(query Query, now time.Time) (time.Duration, bool) {
 	b.mu.Lock()
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// backoffOf returns a notice that requests a back-off.
+// backoffOf returns a notice that requests a backoff.
 func backoffOf(length time.Duration) Notice { return Notice{RetryAfter: length} }
 
-// TestBackoff checks that a back-off applies until its end, whatever else becomes known about
+// TestBackoff checks that a backoff applies until its end, whatever else becomes known about
 // the target.
 func TestBackoff(t *testing.T) {
 	t1 := incarnationOf(1000)
 	later := time.Now()
 	cases := map[string]func(b *Balancer, now time.Time){
-		"nothing happens":    func(*Balancer, time.Time) {},
-		"a shorter back-off": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now) },
+		"nothing happens":   func(*Balancer, time.Time) {},
+		"a shorter backoff": func(b *Balancer, now time.Time) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now) },
 		"an answer to another request": func(b *Balancer, now time.Time) {
 			b.ObserveNotice(t1.Incarnation(), Notice{}, now)
 			b.Release(t1.Incarnation(), Good, now)
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestBackoffAfterEntryExpired checks that a back-off still applies when an entry comes back
+// TestBackoffAfterEntryExpired checks that a backoff still applies when an entry comes back
 // that had expired for longer than targets are kept.
 func TestBackoffAfterEntryExpired(t *testing.T) {
 	is := is.New(t)
@@ -68,7 +68,7 @@
 	is.Equal(probes(b, now.Add(61*time.Minute)), 1)
 }
 
-// TestNewIncarnationEndsBackoff checks that a back-off applies only to the incarnation that
+// TestNewIncarnationEndsBackoff checks that a backoff applies only to the incarnation that
 // requested it.
 func TestNewIncarnationEndsBackoff(t *testing.T) {
 	is := is.New(t)
@@ -90,7 +90,7 @@
 	return count
 }
 
-// TestProbeAfterBackoff checks that one request probes the target after a back-off, and that
+// TestProbeAfterBackoff checks that one request probes the target after a backoff, and that
 // its outcome decides whether others follow.
 func TestProbeAfterBackoff(t *testing.T) {
 	begin := time.Now()
@@ -104,11 +104,11 @@
 		"in flight": {func(*Balancer) {}, 0, 1},
 		"answered":  {func(b *Balancer) { b.EndProbe("t@1000", true, back) }, 20, 20},
 		"lost":      {func(b *Balancer) { b.EndProbe("t@1000", false, back) }, 1, 1},
-		"lost with a new back-off": {func(b *Balancer) {
+		"lost with a new backoff": {func(b *Balancer) {
 			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", false, back)
 		}, 0, 0},
-		"answered after a back-off to an older request": {func(b *Balancer) {
+		"answered after a backoff to an older request": {func(b *Balancer) {
 			b.ObserveNotice("t@1000", backoffOf(3*time.Second), back)
 			b.EndProbe("t@1000", true, back)
 		}, 0, 0},
@@ -266,7 +266,7 @@
 				}
 				incarnation := pick.Target.Incarnation()
 				if now.Before(until[incarnation]) {
-					t.Fatalf("%s was chosen during its back-off", incarnation)
+					t.Fatalf("%s was chosen during its backoff", incarnation)
 				}
 				if pick.Probe && now.Sub(probing[incarnation]) < probeTimeout {
 					t.Fatalf("%s is probed by two requests at once", incarnation)
@@ -310,7 +310,7 @@
 		"unlisted":              {func(b *Balancer) { b.Drop("t", now) }, ReasonUnlisted, 0},
 		"data centre evacuated": {func(b *Balancer) { b.SetEvacuated("", true, now) }, ReasonEvacuated, 0},
 		"backing off":           {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Minute), now) }, ReasonBackoff, time.Minute},
-		"back-off over":         {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
+		"backoff over":          {func(b *Balancer) { b.ObserveNotice(t1.Incarnation(), backoffOf(time.Second), now.Add(-2*time.Second)) }, ReasonProbed, 0},
 		"refused connection":    {func(b *Balancer) { b.NoteRefused(shortIncarnation(t1), now) }, ReasonEjected, unreachableFor},
 		"suspected by peers":    {func(b *Balancer) { suspectBoth(b, t1, now) }, ReasonSuspected, 0},
 		"cold":                  {func(b *Balancer) { b.Put(coldFor(t1, time.Minute), now) }, ReasonCold, time.Minute},
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -96,10 +96,10 @@
 		return b.lighterOfTwo(session, open, bound, baseline)
 	}
 	holder := b.holderFor(shortHash(session), bound, baseline)
-	if holder != nil && (query.isLong() || !baseline.isHeldUp(holder)) {
+	if holder != nil && (query.isLong() || !baseline.onSlowHost(holder)) {
 		return holder
 	}
-	if quick := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) && !baseline.isHeldUp(target) }); quick != nil {
+	if quick := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) && !baseline.onSlowHost(target) }); quick != nil {
 		return quick
 	}
 	if holder != nil {
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -98,9 +98,9 @@
 	return turnedCold
 }
 
-// heldBackWhileCold reports whether a target is cold and must not get a request from this
-// gateway now. The caller must hold b.mu.
-func (b *Balancer) heldBackWhileCold(target *state, now time.Time) bool {
+// outsideColdWindow reports whether a target is cold and must not get a request from this gateway
+// now. The caller must hold b.mu.
+func (b *Balancer) outsideColdWindow(target *state, now time.Time) bool {
 	target.cold.isCold = now.Before(target.cold.until)
 	if !target.cold.isCold || target.service.cold.Rate <= 0 {
 		return false
@@ -134,8 +134,8 @@
 	round, window time.Duration
 }
 
-// scheduleOf returns the schedule of a target that bears rate requests per second and must not
-// get more than most in any second from all gateways. All windows whose requests may fall into
+// scheduleOf returns the schedule of a target that bears rate requests per second and must not get
+// more than maxPerSecond in any second from all gateways. All windows whose requests may fall into
 // one second begin within that second plus the window before it plus the jitter.
 func scheduleOf(rate, maxPerSecond float64, gateways int) schedule {
 	spread := (time.Second + coldJitter + minWindow).Seconds()
--- a/internal/balance/doc.go
+++ b/internal/balance/doc.go
@@ -13,7 +13,7 @@
 //   - cold.go, evacuation.go: targets that have just started; data centres that the
 //     operators evacuate
 //   - announcement.go, backoff.go: what targets announce in their answers, and the
-//     back-off that they request
+//     backoff that they request
 //   - loads.go, totals.go: other gateways' requests in flight, by target and by service
 //   - versions.go, admitted.go, topscored.go: which versions may take a request, and how
 //     many targets of a version on trial do
--- a/internal/balance/fills.go
+++ b/internal/balance/fills.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minFillTokens is the length from which the reading of a part is worth waiting for: a
-	// second read at the same time doubles the time for both.
+	// minFillTokens is the length from which the prefill of a part is worth waiting for: a
+	// second prefill of it at the same time doubles the time for both.
 	minFillTokens = 1500
 	// fillTTL is how long another gateway's report of a fill stays valid.
 	fillTTL = 800 * time.Millisecond
@@ -16,7 +16,7 @@
 	maxFillWait = 5 * time.Second
 )
 
-// fill is the reading of a part of prompts that no target holds yet.
+// fill is the prefill of a part of prompts that no target holds yet.
 type fill struct {
 	target uint32
 	// done is closed when the part has been read, or will not be.
@@ -63,7 +63,7 @@
 
 // Filling reports whether a target is reading a long part of the query's prompt for another
 // request, here or at another gateway, with weights that the query's targets have. The channel
-// is closed when the reading is over; a request that waits for it finds the part cached.
+// is closed when the fill is over. A request that waits for it finds the part cached.
 func (b *Balancer) Filling(query Query, now time.Time) (done <-chan struct{}, filling bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -12,14 +12,14 @@
 	failureWeight = 0.2
 	// ejectRate is the failure rate at which a target is ejected.
 	ejectRate = 0.45
-	// ejectRow is the number of consecutive failures that eject a target regardless of its
+	// ejectAfter is the number of consecutive failures that eject a target regardless of its
 	// rate.
-	ejectRow = 3
+	ejectAfter = 3
 	// maxTypicalRate is the failure rate of the other targets above which failures are
-	// attributed to the service and not to the target. Even then, alwaysEjectRow consecutive
+	// attributed to the service and not to the target. Even then, alwaysEjectAfter consecutive
 	// failures eject a target.
-	maxTypicalRate = 0.2
-	alwaysEjectRow = 8
+	maxTypicalRate   = 0.2
+	alwaysEjectAfter = 8
 	// minEjection and maxEjection limit the duration of an ejection.
 	minEjection = 1500 * time.Millisecond
 	maxEjection = 8 * time.Second
@@ -37,8 +37,8 @@
 type health struct {
 	// rate is the moving failure rate.
 	rate float64
-	// row is the number of consecutive failures.
-	row int
+	// consecutiveFailures is the number of failures since the last success.
+	consecutiveFailures int
 	// ejections counts the ejections since the duration was last reset.
 	ejections    int
 	ejectedUntil time.Time
@@ -54,7 +54,7 @@
 
 // recordSuccess records a request that the target answered correctly.
 func (h *health) recordSuccess() {
-	h.row = 0
+	h.consecutiveFailures = 0
 	h.refusals = 0
 	h.rate -= failureWeight * h.rate
 }
@@ -63,12 +63,12 @@
 // that fails no more often than is typical of its service stays, because the others would do
 // no better.
 func (h *health) recordFailure(now time.Time, typical float64) bool {
-	h.row++
+	h.consecutiveFailures++
 	h.rate += failureWeight * (1 - h.rate)
-	if h.row < ejectRow && h.rate < ejectRate {
+	if h.consecutiveFailures < ejectAfter && h.rate < ejectRate {
 		return false
 	}
-	if typical > maxTypicalRate && h.row < alwaysEjectRow {
+	if typical > maxTypicalRate && h.consecutiveFailures < alwaysEjectAfter {
 		return false
 	}
 	h.eject(now)
@@ -77,9 +77,9 @@
 
 // recordUnreachable records that no connection could be made.
 func (h *health) recordUnreachable(now time.Time) {
-	h.row++
+	h.consecutiveFailures++
 	until := now.Add(unreachableFor)
-	if h.row >= ejectRow {
+	if h.consecutiveFailures >= ejectAfter {
 		h.eject(now)
 	}
 	if until.After(h.ejectedUntil) {
@@ -106,7 +106,7 @@
 	h.ejectedUntil = now.Add(duration)
 	// After the ejection one failure is enough for another one, and a few successes clear the
 	// record.
-	h.row = ejectRow - 1
+	h.consecutiveFailures = ejectAfter - 1
 	h.rate = ejectRate / 2
 }
 
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -82,7 +82,7 @@
 }
 
 func failInRow(b *Balancer, target Target, now time.Time) {
-	for range alwaysEjectRow {
+	for range alwaysEjectAfter {
 		b.Choose(Query{Service: "s"}, now)
 		b.Release(target.Incarnation(), Bad, now)
 	}
--- a/internal/balance/notice.go
+++ b/internal/balance/notice.go
@@ -8,10 +8,10 @@
 	// Leaving reports whether the target is shutting down and wants no new requests from any
 	// gateway.
 	Leaving bool
-	// RetryAfter is the back-off that the target requests from the gateway that it rejected
+	// RetryAfter is the backoff that the target requests from the gateway that it rejected
 	// (Retry-After); zero if it requests none.
 	RetryAfter time.Duration
-	// Unreadable is the invalid text in place of a back-off; empty if the back-off is valid or
+	// Unreadable is the invalid text in place of a backoff; empty if the backoff is valid or
 	// absent.
 	Unreadable string
 }
--- a/internal/balance/open.go
+++ b/internal/balance/open.go
@@ -74,7 +74,7 @@
 // data centre is evacuated, it is backing off, or it is cold and outside this gateway's
 // window. The caller must hold b.mu.
 func (b *Balancer) isIdle(target *state, now time.Time) bool {
-	return b.evacuated[target.DataCenter] || target.announced.backoff.blocks(now) || b.heldBackWhileCold(target, now)
+	return b.evacuated[target.DataCenter] || target.announced.backoff.blocks(now) || b.outsideColdWindow(target, now)
 }
 
 // soonestBack returns the count ejected targets whose ejections end first. It is used when too
@@ -134,10 +134,10 @@
 	tight bool
 }
 
-// sessionLimitFor returns the load up to which one of the last open targets gets requests of a
-// session, given the mean of their loads. The limit is lower while some targets are idle: on a
-// day with an evacuated data centre and a surge, 4 in 100 requests reached targets above the
-// bound. The caller must hold b.mu.
+// sessionLimitFor returns the load up to which a target gets requests of a session, given the mean
+// load of the targets that openTargets returned last. The limit is lower while some targets are
+// idle: on a day with an evacuated data centre and a surge, 4 in 100 requests reached targets above
+// the bound. The caller must hold b.mu.
 func (b *Balancer) sessionLimitFor(query Query, mean float64) sessionLimit {
 	usual := b.boundOf(query).limitAt(mean)
 	idle, open := b.scratch.idle, float64(len(b.scratch.healthy))
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -149,7 +149,7 @@
 	return factor * target.pace.factorAt(s.now)
 }
 
-// isHeldUp reports whether other work on the target's host slows it down.
-func (s speedBaseline) isHeldUp(target *state) bool {
+// onSlowHost reports whether other work on the target's host slows it down.
+func (s speedBaseline) onSlowHost(target *state) bool {
 	return target.pace.factorAt(s.now) > slowHostPace
 }
--- a/internal/balance/status.go
+++ b/internal/balance/status.go
@@ -23,7 +23,7 @@
 	ReasonEvacuated Reason = "evacuated"
 	// ReasonBackoff: the target asked this gateway to back off.
 	ReasonBackoff Reason = "resting"
-	// ReasonProbed: the back-off is over, and one request probes the target first.
+	// ReasonProbed: the backoff is over, and one request probes the target first.
 	ReasonProbed Reason = "tried_after_rest"
 	// ReasonEjected: the target failed requests of this gateway.
 	ReasonEjected Reason = "ejected"
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -10,10 +10,10 @@
 // observation of a single gateway proves nothing: the gateway may be cut off itself, or the
 // request may be at fault. So a target is excluded when two gateways suspect it, or when one
 // does and this process's own experience agrees. A target that has answered this process since
-// is not excluded. A gateway to which most targets look faulty reports none. The benefit: 3 in
-// 100 of the value of requests with a fifth of the engines resetting connections or silent;
-// none with a third of them unreachable in a surge to four times the load, since there is no
-// room.
+// is not excluded. A gateway to which most targets look faulty reports none. With a fifth
+// of the engines resetting connections or silent, this raises the value of the served requests
+// by 3 in 100. With a third of them unreachable in a surge to four times the load, it raises
+// nothing, since there is no room.
 
 const (
 	// suspectFor is how long after its last failure a target that has not answered since is
--- a/internal/balance/unplanned_end.go
+++ b/internal/balance/unplanned_end.go
@@ -82,8 +82,9 @@
 	return refused.ID, true
 }
 
-// NoteSilentPort does the same for an incarnation of a target to whose address this process
-// tried to connect without a request.
+// NoteSilentPort excludes an incarnation of a target like NoteRefused, after this process itself
+// tried to connect to the target's address without a request. It returns false if that is unknown
+// or already ejected.
 func (b *Balancer) NoteSilentPort(incarnation string, now time.Time) (isNew bool) {
 	_, isNew = b.NoteRefused(shortHash(policy.HashName(incarnation)), now)
 	return isNew
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -37,7 +37,7 @@
 	notice balance.Notice
 	// withdrawn means that nothing was sent because the target no longer accepts new requests.
 	withdrawn bool
-	// trial means that the attempt is the single trial of a request that is held back.
+	// trial means that the attempt is the single trial of a held request.
 	trial bool
 	// probeEnded means that the result of a half-open probe has been reported.
 	probeEnded bool
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -72,8 +72,8 @@
 	timeToHead time.Duration
 }
 
-// maxPrefillWaitShare is the share of the route's target latency that a request waits at most for
-// the prefill of a part of its prompt by another request.
+// maxPrefillWaitShare limits how long a request waits for the prefill of a part of its prompt by
+// another request, as a share of the route's target latency.
 const maxPrefillWaitShare = 0.5
 
 // minAttemptTime is the minimum time left that makes another attempt worthwhile.
@@ -160,8 +160,8 @@
 func (c *call) tryTargets(ctx context.Context) {
 	for {
 		now := clock.Check()
-		if c.isHeldBack(now) && !c.mayRunTrial(now) {
-			c.endHeldBack(now)
+		if c.isHeld(now) && !c.mayRunTrial(now) {
+			c.endHeld(now)
 			return
 		}
 		c.refreshAssignment(now)
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -17,7 +17,7 @@
 // request together with its connection finds out whether the target ended. A lost connection alone
 // is no proof of that; neither is a planned stop, a caller that disconnected or a failure that was
 // answered. If the target ended, that end counts against all requests that were in flight there. A
-// request that was in flight at several such ends is held back. Source: docs/design/quarantine.md.
+// request that was in flight at several such ends is held. Source: docs/design/quarantine.md.
 
 const (
 	// firstProbeDelay is how long after a loss the target's address is probed: a process that dies
@@ -62,10 +62,10 @@
 type CrashWatcher interface {
 	// CrashNoted reports that a target ended unplanned while a request was in flight there.
 	CrashNoted(target string, change quarantine.Change)
-	// QuarantineChanged reports that a request is held back from now on, or no longer; peer is the
+	// QuarantineChanged reports that a request is held from now on, or no longer; peer is the
 	// gateway that reported it, empty for none.
 	QuarantineChanged(change quarantine.Change, peer string)
-	// TrialBegan reports that one copy of a request that is held back is sent to a target.
+	// TrialBegan reports that one copy of a held request is sent to a target.
 	TrialBegan(target string, change quarantine.Change)
 }
 
@@ -235,16 +235,16 @@
 	c.publish(c.Table.Answered(fingerprint, now))
 }
 
-// Lift releases a request that was held back, and reports whether it was.
+// Lift clears a request that operators want to have sent again. It returns false if no crashes
+// were recorded for it.
 func (c *Crashes) Lift(fingerprint quarantine.Fingerprint, now time.Time) bool {
 	change := c.Table.Lift(fingerprint, now)
 	c.publish(change)
 	return change.Changed
 }
 
-// Merge takes in what another process has stored about a request. Other gateways read the store
-// too, so they are sent a change only if this process objects to the record: if it clears what
-// others hold against the request.
+// Merge applies a record that another process has stored. Other gateways read the store too, so
+// they are sent a change only if this process has cleared the crashes that the record contains.
 func (c *Crashes) Merge(record quarantine.Record, now time.Time) {
 	change := c.Table.Restore(record, now)
 	if change.ClearedOnMerge() {
@@ -306,7 +306,7 @@
 // recordCrashes records the end of a target against all requests that were in flight there; c.mu
 // must be held.
 func (c *Crashes) recordCrashes(incarnation string, known *incarnationLosses, end balance.End, now time.Time) {
-	name := quarantineLife(incarnation)
+	name := quarantineIncarnation(incarnation)
 	for _, lost := range known.requests {
 		if !lost.inFlightAt(end) {
 			continue
@@ -319,8 +319,8 @@
 	}
 }
 
-// quarantineLife returns the identifier of an incarnation in quarantine records.
-func quarantineLife(incarnation string) quarantine.Incarnation {
+// quarantineIncarnation returns the identifier of an incarnation in quarantine records.
+func quarantineIncarnation(incarnation string) quarantine.Incarnation {
 	return quarantine.Incarnation(policy.HashName(incarnation) >> 32)
 }
 
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// holdBack marks a request as held back, as other gateways found out.
+// holdBack marks a request as held, as other gateways found out.
 func holdBack(w *testGateway, subject quarantine.Subject) {
 	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Incarnations: []quarantine.Incarnation{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
@@ -245,13 +245,13 @@
 	return quarantine.Subject{Workspace: "w", Method: "POST", Host: "h", URI: path}
 }
 
-// TestHeldBackRequestIsNotSent checks that a request that is held back isn't sent on any of the
+// TestHeldRequestIsNotSent checks that a request that is held isn't sent on any of the
 // remaining ways, and that its caller gets a final answer at once.
-func TestHeldBackRequestIsNotSent(t *testing.T) {
+func TestHeldRequestIsNotSent(t *testing.T) {
 	cases := map[string]struct {
 		path    string
 		scripts []script
-		// heldAt is the number of the send during which the request becomes held back; zero means
+		// heldAt is the number of the send during which the request becomes held; zero means
 		// before the first.
 		heldAt  int
 		sends   int
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestHeldBackWhileConnecting covers a request that becomes held back while a connection is made.
-func TestHeldBackWhileConnecting(t *testing.T) {
+// TestHeldWhileConnecting covers a request that becomes held while a connection is made.
+func TestHeldWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(200, "yes"))
@@ -316,9 +316,9 @@
 	})
 }
 
-// TestHeldBackDuringPrefillWait covers a request that becomes held back while it waits for the
+// TestHeldDuringPrefillWait covers a request that becomes held while it waits for the
 // prefill of a part of its prompt for another request.
-func TestHeldBackDuringPrefillWait(t *testing.T) {
+func TestHeldDuringPrefillWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(stream(one, io.EOF))
@@ -363,9 +363,9 @@
 	})
 }
 
-// TestHeldBackDoesNotAffectOthers checks that other requests are served: those of the same caller,
-// of other callers with the same body, and on other paths.
-func TestHeldBackDoesNotAffectOthers(t *testing.T) {
+// TestHeldRequestDoesNotAffectOthers checks that other requests are served: those of the same
+// caller, of other callers with the same body, and on other paths.
+func TestHeldRequestDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestGateway(respond(200, "yes"))
 		startCrashes(t, w)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -29,8 +29,8 @@
 	// ProcessLate reports whether this process is short of CPU time now, so that its own time
 	// limits pass before it has read what a target sent; nil means never.
 	ProcessLate func() bool
-	// StreamDelay is the time after its creation within which callers want each event of a stream;
-	// zero passes on each event at once.
+	// StreamDelay is how soon after its creation callers want each event of a stream; zero passes
+	// on each event at once.
 	StreamDelay time.Duration
 	// PeersConfigured reports whether another live gateway has a configuration; nil means always.
 	PeersConfigured func() bool
@@ -59,8 +59,8 @@
 	Directory Directory
 	// Rollouts decides which versions of targets may get a request; nil allows all.
 	Rollouts *rollout.Gate
-	// Crashes tracks the requests that are held back because targets ended while running them; nil
-	// holds back none.
+	// Crashes tracks the requests that are held because targets ended while running them; nil holds
+	// none.
 	Crashes *Crashes
 	// Limiters limits what is sent to each service; nil means no limit.
 	Limiters *admission.Limiters
@@ -156,8 +156,8 @@
 		}
 	}
 	c.prepare()
-	if now := clock.Now(); c.isHeldBack(now) && !c.mayRunTrial(now) {
-		return c.heldBackError(fault.NotRun, now)
+	if now := clock.Now(); c.isHeld(now) && !c.mayRunTrial(now) {
+		return c.heldError(fault.NotRun, now)
 	}
 	return nil
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// endProbe reports how the half-open probe of a target that rested has ended. Other requests may
-// follow once the headers of its answer have arrived, however long the answer takes.
+// endProbe reports how the half-open probe of a target after its backoff has ended. Other requests
+// may follow once the headers of its answer have arrived, however long the answer takes.
 func (a *attempt) endProbe(answered bool) {
 	if !a.pick.Probe || a.probeEnded {
 		return
@@ -58,8 +58,8 @@
 	a.call.gateway.Balancer.EndProbe(a.incarnation, answered, clock.Now())
 }
 
-// retryAfter returns when the caller of a request that did not run should retry: when a resting
-// target is available again if no other is open, else when the service has capacity.
+// retryAfter returns when the caller of a request that did not run should retry: at the end of a
+// target's backoff if no target is open until then, otherwise when the service has capacity.
 func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
 	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
@@ -71,7 +71,7 @@
 	return c.gateway.Limiters.Of(c.service).RetryAfter(c.deadline.Sub(now), now)
 }
 
-// retryAfterNoTarget returns the same for a request for which no target was open at all.
+// retryAfterNoTarget is retryAfter for a request for which no target was open at all.
 func (c *call) retryAfterNoTarget() time.Duration {
 	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
 		return back
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxQueueShare is the share of the route's target latency that a request waits in the queue at
-	// most: a caller that retries after an early refusal can still be served in time.
+	// maxQueueShare limits how long a request waits in the queue, as a share of the route's target
+	// latency. A caller that retries after an early refusal can still be served in time.
 	maxQueueShare = 0.1
 	// defaultMaxQueueTime is the limit for routes without a target latency.
 	defaultMaxQueueTime = 200 * time.Millisecond
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -19,27 +19,27 @@
 	"github.com/capersaddle/capersaddle/internal/retrybudget"
 )
 
-const restTime = 3 * time.Second
+const backoffTime = 3 * time.Second
 
-// restingUntil rejects all requests at target a with a Retry-After until the given time.
-func restingUntil(until time.Time) script {
+// backoffUntil rejects all requests at target a with a Retry-After until the given time.
+func backoffUntil(until time.Time) script {
 	return func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 		if time.Now().Before(until) {
-			return withNotice(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{RetryAfter: backoffTime}, rejected)(ctx, out)
 		}
 		return respond(http.StatusOK, one)(ctx, out)
 	}
 }
 
-// TestRestingTargetGetsOneProbe checks that the target gets one request per rest, that callers lose
-// no more than that to the retry budget, and that the target gets its share again once it accepts
-// requests.
-func TestRestingTargetGetsOneProbe(t *testing.T) {
+// TestBackingOffTargetGetsOneProbe checks that the target gets one request per backoff, that
+// callers lose no more than that to the retry budget, and that the target gets its share again
+// once it accepts requests.
+func TestBackingOffTargetGetsOneProbe(t *testing.T) {
 	for _, path := range []string{"/once/", "/get/", "/stream/", "/resumable/"} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newTestGateway(restingUntil(time.Now().Add(7 * time.Second)))
+				w := newTestGateway(backoffUntil(time.Now().Add(7 * time.Second)))
 				w.gateway.Budgets = retrybudget.New(retrybudget.Options{Slack: 4, Window: time.Minute})
 				for number := range 700 {
 					w.gateway.Proof.Note(time.Now())
@@ -52,7 +52,7 @@
 						is.True(!attempt.Ejected)
 					}
 				}
-				time.Sleep(restTime)
+				time.Sleep(backoffTime)
 				w.gateway.Proof.Note(time.Now())
 				for number := range 60 {
 					w.serve(t.Context(), fmt.Sprintf("%slater-%d", path, number))
@@ -64,16 +64,16 @@
 	}
 }
 
-// TestLaterRestNoticeExtendsRest checks that answers to requests that were in flight at the first
-// notice extend the rest to the latest end that they name.
-func TestLaterRestNoticeExtendsRest(t *testing.T) {
+// TestLaterNoticeExtendsBackoff checks that answers to requests that were in flight at the first
+// notice extend the backoff to the latest end that they name.
+func TestLaterNoticeExtendsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, "yes"))
-		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: backoffTime}, clock.Now())
 		time.Sleep(time.Second)
-		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
-		time.Sleep(restTime - time.Millisecond)
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: backoffTime}, clock.Now())
+		time.Sleep(backoffTime - time.Millisecond)
 		for number := range 50 {
 			w.serve(t.Context(), fmt.Sprintf("/once/%d", number))
 		}
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestHostSuspensionCountsAsRest checks that the time for which this host was suspended counts
-// towards the rest.
-func TestHostSuspensionCountsAsRest(t *testing.T) {
+// TestHostSuspensionCountsTowardsBackoff checks that the time for which this host was suspended
+// counts towards the backoff.
+func TestHostSuspensionCountsTowardsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, "yes"))
@@ -98,27 +98,27 @@
 	})
 }
 
-// TestAllTargetsRest checks that callers are refused at once with differing Retry-After times from
-// the end of the rests on, and are served then. Meanwhile nothing is sent, and no retries are taken
-// from the budget.
-func TestAllTargetsRest(t *testing.T) {
+// TestAllTargetsBackOff checks that callers are refused at once with differing Retry-After times
+// from the end of the backoffs on, and are served then. Meanwhile nothing is sent, and no retries
+// are taken from the budget.
+func TestAllTargetsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
 		w := newTestGateway(respond(http.StatusOK, "yes"))
 		w.gateway.Limiters = admission.NewLimiters(admission.DefaultLimiterOptions())
 		for _, id := range []string{"a", "b", "c"} {
-			w.gateway.Balancer.ObserveNotice(id, balance.Notice{RetryAfter: restTime}, clock.Now())
+			w.gateway.Balancer.ObserveNotice(id, balance.Notice{RetryAfter: backoffTime}, clock.Now())
 		}
 		retryTimes := make(map[time.Duration]bool)
-		for time.Since(began) < restTime {
+		for time.Since(began) < backoffTime {
 			at := time.Now()
 			w.gateway.Proof.Note(at)
 			caller := w.serveAs(t.Context(), "/once/x")
 			is.Equal(time.Since(at), time.Duration(0))
 			is.Equal(caller.refusal.Kind, fault.NoTarget)
 			is.Equal(caller.refusal.State, fault.NotRun)
-			back := restTime - at.Sub(began)
+			back := backoffTime - at.Sub(began)
 			is.True(caller.refusal.RetryAfter >= back && caller.refusal.RetryAfter <= back+time.Second)
 			retryTimes[caller.refusal.RetryAfter] = true
 			time.Sleep(100 * time.Millisecond)
@@ -130,44 +130,44 @@
 	})
 }
 
-// TestLastTargetAsksForRest checks that the request rejected by the last target is refused with the
-// time at which a target is available again.
-func TestLastTargetAsksForRest(t *testing.T) {
+// TestLastTargetRequestsBackoff checks that the request rejected by the last target is refused with
+// the time at which a target is available again.
+func TestLastTargetRequestsBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newTestGateway(withNotice(balance.Notice{RetryAfter: restTime}, rejected))
+		w := newTestGateway(withNotice(balance.Notice{RetryAfter: backoffTime}, rejected))
 		for _, id := range []string{"b", "c"} {
 			w.gateway.Balancer.ObserveNotice(id, balance.Notice{Leaving: true}, clock.Now())
 		}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(w.caller.refusal.State, fault.NotRun)
-		is.True(w.caller.refusal.RetryAfter >= restTime)
+		is.True(w.caller.refusal.RetryAfter >= backoffTime)
 	})
 }
 
-// TestQueuedRequestWhenTargetRests checks that a queued request is refused without being sent once
-// the target rests.
-func TestQueuedRequestWhenTargetRests(t *testing.T) {
+// TestQueuedRequestWhenTargetBacksOff checks that a queued request is refused without being sent
+// once the target has asked for a backoff.
+func TestQueuedRequestWhenTargetBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newSingleSlotGateway(func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 			time.Sleep(5 * time.Millisecond)
-			return withNotice(balance.Notice{RetryAfter: restTime}, rejected)(ctx, out)
+			return withNotice(balance.Notice{RetryAfter: backoffTime}, rejected)(ctx, out)
 		})
 		first := make(chan *recorder, 1)
 		go func() { first <- w.serveAs(t.Context(), "/once/first") }()
 		synctest.Wait()
 		waiting := w.serveAs(t.Context(), "/once/second")
 		is.Equal(waiting.refusal.State, fault.NotRun)
-		is.True(waiting.refusal.RetryAfter >= restTime-time.Second)
+		is.True(waiting.refusal.RetryAfter >= backoffTime-time.Second)
 		is.Equal((<-first).refusal.State, fault.NotRun)
 		is.Equal(len(w.sender.sent), 1)
 	})
 }
 
-// TestRestNoticeWhileConnecting checks that requests that wait for a connection to a resting target
-// go to another one without a retry.
-func TestRestNoticeWhileConnecting(t *testing.T) {
+// TestBackoffNoticeWhileConnecting checks that requests that wait for a connection to a target that
+// has asked for a backoff go to another one without a retry.
+func TestBackoffNoticeWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(http.StatusOK, one))
@@ -179,7 +179,7 @@
 			go func() { callers[i] = w.serveAs(t.Context(), "/once/x") }()
 		}
 		synctest.Wait()
-		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: restTime}, clock.Now())
+		w.gateway.Balancer.ObserveNotice("a", balance.Notice{RetryAfter: backoffTime}, clock.Now())
 		close(sender.release)
 		synctest.Wait()
 		is.Equal(w.sentTo("a"), 0)
@@ -189,10 +189,10 @@
 	})
 }
 
-// TestStreamIsNotResumedAtRestingTarget checks that a stream that broke off isn't resumed at a
-// resting or leaving target.
-func TestStreamIsNotResumedAtRestingTarget(t *testing.T) {
-	for name, notice := range map[string]balance.Notice{"rest": {RetryAfter: time.Minute}, "leaving": {Leaving: true}} {
+// TestStreamIsNotResumedAtUnavailableTarget checks that a stream that broke off isn't resumed at a
+// target that is leaving or has asked for a backoff.
+func TestStreamIsNotResumedAtUnavailableTarget(t *testing.T) {
+	for name, notice := range map[string]balance.Notice{"backoff": {RetryAfter: time.Minute}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestRejectionsWithoutNotice checks that a target that rejects requests without asking for a rest
-// still gets requests.
+// TestRejectionsWithoutNotice checks that a target that rejects requests without asking for a
+// backoff still gets requests.
 func TestRejectionsWithoutNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -39,7 +39,7 @@
 func (s *stalls) record(waited time.Duration, eventsBehind int, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fade(now)
+	s.decay(now)
 	s.events++
 	if waited >= minStall && eventsBehind >= minEventsBehind {
 		s.stalled++
@@ -47,7 +47,7 @@
 }
 
 // fade applies the decay up to now; s.mu must be held.
-func (s *stalls) fade(now time.Time) {
+func (s *stalls) decay(now time.Time) {
 	factor := math.Exp2(-max(now.Sub(s.updatedAt), 0).Seconds() / stallHalfLife.Seconds())
 	s.events *= factor
 	s.stalled *= factor
@@ -58,12 +58,12 @@
 func (s *stalls) frequent(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fade(now)
+	s.decay(now)
 	return s.stalled >= minStalls && s.stalled >= minStallShare*s.events
 }
 
-// maxDelayShare is the share of the time within which callers want an event that the event may be
-// held back. The rest is for its transfer, where a packet may be lost too.
+// maxDelayShare limits how long an event is delayed, as a share of the time within which callers
+// want it. The rest is for its transfer, where a packet may be lost too.
 const maxDelayShare = 0.4
 
 // writeWindow returns for how long the events of a new stream are collected for one write.
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -97,7 +97,7 @@
 	return answer, err
 }
 
-// TestSuspensionCountsForQuarantineTerm checks that the term for which a request is held back
+// TestSuspensionCountsForQuarantineTerm checks that the term for which a request is held
 // includes the time of a suspension.
 func TestSuspensionCountsForQuarantineTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -24,8 +24,8 @@
 	// findTimeout limits the wait for an answer. It is some ten times what an answer takes between
 	// data centres of a region, and a fiftieth of what reading a long part takes.
 	findTimeout = 20 * time.Millisecond
-	// waiterTTL is how long a gateway that looked up a part that is still being read is remembered,
-	// to be notified when it has been read. No request waits longer.
+	// waiterTTL is how long the directory remembers a gateway that looked up a part while it was
+	// being read, to notify it when the part has been read. No request waits longer.
 	waiterTTL = time.Second
 	// directoryShare is the share of the byte budget that the directory and refused targets may
 	// use; datagrams beyond it are dropped. Otherwise they would leave no bytes for loads during a
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -10,7 +10,7 @@
 //   - service.go: rounds of heartbeats, and receiving; heartbeat.go: content of a heartbeat
 //   - status.go: queries of other packages; quarantine.go: crash records
 //   - table.go: the other gateways; tree.go: how the store's changes are passed on
-//   - source.go: whom a starting gateway follows; rollouts.go: reports and grants of roll-outs
+//   - source.go: which gateway a starting one follows; rollouts.go: reports and grants of rollouts
 //   - replica.go: fetching the store's content from another gateway
 //   - directory.go: looking up where a prompt is cached; refused.go: targets that are gone
 package peer
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -13,13 +13,13 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// One gateway, the decider, decides about the roll-outs of a service. The others report to it and
+// One gateway, the decider, decides about the rollouts of a service. The others report to it and
 // get grants in reply. These datagrams are small and few, are sent only while an order runs, and a
 // version on trial waits for them. So they neither wait for the byte budget of heartbeats nor
 // count against it: the decider among thirty gateways sends 5 KB/s of grants, and would have few
 // bytes left for its loads just when the limit on loads is tight.
 
-// Rollouts handles this process's part of roll-outs. Its methods are called without locks held, so
+// Rollouts handles this process's part of rollouts. Its methods are called without locks held, so
 // that they may call the service's methods.
 type Rollouts interface {
 	// Services returns the services with a running order.
@@ -36,7 +36,7 @@
 	Notices(now time.Time) []rollout.Grant
 }
 
-// SetRollouts sets the handler of roll-out reports and grants. It must be called before Start.
+// SetRollouts sets the handler of rollout reports and grants. It must be called before Start.
 func (s *Service) SetRollouts(rollouts Rollouts) {
 	s.rollouts = rollouts
 }
--- a/internal/peer/rollouts_test.go
+++ b/internal/peer/rollouts_test.go
@@ -102,7 +102,7 @@
 	Tallies: []rollout.Tally{{Route: 1, Target: 2, Answers: 30, Failed: 3, Slow: 1}, {Route: 1, Answers: 400, Failed: 2, Slow: 5}},
 }
 
-// newRolloutNode starts a node that handles roll-outs.
+// newRolloutNode starts a node that handles rollouts.
 func newRolloutNode(t *testing.T, id string, network *link.Memory, seeds ...string) (*node, *fakeRollouts) {
 	t.Helper()
 	fake := &fakeRollouts{reports: make(map[string]rollout.Report), due: []rollout.Report{sampleReport}}
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -42,8 +42,8 @@
 	minCounts      = 4
 	// maxSuspects limits the suspected targets in a heartbeat.
 	maxSuspects = 24
-	// countsInterval is how long sending a heartbeat to each peer may take so that heartbeats can
-	// carry more counts.
+	// countsInterval is the time in which each peer has to get a heartbeat with counts. The longer
+	// it is, the more counts a heartbeat can carry.
 	countsInterval = time.Second
 	// baseHeartbeatSize and countSize are the sizes in bytes of a heartbeat without counts and of
 	// one count.
@@ -165,7 +165,7 @@
 	directory *directory
 	// crashes holds the crash records that wait to be sent.
 	crashes *crashQueue
-	// rollouts is nil if roll-outs are not handled.
+	// rollouts is nil if rollouts are not handled.
 	rollouts Rollouts
 
 	// wholePages counts the whole copies that are being sent.
--- a/internal/quarantine/message.go
+++ b/internal/quarantine/message.go
@@ -13,8 +13,8 @@
 		Print: uint64(r.Fingerprint), Epoch: r.Epoch,
 		Trial: r.Trials, UnrunTrials: r.UnrunTrials, TrialLife: uint32(r.TrialIncarnation),
 	}
-	for _, instance := range r.Incarnations {
-		message.Lives = append(message.Lives, uint32(instance))
+	for _, incarnation := range r.Incarnations {
+		message.Lives = append(message.Lives, uint32(incarnation))
 	}
 	return message
 }
@@ -25,8 +25,8 @@
 		Fingerprint: Fingerprint(message.GetPrint()), Epoch: message.GetEpoch(),
 		Trials: message.GetTrial(), UnrunTrials: message.GetUnrunTrials(), TrialIncarnation: Incarnation(message.GetTrialLife()),
 	}
-	for _, instance := range message.GetLives() {
-		record.Incarnations = append(record.Incarnations, Incarnation(instance))
+	for _, incarnation := range message.GetLives() {
+		record.Incarnations = append(record.Incarnations, Incarnation(incarnation))
 	}
 	return record.Normal()
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,12 +12,12 @@
 	// there had seen 2 crashes, and none 3; where it had crashed 13 targets, 18 of 104 had seen 2,
 	// and 4 had seen 3.
 	Limit = 3
-	// maxIncarnations limits the distinct crashes that are recorded for one request. With that many,
-	// its term reached MaxTerm long before.
+	// maxIncarnations limits the distinct crashes that are recorded for one request. With that
+	// many, its term reached MaxTerm long before.
 	maxIncarnations = 16
 )
 
-// Instance identifies a crashed instance of a target: the upper half of the hash of its name.
+// Incarnation identifies a crashed incarnation of a target: the upper half of the hash of its name.
 type Incarnation uint32
 
 // Record is the crash record of one request. Records of the same request from several gateways
@@ -27,14 +27,14 @@
 	// Epoch counts how often the request was cleared. Of two records, the one with the higher epoch
 	// wins.
 	Epoch uint32
-	// Instances are the instances that have crashed under the request since it was last cleared,
-	// sorted, without duplicates, at most maxIncarnations.
+	// Incarnations are those that have crashed under the request since it was last cleared, sorted,
+	// without duplicates, at most maxIncarnations.
 	Incarnations []Incarnation
 	// Trials counts the trials that have started since the request was last cleared, and
-	// UnrunTrials those that no target ran. TrialIncarnation is the instance that runs or ran the last
-	// trial; zero if none did.
+	// UnrunTrials those that no target ran. TrialIncarnation is the incarnation that runs or ran
+	// the last trial; zero if none did.
 	Trials, UnrunTrials uint32
-	TrialIncarnation       Incarnation
+	TrialIncarnation    Incarnation
 }
 
 // atLimit reports whether the request has enough crashes to be held, at least for a while.
@@ -64,10 +64,10 @@
 
 // Normal returns the record in the form that its fields' comments describe, whatever its origin.
 func (r Record) Normal() Record {
-	instances := slices.Clone(r.Incarnations)
-	slices.Sort(instances)
-	instances = slices.Compact(instances)
-	r.Incarnations = instances[:min(len(instances), maxIncarnations)]
+	incarnations := slices.Clone(r.Incarnations)
+	slices.Sort(incarnations)
+	incarnations = slices.Compact(incarnations)
+	r.Incarnations = incarnations[:min(len(incarnations), maxIncarnations)]
 	if r.UnrunTrials = min(r.UnrunTrials, r.Trials); r.Trials == r.UnrunTrials {
 		r.TrialIncarnation = 0
 	}
@@ -117,8 +117,8 @@
 	}
 	const prime = 0x9e3779b97f4a7c15
 	hash := uint64(r.Fingerprint) ^ uint64(r.Epoch)*prime ^ uint64(r.Trials)<<32 ^ uint64(r.UnrunTrials)
-	for _, instance := range append(slices.Clone(r.Incarnations), r.TrialIncarnation) {
-		hash = (hash ^ uint64(instance)) * prime
+	for _, incarnation := range append(slices.Clone(r.Incarnations), r.TrialIncarnation) {
+		hash = (hash ^ uint64(incarnation)) * prime
 		hash ^= hash >> 29
 	}
 	return hash
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -96,18 +96,18 @@
 	return &Table{entries: make(map[Fingerprint]*entry), answered: answered}
 }
 
-// Crashed records that an instance of a target crashed while a request was in flight there.
+// Crashed records that an incarnation of a target crashed while a request was in flight there.
 //
 // If this process has just received an answer to the same request from another target, as happens
 // to requests that many callers send alike, the answer excuses one crash. A request that crashes
 // every target that runs it is never answered.
-func (t *Table) Crashed(fingerprint Fingerprint, instance Incarnation, now time.Time) Change {
+func (t *Table) Crashed(fingerprint Fingerprint, incarnation Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.consumeAnswer(fingerprint, now) {
 		return Change{}
 	}
-	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Incarnations: []Incarnation{instance}}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Incarnations: []Incarnation{incarnation}}, now)
 }
 
 // consumeAnswer reports whether the request was fully answered here within answeredTTL. One answer
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -13,11 +13,11 @@
 
 const testFingerprint = quarantine.Fingerprint(0xfeed)
 
-// crash records count crashes under a request, of instances numbered from a given number on.
+// crash records count crashes under a request, of incarnations numbered from a given number on.
 func crash(table *quarantine.Table, fingerprint quarantine.Fingerprint, from, count int, now time.Time) quarantine.Change {
 	var change quarantine.Change
-	for instance := range count {
-		change = table.Crashed(fingerprint, quarantine.Incarnation(from+instance), now)
+	for incarnation := range count {
+		change = table.Crashed(fingerprint, quarantine.Incarnation(from+incarnation), now)
 	}
 	return change
 }
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -81,9 +81,9 @@
 	return ok && t.mayStartTrial(e, rank, now)
 }
 
-// StartTrial starts a trial at an instance of a target if MayStartTrial holds. The caller has to
-// announce it to the other gateways before the trial ends.
-func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Incarnation, now time.Time) (Change, bool) {
+// StartTrial starts a trial at an incarnation of a target if MayStartTrial holds. The caller has
+// to announce it to the other gateways before the trial ends.
+func (t *Table) StartTrial(fingerprint Fingerprint, rank int, incarnation Incarnation, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
@@ -92,17 +92,17 @@
 	}
 	updated := e.Record
 	updated.Trials++
-	updated.TrialIncarnation = instance
+	updated.TrialIncarnation = incarnation
 	return t.apply(updated, now), true
 }
 
-// TrialNotRun records that no target ran the trial that started at an instance, so that another
-// one may start.
-func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Incarnation, now time.Time) Change {
+// TrialNotRun records that no target ran the trial that started at an incarnation, so that another
+// trial may start.
+func (t *Table) TrialNotRun(fingerprint Fingerprint, incarnation Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
-	if !ok || e.TrialIncarnation != instance || instance == 0 {
+	if !ok || e.TrialIncarnation != incarnation || incarnation == 0 {
 		return Change{}
 	}
 	updated := e.Record
@@ -170,7 +170,7 @@
 		if other.changedAt.After(result.changedAt) {
 			result.changedAt = other.changedAt
 		}
-		crashedWith := func(instance Incarnation) bool { return slices.Contains(other.Incarnations, instance) }
+		crashedWith := func(incarnation Incarnation) bool { return slices.Contains(other.Incarnations, incarnation) }
 		if other.Suspicious() {
 			uncovered = slices.DeleteFunc(uncovered, crashedWith)
 		}
@@ -192,7 +192,7 @@
 
 // sharesCrash reports whether two requests were in flight at the same crash.
 func (r Record) sharesCrash(other *entry) bool {
-	return slices.ContainsFunc(r.Incarnations, func(instance Incarnation) bool { return slices.Contains(other.Incarnations, instance) })
+	return slices.ContainsFunc(r.Incarnations, func(incarnation Incarnation) bool { return slices.Contains(other.Incarnations, incarnation) })
 }
 
 // triedBefore reports whether a request is tried before another: the one with the most crashes
--- a/internal/quarantine/trial_test.go
+++ b/internal/quarantine/trial_test.go
@@ -218,7 +218,7 @@
 		change, started := table.StartTrial(shared, 0, 90, now)
 		is.True(started)
 		others.Merge(change.Record, now)
-		is.True(!table.TrialNotRun(shared, 91, now).Changed) // a trial at another instance
+		is.True(!table.TrialNotRun(shared, 91, now).Changed) // a trial at another incarnation
 		change = table.TrialNotRun(shared, 90, now)
 		is.True(change.Changed)
 		others.Merge(change.Record, now)
@@ -239,24 +239,24 @@
 		for i := range tables {
 			tables[i] = quarantine.New()
 		}
-		instance := quarantine.Incarnation(0)
+		incarnation := quarantine.Incarnation(0)
 		trials := make(map[quarantine.Fingerprint]int)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 8000).Draw(t, "ms")) * time.Millisecond)
 			at := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			fingerprint := quarantine.Fingerprint(1 + rapid.IntRange(0, requests-1).Draw(t, "request"))
-			instance++
+			incarnation++
 			sent := !tables[at].Held(fingerprint, now)
 			if !sent {
-				_, sent = tables[at].StartTrial(fingerprint, at, instance, now)
+				_, sent = tables[at].StartTrial(fingerprint, at, incarnation, now)
 				if sent {
 					trials[fingerprint]++
 				}
 			}
 			if sent {
-				tables[at].Crashed(fingerprint, instance, now)
+				tables[at].Crashed(fingerprint, incarnation, now)
 				if rapid.Bool().Draw(t, "another request is there") {
-					tables[at].Crashed(quarantine.Fingerprint(1+uint64(fingerprint)%requests), instance, now)
+					tables[at].Crashed(quarantine.Fingerprint(1+uint64(fingerprint)%requests), incarnation, now)
 				}
 			}
 			for _, record := range tables[at].Records(now) {
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// stepInterval is the time between two evaluations of all roll-outs. It is short compared
+	// stepInterval is the time between two evaluations of all rollouts. It is short compared
 	// with the time between reports.
 	stepInterval = 100 * time.Millisecond
 	// moveStepInterval is the same during a move, whose last moment for a commit must not be
-	// missed: commitReserve leaves the store some 150 ms after it, which steps every 100 ms
-	// reduced to 50 ms.
+	// missed: commitReserve leaves the store some 150 ms after that moment. Steps every 100 ms
+	// reduced this to 50 ms.
 	moveStepInterval = 20 * time.Millisecond
 	// maxStepGap is the time since the last step after which reports are no longer answered: the
 	// process was stalled, and another gateway may have become the decider.
@@ -70,7 +70,7 @@
 	// were seen.
 	maxPeers   int
 	maxPeersAt time.Time
-	// steppedAt is the time of the last evaluation of the roll-outs.
+	// steppedAt is the time of the last evaluation of the rollouts.
 	steppedAt time.Time
 	notices   []notice
 	// steps are queued for the watcher.
@@ -96,12 +96,12 @@
 	return c
 }
 
-// Gate returns this gateway's gate, which applies all roll-outs to its requests.
+// Gate returns this gateway's gate, which applies all rollouts to its requests.
 func (c *Controller) Gate() *Gate {
 	return c.gate
 }
 
-// Start begins to evaluate the roll-outs in the background.
+// Start begins to evaluate the rollouts in the background.
 func (c *Controller) Start(context.Context) error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.wait.Go(func() {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// nextStepDelay returns the time until the next evaluation of all roll-outs.
+// nextStepDelay returns the time until the next evaluation of all rollouts.
 func (c *Controller) nextStepDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// requestStep triggers an evaluation of the roll-outs soon.
+// requestStep triggers an evaluation of the rollouts soon.
 func (c *Controller) requestStep() {
 	select {
 	case c.wake <- struct{}{}:
@@ -219,7 +219,7 @@
 	versions map[string]int
 }
 
-// step evaluates all roll-outs. While none is running it only counts the gateways.
+// step evaluates all rollouts. While none is running it only counts the gateways.
 func (c *Controller) step(now time.Time) {
 	var inputs []serviceInput
 	for _, v := range c.gate.views(now) {
@@ -245,7 +245,7 @@
 	}
 }
 
-// stepAll decides about the services whose roll-outs are running.
+// stepAll decides about the services whose rollouts are running.
 func (c *Controller) stepAll(inputs []serviceInput, livePeers []string, reachable bool, now time.Time) ([]Step, []pendingCommit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -31,7 +31,7 @@
 	completionUnresolved bool
 }
 
-// decider takes the steps of one service's roll-out. It is a pure state machine: its inputs are
+// decider takes the steps of one service's rollout. It is a pure state machine: its inputs are
 // reports, and its outputs are what to allow and what to write.
 type decider struct {
 	options Options
@@ -224,7 +224,7 @@
 	return d.appendMissing(s, "no time is left for the move")
 }
 
-// appendMissing adds what the roll-out lacks to a reason.
+// appendMissing adds what the rollout lacks to a reason.
 func (d *decider) appendMissing(s stepInput, reason string) string {
 	switch {
 	case s.versions == nil:
@@ -321,7 +321,7 @@
 	return d.moveReportInterval() + entryMargin + commitReserve
 }
 
-// stepInterval returns the time until the next evaluation of the roll-out.
+// stepInterval returns the time until the next evaluation of the rollout.
 func (d *decider) stepInterval() time.Duration {
 	if d.stage == Move {
 		return moveStepInterval
--- a/internal/rollout/dependencies.go
+++ b/internal/rollout/dependencies.go
@@ -40,7 +40,7 @@
 	LiveIDs() []string
 }
 
-// StepKind is the kind of a change to a roll-out.
+// StepKind is the kind of a change to a rollout.
 type StepKind string
 
 // The kinds of steps.
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -11,8 +11,9 @@
 
 // Options are the limits that the operators set.
 type Options struct {
-	// Share of the requests to a service, plus Slack requests, is the most that a version may get
-	// from all gateways together before it has proved good.
+	// Share and Slack limit the requests that a version may get from all gateways together before
+	// it has proved good: to Share, as a fraction of the requests to the service, plus Slack
+	// requests.
 	Share float64
 	Slack float64
 	// Rollback is the time within which a bad version stops getting requests after its failures
@@ -20,7 +21,7 @@
 	Rollback time.Duration
 }
 
-// Gate is one gateway's part in all roll-outs: it selects the versions that may get a request,
+// Gate is one gateway's part in all rollouts: it selects the versions that may get a request,
 // and counts how they answer. It is safe for concurrent use.
 type Gate struct {
 	options Options
--- a/internal/rollout/orders_test.go
+++ b/internal/rollout/orders_test.go
@@ -19,7 +19,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// TestOrders checks the result of orders that are given while a roll-out runs, or after it has
+// TestOrders checks the result of orders that are given while a rollout runs, or after it has
 // ended.
 func TestOrders(t *testing.T) {
 	const duration = 20 * time.Second
@@ -338,7 +338,7 @@
 
 // TestGatewayLearnsOfCompletionLate checks that a gateway that learns late of a completion finds
 // targets of the new or the old version at every moment. It used to refuse requests for 10 to 90
-// ms, because the targets of the old version had stopped while it took the roll-out to be
+// ms, because the targets of the old version had stopped while it took the rollout to be
 // running. It held no grant of the move, and learned of the completion with the store's changes,
 // which take a tenth of a second. Either it had confirmed the move and then restarted, or it had
 // been partitioned off when the completion was written, and was reconnected a moment later.
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is the progress of an order's roll-out as operators see it.
+// State is the progress of an order's rollout as operators see it.
 type State string
 
 // The states. The last two are final for their order.
@@ -19,7 +19,7 @@
 	RolledBack State = "rolled_back"
 )
 
-// Record is what the store keeps about the roll-outs of a service. Of two records the one with
+// Record is what the store keeps about the rollouts of a service. Of two records the one with
 // the later revision in the store counts. Only a later order can undo anything in it.
 type Record struct {
 	// Order is the last one that was taken up.
@@ -27,13 +27,13 @@
 	State State
 	// Elapsed is how long the order had been known when the record was written.
 	Elapsed time.Duration
-	// Current is the version of the last completed roll-out; empty before the first.
+	// Current is the version of the last completed rollout; empty before the first.
 	Current string
 	// Refused are the versions that get no requests until an order names them again: those rolled
-	// back, and those that a completed roll-out replaced. Sorted and unique; never contains
+	// back, and those that a completed rollout replaced. Sorted and unique; never contains
 	// Current.
 	Refused []string
-	// Served are the versions that served when the first order was taken up, until a roll-out
+	// Served are the versions that served when the first order was taken up, until a rollout
 	// completes. An order for one of them needs no trial. Sorted and unique; disjoint from
 	// Refused.
 	Served []string
@@ -79,7 +79,7 @@
 		Refused:  record.Refused,
 		Served:   record.Served,
 	})
-	return data, errors.Wrap(err, "encode roll-out record")
+	return data, errors.Wrap(err, "encode rollout record")
 }
 
 // Decode decodes a record from the store. Unknown fields are ignored, since a later release may
@@ -87,7 +87,7 @@
 func Decode(data []byte) (Record, error) {
 	var decoded storedRecord
 	if err := json.Unmarshal(data, &decoded); err != nil {
-		return Record{}, errors.Wrap(err, "decode roll-out record")
+		return Record{}, errors.Wrap(err, "decode rollout record")
 	}
 	record := Record{
 		Order: Order{
@@ -113,29 +113,29 @@
 	order := r.Order
 	switch {
 	case order.Service == "" || order.Version == "":
-		return errors.New("roll-out record without a service or version")
+		return errors.New("rollout record without a service or version")
 	case order.Duration <= 0 || order.Revision <= 0 || r.Elapsed < 0:
-		return errors.Newf("roll-out record of %q has an invalid duration (%s), revision (%d) or elapsed time (%s)", order.Service, order.Duration, order.Revision, r.Elapsed)
+		return errors.Newf("rollout record of %q has an invalid duration (%s), revision (%d) or elapsed time (%s)", order.Service, order.Duration, order.Revision, r.Elapsed)
 	case r.State != Running && r.State != Completed && r.State != RolledBack:
-		return errors.Newf("roll-out record of %q has unknown state %q", order.Service, r.State)
+		return errors.Newf("rollout record of %q has unknown state %q", order.Service, r.State)
 	case r.State == Completed && r.Current != order.Version:
-		return errors.Newf("roll-out record of %q has completed %q, but its current version is %q", order.Service, order.Version, r.Current)
+		return errors.Newf("rollout record of %q has completed %q, but its current version is %q", order.Service, order.Version, r.Current)
 	case r.State == RolledBack && !r.isProven(order.Version) && !slices.Contains(r.Refused, order.Version):
-		return errors.Newf("roll-out record of %q has rolled back %q, but doesn't refuse it", order.Service, order.Version)
+		return errors.Newf("rollout record of %q has rolled back %q, but doesn't refuse it", order.Service, order.Version)
 	}
 	for i, version := range r.Refused {
 		if version == "" || version == r.Current || i > 0 && version <= r.Refused[i-1] {
-			return errors.Newf("roll-out record of %q refuses %q, which is empty, current, out of order or a duplicate", order.Service, version)
+			return errors.Newf("rollout record of %q refuses %q, which is empty, current, out of order or a duplicate", order.Service, version)
 		}
 	}
 	for i, version := range r.Served {
 		if version == "" || slices.Contains(r.Refused, version) || i > 0 && version <= r.Served[i-1] {
-			return errors.Newf("roll-out record of %q lists %q as having served, which is empty, refused, out of order or a duplicate", order.Service, version)
+			return errors.Newf("rollout record of %q lists %q as having served, which is empty, refused, out of order or a duplicate", order.Service, version)
 		}
 	}
 	for _, name := range slices.Concat([]string{order.Service, order.Version, r.Current}, r.Refused, r.Served) {
 		if !utf8.ValidString(name) {
-			return errors.Newf("roll-out record of %q has a name that is not UTF-8", order.Service)
+			return errors.Newf("rollout record of %q has a name that is not UTF-8", order.Service)
 		}
 	}
 	return nil
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// faultSteps are the steps of a roll-out at which a fault is injected.
+// faultSteps are the steps of a rollout at which a fault is injected.
 var faultSteps = map[string]func(step Step) bool{
 	"ordered": func(step Step) bool { return step.Kind == StepOrdered },
 	"canary":  func(step Step) bool { return step.Kind == StepStage && step.Stage == Canary },
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -45,7 +45,7 @@
 	servedWindow = time.Minute
 )
 
-// service is one gateway's part in the roll-outs of a service.
+// service is one gateway's part in the rollouts of a service.
 type service struct {
 	name    string
 	options Options
@@ -155,7 +155,7 @@
 }
 
 // provenVersions returns the versions that need no trial since they served before the first
-// order; none once a roll-out has completed.
+// order; none once a rollout has completed.
 func (s *service) provenVersions() []string {
 	switch {
 	case s.record.Current != "":
@@ -237,7 +237,7 @@
 	recordedAt time.Time
 	// refused are the versions that get no requests, except for the one on trial.
 	refused []string
-	// provenVersions are the versions that served before the first order; none once a roll-out
+	// provenVersions are the versions that served before the first order; none once a rollout
 	// has completed.
 	provenVersions []string
 	// running is set if there is an order that has not ended, which the next fields describe.
--- a/internal/rollout/simulated_rollouts_test.go
+++ b/internal/rollout/simulated_rollouts_test.go
@@ -80,7 +80,7 @@
 	return sums
 }
 
-// TestSimulatedRollouts simulates whole roll-outs of 12 s with a tenth of the requests, at the
+// TestSimulatedRollouts simulates whole rollouts of 12 s with a tenth of the requests, at the
 // rates of four services. It checks how often a good version is lost, how often a bad one is
 // completed, and what a bad one costs. The bounds are in hundredths of the simulations, for the
 // worst of the four services, and leave room for chance.
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -18,7 +18,7 @@
 	failed, slow float64
 }
 
-// simulation is one roll-out of a service, simulated in memory. Times are in seconds since the
+// simulation is one rollout of a service, simulated in memory. Times are in seconds since the
 // order.
 type simulation struct {
 	routes   []simRoute
--- a/internal/rollout/sprt.go
+++ b/internal/rollout/sprt.go
@@ -8,7 +8,7 @@
 // such natural logarithms.
 const (
 	// falseBad is the probability that one test calls a good version bad. A service has some ten
-	// tests, so at most one good roll-out in a hundred is lost to it.
+	// tests, so at most one good rollout in a hundred is lost to it.
 	falseBad = 0.001
 	// falseGood is the probability that one test passes a bad version by its first sample. With
 	// several targets, whose parts are capped, it is half as large again. The test keeps
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -6,7 +6,7 @@
 	"github.com/capersaddle/capersaddle/internal/clock"
 )
 
-// Status is the progress of a roll-out, for operators.
+// Status is the progress of a rollout, for operators.
 type Status struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
@@ -31,7 +31,7 @@
 	Routes   []RouteSum `json:"routes"`
 }
 
-// Rollouts returns all roll-outs that this process knows of, by service.
+// Rollouts returns all rollouts that this process knows of, by service.
 func (c *Controller) Rollouts() []Status {
 	now := clock.Now()
 	views := c.gate.views(now)
--- a/internal/rollout/times.go
+++ b/internal/rollout/times.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// Times of a roll-out as fractions of the order's time.
+// Times of a rollout as fractions of the order's time.
 const (
-	// moveStart is when a version that is judged good may get all requests. It is as late as
-	// leaves time for the store to fail and recover once, to detect a version that turns bad
-	// late.
+	// moveStart is when a version that is judged good may get all requests. It is late, to detect
+	// a version that turns bad late, but leaves time for the store to fail and recover once.
 	moveStart = 0.7
 	// cleanMoveStart is the same for a version with too few answers for a verdict, all of which
 	// are as good as the others'. It applies to services with few requests.
