--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -150,7 +150,7 @@
 	case Good:
 		target.health.recordAnswer(now)
 		target.health.recordSuccess()
-		target.recordSignOfLife(now)
+		target.cancelMistakenEnd(now)
 	case Lost:
 		target.health.recordLoss(now)
 		return target.health.recordFailure(now, b.typicalFailures(target))
--- a/internal/balance/incarnation_test.go
+++ b/internal/balance/incarnation_test.go
@@ -288,9 +288,9 @@
 	}
 }
 
-// TestLateAnswerIsNoSignOfLife checks that an answer sent before the target's end may arrive
+// TestLateAnswerDoesNotCancelEnd checks that an answer sent before the target's end may arrive
 // after it.
-func TestLateAnswerIsNoSignOfLife(t *testing.T) {
+func TestLateAnswerDoesNotCancelEnd(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := New(DefaultOptions())
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -17,9 +17,9 @@
 	b.NoteLoad(incarnation, balance.Load{Pace: factor}, now)
 }
 
-// TestHeldUpTargetGetsFewerRequests checks that of two equally loaded targets, one whose host
+// TestTargetOnSlowHostGetsFewerRequests checks that of two equally loaded targets, one whose host
 // is slowed down by other work gets fewer requests for as long as its reported pace is valid.
-func TestHeldUpTargetGetsFewerRequests(t *testing.T) {
+func TestTargetOnSlowHostGetsFewerRequests(t *testing.T) {
 	cases := map[string]struct {
 		age time.Duration
 		max int
@@ -48,10 +48,10 @@
 	}
 }
 
-// TestShortPromptLeavesHeldUpHolder checks that a short prompt leaves a holder whose host is
+// TestShortPromptLeavesHolderOnSlowHost checks that a short prompt leaves a holder whose host is
 // slowed down, because another target reads it in less time than the holder takes to begin. A
 // long prompt stays, because reading it elsewhere takes longer.
-func TestShortPromptLeavesHeldUpHolder(t *testing.T) {
+func TestShortPromptLeavesHolderOnSlowHost(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
 		stays  bool
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestNewPromptsAvoidHeldUpTargets checks that a prompt without a holder is not read by a
+// TestNewPromptsAvoidSlowHosts checks that a prompt without a holder is not read by a
 // target that takes several times as long; if all targets are equally slow, it is read anyway.
-func TestNewPromptsAvoidHeldUpTargets(t *testing.T) {
+func TestNewPromptsAvoidSlowHosts(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
 	first, _ := b.Choose(prompt(1, 10_512), start)
--- a/internal/balance/unplanned_end.go
+++ b/internal/balance/unplanned_end.go
@@ -34,9 +34,9 @@
 // before.
 const lateAnswer = time.Second
 
-// recordSignOfLife records an answer. An end that was assumed more than lateAnswer ago was a
-// mistake.
-func (s *state) recordSignOfLife(now time.Time) {
+// cancelMistakenEnd cancels an assumed end because the target has answered. Within lateAnswer
+// after the end the answer proves nothing.
+func (s *state) cancelMistakenEnd(now time.Time) {
 	if s.end.Known() && !s.superseded && now.Sub(s.end.At) > lateAnswer {
 		s.end = End{}
 	}
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	sentToPeers []quarantine.Change
 	crashed     []string
-	heldBack    []string
+	held        []string
 }
 
 func (prober *fakeProber) ProbePort(context.Context, balance.Target) bool {
@@ -58,7 +58,7 @@
 func (prober *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
 	prober.mu.Lock()
 	defer prober.mu.Unlock()
-	prober.heldBack = append(prober.heldBack, peer+change.Fingerprint.String())
+	prober.held = append(prober.held, peer+change.Fingerprint.String())
 }
 
 // startCrashes gives the gateway a running Crashes.
@@ -235,8 +235,8 @@
 	}
 }
 
-// holdBack marks a request as held, as other gateways found out.
-func holdBack(w *testGateway, subject quarantine.Subject) {
+// hold makes a request held because of crashes that other gateways recorded.
+func hold(w *testGateway, subject quarantine.Subject) {
 	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Incarnations: []quarantine.Incarnation{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
@@ -276,14 +276,14 @@
 				scripts := tc.scripts
 				w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if sends++; sends == tc.heldAt {
-						holdBack(w, subjectOf(tc.path))
+						hold(w, subjectOf(tc.path))
 					}
 					next := scripts[0]
 					scripts = scripts[1:]
 					return next(ctx, out)
 				}}
 				if tc.heldAt == 0 {
-					holdBack(w, subjectOf(tc.path))
+					hold(w, subjectOf(tc.path))
 				}
 				w.serve(t.Context(), tc.path)
 				is.Equal(sends, tc.sends)
@@ -309,7 +309,7 @@
 		is := is.New(t)
 		w := newTestGateway(respond(200, "yes"))
 		startCrashes(t, w)
-		w.gateway.Sender = &hookSender{w.sender, func() { holdBack(w, subjectOf("/once/x")) }}
+		w.gateway.Sender = &hookSender{w.sender, func() { hold(w, subjectOf("/once/x")) }}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(len(w.sender.sent), 0)
 		is.Equal(w.caller.refusal.Kind, fault.Quarantined)
@@ -327,7 +327,7 @@
 		part := gateway.Part{ID: "long", Tokens: 4000}
 		w.gateway.Balancer.LearnFills([]balance.Placement{{Part: uint32(policy.HashName("m/long") >> 32), Target: 7}}, time.Now())
 		request := &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: "/stream/x", Path: "/stream/x", Key: "key", Model: "m", Parts: []gateway.Part{part, {ID: "own", Tokens: 10}}, Arrived: time.Now()}
-		time.AfterFunc(100*time.Millisecond, func() { holdBack(w, subjectOf("/stream/x")) })
+		time.AfterFunc(100*time.Millisecond, func() { hold(w, subjectOf("/stream/x")) })
 		w.gateway.Serve(t.Context(), request, w.caller)
 		is.True(w.caller.records[0].PrefillWait >= 100*time.Millisecond)
 		is.Equal(len(w.sender.sent), 0)
@@ -375,7 +375,7 @@
 		w.gateway.Apply(config)
 		held := subjectOf("/once/x")
 		held.Body = []byte("body")
-		holdBack(w, held)
+		hold(w, held)
 		cases := map[string]struct {
 			path, key, body string
 			kind            fault.Kind
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -62,8 +62,8 @@
 // target's backoff if no target is open until then, otherwise when the service has capacity.
 func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
-	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
-		return back
+	if retryIn, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
+		return retryIn
 	}
 	if c.gateway.Limiters == nil {
 		return retryAfterShortage
@@ -73,8 +73,8 @@
 
 // retryAfterNoTarget is retryAfter for a request for which no target was open at all.
 func (c *call) retryAfterNoTarget() time.Duration {
-	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
-		return back
+	if retryIn, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
+		return retryIn
 	}
 	return retryAfterShortage
 }
--- a/internal/gateway/retry_after_test.go
+++ b/internal/gateway/retry_after_test.go
@@ -118,8 +118,8 @@
 			is.Equal(time.Since(at), time.Duration(0))
 			is.Equal(caller.refusal.Kind, fault.NoTarget)
 			is.Equal(caller.refusal.State, fault.NotRun)
-			back := backoffTime - at.Sub(began)
-			is.True(caller.refusal.RetryAfter >= back && caller.refusal.RetryAfter <= back+time.Second)
+			remaining := backoffTime - at.Sub(began)
+			is.True(caller.refusal.RetryAfter >= remaining && caller.refusal.RetryAfter <= remaining+time.Second)
 			retryTimes[caller.refusal.RetryAfter] = true
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/gateway/suspended_test.go
+++ b/internal/gateway/suspended_test.go
@@ -20,11 +20,11 @@
 // suspendingSender simulates a suspension of the host between the choice of a target and the send.
 type suspendingSender struct {
 	*fakeSender
-	back func()
+	resume func()
 }
 
 func (s *suspendingSender) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
-	s.back = clock.Simulate(suspension)
+	s.resume = clock.Simulate(suspension)
 	return s.fakeSender.Send(ctx, out, admit)
 }
 
@@ -36,7 +36,7 @@
 		"before the sending": func(w *testGateway) func() {
 			sender := &suspendingSender{fakeSender: w.sender}
 			w.gateway.Sender = sender
-			return func() { sender.back() }
+			return func() { sender.resume() }
 		},
 	}
 	for name, suspend := range cases {
@@ -44,8 +44,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newTestGateway(respond(200, "yes"))
-				back := suspend(w)
-				defer func() { back() }()
+				resume := suspend(w)
+				defer func() { resume() }()
 				w.serve(t.Context(), "/once/x")
 				is.Equal(len(w.sender.sent), 0)
 				is.Equal(w.caller.refusal.Kind, fault.StoreAway)
@@ -78,21 +78,21 @@
 		is.Equal(len(w.sender.sent), 2)
 		is.Equal(w.sender.sent[0].TimeLeft, time.Second)
 		is.True(w.sender.sent[1].TimeLeft <= 600*time.Millisecond)
-		w.gateway.Sender.(*suspendAfterSend).back()
+		w.gateway.Sender.(*suspendAfterSend).resume()
 	})
 }
 
 // suspendAfterSend simulates a suspension of the host after the first send.
 type suspendAfterSend struct {
 	*fakeSender
-	away time.Duration
-	back func()
+	duration time.Duration
+	resume   func()
 }
 
 func (f *suspendAfterSend) Send(ctx context.Context, out *gateway.Outgoing, admit func() error) (*gateway.Answer, *gateway.SendError) {
 	answer, err := f.fakeSender.Send(ctx, out, admit)
-	if f.back == nil {
-		f.back = clock.Simulate(f.away)
+	if f.resume == nil {
+		f.resume = clock.Simulate(f.duration)
 	}
 	return answer, err
 }
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -35,8 +35,8 @@
 
 // directory is one gateway's part of the placement directory.
 type directory struct {
-	// questions holds the open questions by number; an answer closes the channel.
-	questions  map[uint32]chan struct{}
+	// lookups holds the open lookups by number; an answer closes the channel.
+	lookups    map[uint32]chan struct{}
 	lastNumber uint32
 	// waiters holds the gateways to notify when a part has been read.
 	waiters map[uint32][]waiter
@@ -49,26 +49,26 @@
 }
 
 func newDirectory() *directory {
-	return &directory{questions: make(map[uint32]chan struct{}), waiters: make(map[uint32][]waiter)}
+	return &directory{lookups: make(map[uint32]chan struct{}), waiters: make(map[uint32][]waiter)}
 }
 
-// ask registers a new question.
-func (d *directory) ask() (number uint32, answered chan struct{}) {
+// register opens a new lookup.
+func (d *directory) register() (number uint32, answered chan struct{}) {
 	d.lastNumber++
 	if d.lastNumber == 0 {
 		d.lastNumber++ // zero means that nothing is asked
 	}
 	answered = make(chan struct{})
-	d.questions[d.lastNumber] = answered
+	d.lookups[d.lastNumber] = answered
 	return d.lastNumber, answered
 }
 
-// finish closes a question; it returns false if the question was closed before.
+// finish closes a lookup. It returns false if the lookup was closed before.
 func (d *directory) finish(number uint32) bool {
-	answered, ok := d.questions[number]
+	answered, ok := d.lookups[number]
 	if ok {
 		close(answered)
-		delete(d.questions, number)
+		delete(d.lookups, number)
 	}
 	return ok
 }
@@ -102,16 +102,16 @@
 // Find asks the keepers where parts are cached and passes the answers to the balancer. It returns
 // when all answers have arrived, or after findTimeout.
 func (s *Service) Find(ctx context.Context, parts []uint32) balance.Finding {
-	asked := s.ask(parts)
+	asked := s.sendLookups(parts)
 	if len(asked) == 0 {
 		return balance.NotAsked
 	}
 	timer := time.NewTimer(findTimeout)
 	defer timer.Stop()
 	finding := balance.Answered
-	for _, question := range asked {
+	for _, sent := range asked {
 		select {
-		case <-question.answered:
+		case <-sent.answered:
 			continue
 		case <-timer.C:
 		case <-ctx.Done():
@@ -119,20 +119,20 @@
 		finding = balance.Unanswered
 		break
 	}
-	s.finishQuestions(asked, ctx.Err() == nil)
+	s.finishLookups(asked, ctx.Err() == nil)
 	return finding
 }
 
-// question is a lookup that was sent to a peer.
-type question struct {
+// lookup is a lookup that was sent to a peer.
+type lookup struct {
 	number   uint32
 	peer     *peer
 	answered chan struct{}
 }
 
-// ask sends lookups for parts to their keepers, except for the parts that this gateway keeps
-// itself.
-func (s *Service) ask(parts []uint32) []question {
+// sendLookups sends lookups for parts to their keepers, except for the parts that this gateway
+// keeps itself.
+func (s *Service) sendLookups(parts []uint32) []lookup {
 	now := clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,45 +140,45 @@
 	if !current.large {
 		return nil
 	}
-	var asked []question
+	var asked []lookup
 	for _, part := range parts {
 		keeper := current.keeper(part, s.hash)
 		if keeper == nil {
 			continue
 		}
-		number, answered := s.directory.ask()
+		number, answered := s.directory.register()
 		heartbeat := s.bareHeartbeat()
 		heartbeat.Question, heartbeat.Part = number, part
 		if !s.sendDirectory(keeper, heartbeat) {
 			s.directory.finish(number)
 			continue
 		}
-		asked = append(asked, question{number: number, peer: keeper, answered: answered})
+		asked = append(asked, lookup{number: number, peer: keeper, answered: answered})
 	}
 	return asked
 }
 
-// finishQuestions closes the questions that were not answered. Each of them counts against the
+// finishLookups closes the lookups that were not answered. Each of them counts against the
 // peer that was asked, unless blame is false because the caller gave up.
-func (s *Service) finishQuestions(asked []question, blame bool) {
+func (s *Service) finishLookups(asked []lookup, blame bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, question := range asked {
-		if s.directory.finish(question.number) && blame {
-			question.peer.unansweredLookups++
+	for _, sent := range asked {
+		if s.directory.finish(sent.number) && blame {
+			sent.peer.unansweredLookups++
 		}
 	}
 }
 
-// answer answers a lookup with what this gateway knows of a part.
-func (s *Service) answer(from *peer, question *wire.GatewayBeat, now time.Time) {
-	part := question.GetPart()
+// answerLookup answers a lookup with what this gateway knows of a part.
+func (s *Service) answerLookup(from *peer, request *wire.GatewayBeat, now time.Time) {
+	part := request.GetPart()
 	holders, filling := s.options.Balancer.Cached(part, now)
 	if len(holders) == 0 && len(filling) > 0 {
 		s.directory.waiters[part] = append(s.directory.waiters[part], waiter{id: from.id, until: now.Add(waiterTTL)})
 	}
 	heartbeat := s.bareHeartbeat()
-	heartbeat.Answer = question.GetQuestion()
+	heartbeat.Answer = request.GetQuestion()
 	heartbeat.Parts, heartbeat.Holders = splitPlacements(holders)
 	heartbeat.FillParts, heartbeat.FillTargets = splitPlacements(filling)
 	s.sendDirectory(from, heartbeat)
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -179,12 +179,12 @@
 	for i := range parts {
 		parts[i] = uint32(i) << 20
 	}
-	asked := service.ask(parts)
+	asked := service.sendLookups(parts)
 	is.True(len(asked) > 0)
 	is.True(len(asked) < 10)
-	service.finishQuestions(asked, false)
+	service.finishLookups(asked, false)
 	service.mu.Lock()
-	is.Equal(len(service.directory.questions), 0) // lookups that were not sent are not kept open
+	is.Equal(len(service.directory.lookups), 0) // lookups that were not sent are not kept open
 	service.mu.Unlock()
 }
 
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -269,7 +269,7 @@
 	s.applyCrashes(heartbeat, from, now)
 	switch {
 	case heartbeat.GetQuestion() != 0:
-		s.answer(from, heartbeat, now)
+		s.answerLookup(from, heartbeat, now)
 	case heartbeat.GetWantsProof():
 		s.send(from.address, s.briefHeartbeat(from, now), true)
 	}
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -23,9 +23,9 @@
 // table returns the gateway's crash records.
 func (n *node) table() *quarantine.Table { return n.service.crashes.table }
 
-// recordCrash records at a gateway that an instance of a target crashed under a request.
-func (n *node) recordCrash(fingerprint quarantine.Fingerprint, instance quarantine.Incarnation) {
-	if change := n.table().Crashed(fingerprint, instance, time.Now()); change.Changed {
+// recordCrash records at a gateway that an incarnation of a target crashed under a request.
+func (n *node) recordCrash(fingerprint quarantine.Fingerprint, incarnation quarantine.Incarnation) {
+	if change := n.table().Crashed(fingerprint, incarnation, time.Now()); change.Changed {
 		n.service.Spread(change)
 	}
 }
@@ -113,8 +113,8 @@
 // TestClearReachesAllGateways checks that an answer at one gateway ends the hold at all gateways.
 func TestClearReachesAllGateways(t *testing.T) {
 	nodes := newLargeFleet(t)
-	for instance := range 3 {
-		nodes[0].recordCrash(fatal, quarantine.Incarnation(instance))
+	for incarnation := range 3 {
+		nodes[0].recordCrash(fatal, quarantine.Incarnation(incarnation))
 	}
 	waitFor(t, "all gateways hold the request", func() bool { return allHold(nodes, fatal) })
 	nodes[largeFleet-1].service.Spread(nodes[largeFleet-1].table().Answered(fatal, time.Now()))
@@ -166,8 +166,8 @@
 // datagrams with records.
 func TestDigestMismatchSendsRecords(t *testing.T) {
 	nodes := newFleet(t, link.NewMemory(), 2)
-	for instance := range 3 {
-		nodes[0].table().Crashed(fatal, quarantine.Incarnation(instance), time.Now()) // nothing is sent
+	for incarnation := range 3 {
+		nodes[0].table().Crashed(fatal, quarantine.Incarnation(incarnation), time.Now()) // nothing is sent
 	}
 	waitFor(t, "the other gateway holds the request", func() bool { return allHold(nodes, fatal) })
 	nodes[1].table().Lift(fatal, time.Now()) // nothing is sent here either
@@ -189,8 +189,8 @@
 		change := nodes[0].table().Crashed(quarantine.Fingerprint(1000+request), 1, time.Now())
 		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
-	for instance := range 3 {
-		change := nodes[0].table().Crashed(fatal, quarantine.Incarnation(instance), time.Now())
+	for incarnation := range 3 {
+		change := nodes[0].table().Crashed(fatal, quarantine.Incarnation(incarnation), time.Now())
 		service.crashes.enqueue(change.Record, change.Broadcast(), crashSends)
 	}
 	is.True(len(service.crashes.pending) <= maxPending+1)
@@ -248,8 +248,8 @@
 			heartbeat := &wire.GatewayBeat{Life: 1 << 60, Sequence: 1 << 20, Brief: true, Bare: true}
 			for request := range tc.records {
 				record := quarantine.Record{Fingerprint: quarantine.Fingerprint(1<<60 + request), Epoch: 1}
-				for instance := range tc.crashes {
-					record.Incarnations = append(record.Incarnations, quarantine.Incarnation(1<<30+instance))
+				for incarnation := range tc.crashes {
+					record.Incarnations = append(record.Incarnations, quarantine.Incarnation(1<<30+incarnation))
 				}
 				heartbeat.CrashRecords = append(heartbeat.CrashRecords, record.Message())
 			}
@@ -322,8 +322,8 @@
 func TestNewGatewayGetsRecordsAtOnce(t *testing.T) {
 	is := is.New(t)
 	first := newNode(t, "node-0", link.NewMemory())
-	for instance := range 3 {
-		first.table().Crashed(fatal, quarantine.Incarnation(instance), time.Now())
+	for incarnation := range 3 {
+		first.table().Crashed(fatal, quarantine.Incarnation(incarnation), time.Now())
 	}
 	got := listen(t, first).next(func(heartbeat *wire.GatewayBeat) bool { return len(heartbeat.GetCrashRecords()) > 0 })
 	is.Equal(got.GetId(), "node-0")
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -322,7 +322,7 @@
 	c.noteStage(d, decision, now)
 	// No peer answers the gateway's own reports, so its grant is applied as if they had been
 	// sent.
-	c.gate.obey(d.decider.answerReport(NameHash(input.view.service), now), now, now)
+	c.gate.applyGrant(d.decider.answerReport(NameHash(input.view.service), now), now, now)
 	return decision
 }
 
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -46,8 +46,8 @@
 	// last failure reported to the watcher.
 	failures     int
 	lastReported string
-	// storeAway is set if the store was unreachable at the last evaluation.
-	storeAway bool
+	// storeUnreachable is set if the store was unreachable at the last evaluation.
+	storeUnreachable bool
 	// unresolved is a completion whose commit was not answered and may still take effect, or nil.
 	// A newer record or order resolves it.
 	unresolved *Commit
@@ -74,10 +74,10 @@
 // noteReachable records whether the store is reachable; a commit is retried at once if it has
 // come back.
 func (d *deciderState) noteReachable(reachable bool) {
-	if reachable && d.storeAway {
+	if reachable && d.storeUnreachable {
 		d.failures, d.retryAt = 0, time.Time{}
 	}
-	d.storeAway = !reachable
+	d.storeUnreachable = !reachable
 }
 
 // noteFailure records a failed commit and reports whether it differs from the last reported one.
--- a/internal/rollout/controller_peers.go
+++ b/internal/rollout/controller_peers.go
@@ -11,7 +11,7 @@
 func (c *Controller) Reports(now time.Time) []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.gate.due(now, c.reportInterval, func(service string) bool {
+	return c.gate.dueReports(now, c.reportInterval, func(service string) bool {
 		d := c.deciders[service]
 		return d != nil && !d.decides
 	})
@@ -43,7 +43,7 @@
 // Grant handles the answer to a report that was sent at sentAt, or a notice if sentAt is the zero
 // time.
 func (c *Controller) Grant(from string, grant Grant, sentAt, now time.Time) {
-	order, halted := c.gate.obey(grant, sentAt, now)
+	order, halted := c.gate.applyGrant(grant, sentAt, now)
 	if !halted {
 		return
 	}
--- a/internal/rollout/controller_test.go
+++ b/internal/rollout/controller_test.go
@@ -11,14 +11,14 @@
 type fakeDeps struct {
 	noopDeps
 	nodeStore
-	decides   bool
-	live      []string
-	storeAway bool
+	decides          bool
+	live             []string
+	storeUnreachable bool
 }
 
 func (p *fakeDeps) Decides(string) bool { return p.decides }
 func (p *fakeDeps) LiveIDs() []string   { return p.live }
-func (p *fakeDeps) Reachable() bool     { return !p.storeAway }
+func (p *fakeDeps) Reachable() bool     { return !p.storeUnreachable }
 
 func newTestController(p *fakeDeps) *Controller {
 	c := NewController(ControllerOptions{
@@ -136,7 +136,7 @@
 			p := &fakeDeps{decides: true, live: []string{"b", "c"}}
 			control := newTestController(p)
 			control.step(testTime)
-			p.live, p.storeAway = c.live, c.storeAway
+			p.live, p.storeUnreachable = c.live, c.storeAway
 			control.step(testTime.Add(stepInterval))
 			_, ok := control.Report("b", testReport(Hold), testTime.Add(stepInterval))
 			is.Equal(ok, c.want)
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -352,7 +352,7 @@
 	}
 	for _, id := range append([]string{selfID}, s.livePeers...) {
 		g := d.gateways[id]
-		if g == nil || !g.obeysMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
+		if g == nil || !g.followsMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
 			return false
 		}
 	}
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -315,9 +315,9 @@
 	return before, true
 }
 
-// obey applies a grant, or a notice if sentAt is the zero time. It returns the order, and reports
-// whether its version was halted by that.
-func (g *Gate) obey(grant Grant, sentAt, now time.Time) (Order, bool) {
+// applyGrant applies a grant, or a notice if sentAt is the zero time. It returns the order, and
+// reports whether its version was halted by that.
+func (g *Gate) applyGrant(grant Grant, sentAt, now time.Time) (Order, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.byHash[grant.Service]
@@ -338,8 +338,8 @@
 	return s.report(now), true
 }
 
-// due returns the reports to be sent now, for the services that include accepts.
-func (g *Gate) due(now time.Time, every time.Duration, include func(service string) bool) []Report {
+// dueReports returns the reports to be sent now, for the services that include accepts.
+func (g *Gate) dueReports(now time.Time, every time.Duration, include func(service string) bool) []Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var reports []Report
--- a/internal/rollout/gate_test.go
+++ b/internal/rollout/gate_test.go
@@ -187,7 +187,7 @@
 		"completed after a halt": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(haltNotice(1), time.Time{}, testTime)
+				g.applyGrant(haltNotice(1), time.Time{}, testTime)
 				g.Recorded(completed, 2, testTime)
 			},
 			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
@@ -195,39 +195,39 @@
 		"completed by a notice": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(doneNotice(1), time.Time{}, testTime)
-				g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
+				g.applyGrant(doneNotice(1), time.Time{}, testTime)
+				g.applyGrant(newGrant(1, Canary, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Only: "v2"},
 		},
 		"completed by repeated notices, no record": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime.Add(-recordLag))
-				g.obey(doneNotice(1), time.Time{}, testTime.Add(-recordLag))
-				g.obey(doneNotice(1), time.Time{}, testTime.Add(-time.Second))
+				g.applyGrant(doneNotice(1), time.Time{}, testTime.Add(-recordLag))
+				g.applyGrant(doneNotice(1), time.Time{}, testTime.Add(-time.Second))
 			},
 			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"completed by a notice after a halt": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(haltNotice(1), time.Time{}, testTime)
-				g.obey(doneNotice(1), time.Time{}, testTime)
+				g.applyGrant(haltNotice(1), time.Time{}, testTime)
+				g.applyGrant(doneNotice(1), time.Time{}, testTime)
 			},
 			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"another order completed by a notice": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(doneNotice(9), time.Time{}, testTime)
+				g.applyGrant(doneNotice(9), time.Time{}, testTime)
 			},
 			balance.Versions{Excluded: []string{"v2"}},
 		},
 		"an expired hold": {
 			func(g *Gate) {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(newGrant(1, Hold, 0), testTime, testTime)
-				g.obey(newGrant(1, Move, time.Minute), testTime, testTime)
+				g.applyGrant(newGrant(1, Hold, 0), testTime, testTime)
+				g.applyGrant(newGrant(1, Move, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Only: "v2"},
 		},
@@ -249,7 +249,7 @@
 			func(g *Gate) {
 				g.Recorded(completed, 2, testTime)
 				g.Ordered(newOrder("v2", 3), testTime)
-				g.obey(newGrant(3, Canary, time.Minute), testTime, testTime)
+				g.applyGrant(newGrant(3, Canary, time.Minute), testTime, testTime)
 			},
 			balance.Versions{Excluded: []string{"v1"}, Preferred: "v2"},
 		},
@@ -274,33 +274,33 @@
 	g := NewGate(testOptions)
 	g.Ordered(newOrder("v2", 1), testTime)
 	is.Equal(send(g, 1000, "v2", "v1", testTime), 0) // no grant
-	g.obey(newGrant(2, Move, time.Second), testTime, testTime)
+	g.applyGrant(newGrant(2, Move, time.Second), testTime, testTime)
 	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // of another order
-	g.obey(newGrant(1, Canary, time.Second), time.Time{}, testTime)
+	g.applyGrant(newGrant(1, Canary, time.Second), time.Time{}, testTime)
 	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // a notice allows nothing
-	g.obey(newGrant(1, Canary, time.Second), testTime.Add(-2*time.Second), testTime)
+	g.applyGrant(newGrant(1, Canary, time.Second), testTime.Add(-2*time.Second), testTime)
 	is.Equal(send(g, 10, "v2", "v1", testTime), 0) // it has expired
-	g.obey(newGrant(1, Canary, time.Second), testTime, testTime)
-	g.obey(newGrant(1, Move, time.Second), testTime.Add(-2*time.Second), testTime) // it has expired, and doesn't end the canary
+	g.applyGrant(newGrant(1, Canary, time.Second), testTime, testTime)
+	g.applyGrant(newGrant(1, Move, time.Second), testTime.Add(-2*time.Second), testTime) // it has expired, and doesn't end the canary
 	sent := send(g, 1000, "v2", "v1", testTime)
 	is.True(sent > 10 && sent <= 200)
 	is.Equal(send(g, 10, "v2", "v1", testTime.Add(time.Second)), 0)
 	later := testTime.Add(2 * time.Second)
-	g.obey(newGrant(1, Move, time.Second), later, later)
+	g.applyGrant(newGrant(1, Move, time.Second), later, later)
 	is.Equal(send(g, 10, "v2", "v1", later), 10)
 	is.Equal(g.AdmittedVersions(testService, later).Only, "v2")
 	report, _ := g.report(testService, later)
 	is.Equal(report.Exposed, sent+10) // requests of a move count as exposure, too
 	is.Equal(report.Stage, Move)
-	g.obey(newGrant(1, Canary, time.Minute), later, later)
-	g.obey(newGrant(1, Hold, time.Minute), later, later)
+	g.applyGrant(newGrant(1, Canary, time.Minute), later, later)
+	g.applyGrant(newGrant(1, Hold, time.Minute), later, later)
 	is.Equal(send(g, 10, "v2", "v1", later), 10) // a gateway stays in a move
-	_, halted := g.obey(haltNotice(1), time.Time{}, later)
+	_, halted := g.applyGrant(haltNotice(1), time.Time{}, later)
 	is.True(halted)
 	is.Equal(send(g, 10, "v2", "v1", later), 0)
-	g.obey(newGrant(1, Move, time.Minute), later, later)
+	g.applyGrant(newGrant(1, Move, time.Minute), later, later)
 	is.Equal(send(g, 1000, "v2", "v1", later), 0) // halted
-	_, halted = g.obey(haltNotice(1), time.Time{}, later)
+	_, halted = g.applyGrant(haltNotice(1), time.Time{}, later)
 	is.True(!halted) // it was halted before
 }
 
@@ -311,7 +311,7 @@
 	g := NewGate(testOptions)
 	g.random = func() float64 { return 0 } // no head start
 	g.Ordered(newOrder("v2", 1), testTime)
-	g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
+	g.applyGrant(newGrant(1, Canary, time.Minute), testTime, testTime)
 	requests, exposed := 0, 0
 	for i := range 5000 {
 		assignment := g.Assign(AssignRequest{Service: testService, Route: "a", Retry: i%7 == 0}, testTime)
@@ -374,7 +374,7 @@
 	is.Equal(v.firstRevision, int64(1))
 	is.Equal(v.requests, 1000)
 	is.Equal(deadlineOf(v.order, v.knownSince, v.notBefore), deadlineOf(first, testTime, time.Time{}))
-	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(time.Second), testTime.Add(time.Second))
+	g.applyGrant(newGrant(2, Canary, time.Minute), testTime.Add(time.Second), testTime.Add(time.Second))
 	is.Equal(send(g, 5, "v2", "v1", testTime.Add(time.Second)), 0)
 	g.Recorded(Record{Order: first, State: RolledBack, Refused: []string{"v2"}}, 3, testTime)
 	v = g.views(testTime)[0]
@@ -391,7 +391,7 @@
 	g.Ordered(newOrder("v2", 1), testTime)
 	all := func(string) bool { return true }
 	due := func(after time.Duration) int {
-		return len(g.due(testTime.Add(after), time.Second, all))
+		return len(g.dueReports(testTime.Add(after), time.Second, all))
 	}
 	is.Equal(due(0), 1)
 	is.Equal(due(10*time.Millisecond), 0)
@@ -399,20 +399,20 @@
 	is.Equal(due(2*reportRetryDelay), 1)
 	is.Equal(due(3*reportRetryDelay), 0) // no more retries
 	is.Equal(due(2*reportRetryDelay+time.Second), 1)
-	g.obey(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
+	g.applyGrant(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
 	is.Equal(due(2*time.Second), 1) // another stage
-	g.obey(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
+	g.applyGrant(newGrant(1, Canary, time.Minute), testTime.Add(2*time.Second), testTime.Add(2*time.Second))
 	is.Equal(due(2*time.Second+reportRetryDelay), 0) // answered
 	is.Equal(due(3*time.Second), 1)
-	is.Equal(len(g.due(testTime.Add(time.Minute), time.Second, func(string) bool { return false })), 0)
+	is.Equal(len(g.dueReports(testTime.Add(time.Minute), time.Second, func(string) bool { return false })), 0)
 	short := newOrder("v2", 2)
 	short.Duration = 10 * time.Second
 	g.Ordered(short, testTime)
 	is.Equal(due(4*time.Second), 1)
-	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(4*time.Second), testTime.Add(4*time.Second))
+	g.applyGrant(newGrant(2, Canary, time.Minute), testTime.Add(4*time.Second), testTime.Add(4*time.Second))
 	is.Equal(due(4500*time.Millisecond), 0)
 	is.Equal(due(6*time.Second), 1)
-	g.obey(newGrant(2, Canary, time.Minute), testTime.Add(6*time.Second), testTime.Add(6*time.Second))
+	g.applyGrant(newGrant(2, Canary, time.Minute), testTime.Add(6*time.Second), testTime.Add(6*time.Second))
 	is.Equal(due(6500*time.Millisecond), 1) // reports are more frequent shortly before the move
 }
 
@@ -426,7 +426,7 @@
 		g := NewGate(testOptions)
 		g.random = random.Float64
 		g.Ordered(newOrder("v2", 1), testTime)
-		g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
+		g.applyGrant(newGrant(1, Canary, time.Minute), testTime, testTime)
 		send(g, each, "v2", "v1", testTime)
 		report, _ := g.report(testService, testTime)
 		requests += report.Requests
@@ -446,7 +446,7 @@
 			g := NewGate(testOptions)
 			if order {
 				g.Ordered(newOrder("v2", 1), testTime)
-				g.obey(newGrant(1, Canary, time.Minute), testTime, testTime)
+				g.applyGrant(newGrant(1, Canary, time.Minute), testTime, testTime)
 			}
 			outcome := Outcome{Service: testService, Route: "a", Version: "v1", Ending: Answered, Head: 50 * time.Millisecond}
 			b.ReportAllocs()
@@ -476,7 +476,7 @@
 		"an order for another version": {func(g *Gate) { g.Ordered(newOrder("v2", 1), testTime); g.Ordered(newOrder("v3", 2), testTime) }, all, "v3"},
 		"halted": {func(g *Gate) {
 			g.Ordered(newOrder("v2", 1), testTime)
-			g.obey(haltNotice(1), time.Time{}, testTime)
+			g.applyGrant(haltNotice(1), time.Time{}, testTime)
 		}, all, ""},
 		"order withdrawn": {func(g *Gate) {
 			g.Ordered(newOrder("v2", 1), testTime)
--- a/internal/rollout/gateway_reports.go
+++ b/internal/rollout/gateway_reports.go
@@ -21,9 +21,9 @@
 	samples []rateSample
 }
 
-// obeysMove reports whether the gateway's last report says that it sends all requests to the
+// followsMove reports whether the gateway's last report says that it sends all requests to the
 // order's version.
-func (g *gatewayReports) obeysMove(order int64) bool {
+func (g *gatewayReports) followsMove(order int64) bool {
 	return g.report.Order == order && g.report.Stage == Move
 }
 
--- a/internal/rollout/sprt_test.go
+++ b/internal/rollout/sprt_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestBrokenTargetsAndAFailure checks that two broken targets of four, and one failure at a
+// TestBrokenTargetsAndFailure checks that two broken targets of four, and one failure at a
 // third, are put down to chance.
-func TestBrokenTargetsAndAFailure(t *testing.T) {
+func TestBrokenTargetsAndFailure(t *testing.T) {
 	is := is.New(t)
 	weights := newLogOdds(minBaseFailures)
 	var test sequentialTest
