--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -23,7 +23,7 @@
 	// Request is the ID of the request that was answered.
 	Request string
 	Notice  balance.Notice
-	News    balance.NoticeChange
+	Change  balance.NoticeChange
 }
 
 // handleNotice applies the target's report about itself. It applies from now on to everything that
@@ -44,7 +44,7 @@
 		Incarnation: a.incarnation,
 		Request:     a.call.request.ID,
 		Notice:      notice,
-		News:        changes,
+		Change:      changes,
 	})
 }
 
--- a/internal/gateway/notices_test.go
+++ b/internal/gateway/notices_test.go
@@ -96,7 +96,7 @@
 				is.Equal(w.sentTo("a"), 1)
 				is.Equal(len(w.caller.notices), 1) // reported once
 				is.Equal(w.caller.notices[0].Target, "a")
-				is.True(w.caller.notices[0].News.Leaving)
+				is.True(w.caller.notices[0].Change.Leaving)
 				is.Equal(len(w.gateway.Balancer.InFlight()), 0)
 			})
 		})
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -84,15 +84,15 @@
 
 // Notice logs what a target has said of itself in an answer, and counts it.
 func (o *Observer) Notice(record *gateway.NoticeRecord) {
-	if record.News.Leaving {
+	if record.Change.Leaving {
 		o.metrics.notices.WithLabelValues(record.Service, noticeLeaving).Inc()
 		o.log.Info(EventLeaving, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request)
 	}
-	if record.News.BackingOff {
+	if record.Change.BackingOff {
 		o.metrics.notices.WithLabelValues(record.Service, noticeRest).Inc()
 		o.log.Info(EventRests, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.RetryAfter))
 	}
-	if record.News.Unreadable {
+	if record.Change.Unreadable {
 		o.metrics.notices.WithLabelValues(record.Service, noticeUnreadable).Inc()
 		o.log.Warn(EventUnreadable, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
 	}
