--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -146,7 +146,7 @@
 	once  sync.Once
 }
 
-// admitOne admits one request; g.mu is held.
+// admitOne admits one request. The caller must hold g.mu.
 func (g *Gate) admitOne() *Place {
 	g.inFlight++
 	g.backoff.probing = g.backoff.needsProbe()
@@ -262,7 +262,7 @@
 	g.lastRelease = now
 }
 
-// admitWaiting admits queued requests while there is room; g.mu is held.
+// admitWaiting admits queued requests while there is room. The caller must hold g.mu.
 func (g *Gate) admitWaiting() {
 	for g.hasRoom() {
 		w := g.queues.pop()
@@ -284,7 +284,7 @@
 	g.checkDrained()
 }
 
-// refuseWaiting refuses all queued requests; g.mu is held.
+// refuseWaiting refuses all queued requests. The caller must hold g.mu.
 func (g *Gate) refuseWaiting(refusal *fault.Error) {
 	for w := g.queues.pop(); w != nil; w = g.queues.pop() {
 		w.state, w.refusal = waiterRefused, refusal
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -145,7 +145,7 @@
 	l.admit(room, now)
 }
 
-// admit admits queued requests in order while there is room; l.mu is held.
+// admit admits queued requests in order while there is room. The caller must hold l.mu.
 func (l *Limiter) admit(room int, now time.Time) {
 	for l.granted < room && l.waiting > 0 {
 		rank := l.nextRank(now)
@@ -160,7 +160,7 @@
 }
 
 // nextRank returns the rank to serve next: the most urgent rank whose admitted share is below the
-// minimum, or else the most urgent one with a waiting request; l.mu is held.
+// minimum, or else the most urgent one with a waiting request. The caller must hold l.mu.
 func (l *Limiter) nextRank(now time.Time) int {
 	mostUrgent := -1
 	minShare := l.options.MinShare * l.meanShare(now)
@@ -178,7 +178,7 @@
 	return mostUrgent
 }
 
-// admittedShare returns the recently admitted part of a rank's offers; l.mu is held.
+// admittedShare returns the recently admitted part of a rank's offers. The caller must hold l.mu.
 func (l *Limiter) admittedShare(rank int, now time.Time) float64 {
 	offered := l.offered[rank].valueAt(now, l.options.HalfLife)
 	if offered == 0 {
@@ -187,7 +187,7 @@
 	return l.admitted[rank].valueAt(now, l.options.HalfLife) / offered
 }
 
-// meanShare returns the recently admitted part of all offers; l.mu is held.
+// meanShare returns the recently admitted part of all offers. The caller must hold l.mu.
 func (l *Limiter) meanShare(now time.Time) float64 {
 	offered, admitted := 0.0, 0.0
 	for rank := range rankCount {
@@ -200,7 +200,7 @@
 	return admitted / offered
 }
 
-// admissionRate returns the recent admissions per second; l.mu is held.
+// admissionRate returns the recent admissions per second. The caller must hold l.mu.
 func (l *Limiter) admissionRate(now time.Time) float64 {
 	return l.admissions.rate(now, l.options.RateHalfLife)
 }
@@ -214,7 +214,7 @@
 )
 
 // estimateWait estimates how long a newly queued request will wait; it returns zero if there were
-// too few admissions to tell. l.mu is held.
+// too few admissions to tell. The caller must hold l.mu.
 func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
 	if l.admissions.valueAt(now, l.options.RateHalfLife) < minAdmissionsForEstimate {
 		return 0
@@ -233,14 +233,14 @@
 const maxRetryFraction = 1.0 / 3
 
 // spareRate returns the part of the admission rate that is available to callers that retry. It is
-// zero once half of the offers are refused, since retries would only be refused again. l.mu is
-// held.
+// zero once half of the offers are refused, since retries would only be refused again. The caller
+// must hold l.mu.
 func (l *Limiter) spareRate(now time.Time) float64 {
 	return max(2*l.meanShare(now)-1, 0) * l.admissionRate(now)
 }
 
-// retryAfter returns the time after which a refused caller should retry. Successive refused
-// callers are spaced out at the spare rate; l.mu is held.
+// retryAfter returns the time after which a refused caller should retry. Successive refused callers
+// are spaced out at the spare rate. The caller must hold l.mu.
 func (l *Limiter) retryAfter(remaining time.Duration, now time.Time) time.Duration {
 	longest := max(time.Duration(maxRetryFraction*float64(remaining)), l.options.MinRetryAfter)
 	gap := longest
@@ -259,7 +259,7 @@
 	return next.Sub(now)
 }
 
-// remove takes a request out of the queue; l.mu is held.
+// remove takes a request out of the queue. The caller must hold l.mu.
 func (l *Limiter) remove(turn *Turn) {
 	l.queues[turn.rank].remove(turn.waiter)
 	l.waiting--
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -303,8 +303,8 @@
 	l.requests = kept
 }
 
-// recordCrashes records the end of a target against all requests that were in flight there; c.mu
-// must be held.
+// recordCrashes records the end of a target against all requests that were in flight there. The
+// caller must hold c.mu.
 func (c *Crashes) recordCrashes(incarnation string, known *incarnationLosses, end balance.End, now time.Time) {
 	name := quarantineIncarnation(incarnation)
 	for _, lost := range known.requests {
@@ -324,7 +324,7 @@
 	return quarantine.Incarnation(policy.HashName(incarnation) >> 32)
 }
 
-// probe probes the address of a target; c.mu must be held.
+// probe probes the address of a target. The caller must hold c.mu.
 func (c *Crashes) probe(ctx context.Context, incarnation string, known *incarnationLosses) {
 	known.probing = true
 	c.wait.Go(func() {
--- a/internal/gateway/stalls.go
+++ b/internal/gateway/stalls.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// fade applies the decay up to now; s.mu must be held.
+// decay applies the exponential decay up to now. The caller must hold s.mu.
 func (s *stalls) decay(now time.Time) {
 	factor := math.Exp2(-max(now.Sub(s.updatedAt), 0).Seconds() / stallHalfLife.Seconds())
 	s.events *= factor
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// startLivenessTimer starts to check a stream's target unless that has been started; a.mu must be
-// held.
+// startLivenessTimer starts to check a stream's target unless that has been started. The caller
+// must hold a.mu.
 func (a *attempt) startLivenessTimer() {
 	if a.liveness.timer == nil && a.liveness.contact != nil && !a.liveness.closed {
 		a.liveness.nextCheck = clock.Now().Add(unresponsiveInterval)
@@ -200,7 +200,7 @@
 }
 
 // isUnresponsive reports whether the target is known to be gone: suspected since the last contact,
-// and silent for longer than usual. a.mu must be held.
+// and silent for longer than usual. The caller must hold a.mu.
 func (a *attempt) isUnresponsive(now time.Time) bool {
 	last := a.liveness.contact.last(a.started)
 	if a.liveness.passing.Load() || now.Sub(last) < unresponsiveInterval {
--- a/internal/once/lease.go
+++ b/internal/once/lease.go
@@ -142,7 +142,8 @@
 	g.dropOwned()
 }
 
-// dropOwned drops all owned slots until the table names this agent in a new epoch; g.mu is held.
+// dropOwned drops all owned slots until the table names this agent in a new epoch. The caller must
+// hold g.mu.
 func (g *Guard) dropOwned() {
 	for number, slot := range g.owned {
 		g.lostEpochs[number] = slot.epoch
@@ -162,7 +163,8 @@
 	return LongLease{Incarnation: g.self.Incarnation, UntilMS: until.UnixMilli()}
 }
 
-// leaseExpired reports whether another agent's long lease has certainly expired; g.mu is held.
+// leaseExpired reports whether another agent's long lease has certainly expired. The caller must
+// hold g.mu.
 func (g *Guard) leaseExpired(lease LongLease) bool {
 	if g.mutation == skipLongLease {
 		return true
@@ -230,7 +232,7 @@
 
 // expiredOwners returns the owners whose slots this agent may take over as their witness: all
 // promises granted to them have expired, including those that a previous witness may have granted.
-// g.mu is held.
+// The caller must hold g.mu.
 func (g *Guard) expiredOwners() []Holder {
 	now := g.clock.Boot()
 	var expired []Holder
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -135,7 +135,7 @@
 	s.wake()
 }
 
-// sendCrashes sends the crash records that are due. The caller holds s.mu.
+// sendCrashes sends the crash records that are due. The caller must hold s.mu.
 func (s *Service) sendCrashes(now time.Time) {
 	s.repostRecords(now)
 	if len(s.crashes.pending) == 0 {
@@ -226,8 +226,8 @@
 	return rank
 }
 
-// sendRecords sends records to a peer at once, as far as their byte budget allows. Omitted ones
-// are sent in later rounds or on the peer's next hash. The caller holds s.mu.
+// sendRecords sends records to a peer at once, as far as their byte budget allows. Omitted ones are
+// sent in later rounds or on the peer's next hash. The caller must hold s.mu.
 func (s *Service) sendRecords(to *peer, records []quarantine.Record) {
 	for chunk := range slices.Chunk(records, maxCrashRecords) {
 		heartbeat := s.bareHeartbeatTo(to)
@@ -241,7 +241,7 @@
 	}
 }
 
-// applyCrashes applies a heartbeat's crash records. The caller holds s.mu.
+// applyCrashes applies a heartbeat's crash records. The caller must hold s.mu.
 func (s *Service) applyCrashes(heartbeat *wire.GatewayBeat, from *peer, now time.Time) {
 	var replies []quarantine.Record
 	for _, message := range heartbeat.GetCrashRecords() {
@@ -267,7 +267,7 @@
 }
 
 // compareQuarantine sends this process's held requests to a peer whose hash of held requests
-// differs. The caller holds s.mu.
+// differs. The caller must hold s.mu.
 func (s *Service) compareQuarantine(digest uint64, from *peer, now time.Time) {
 	if digest == s.crashes.table.Digest() || now.Sub(from.quarantineSentAt) < digestInterval {
 		return
@@ -283,7 +283,7 @@
 
 // sendCrashesToNew sends a newly found gateway the records that concern all gateways, if this
 // gateway is one of the few responsible for that. The new gateway may also become the keeper of
-// other requests. The caller holds s.mu.
+// other requests. The caller must hold s.mu.
 func (s *Service) sendCrashesToNew(found *peer, now time.Time) {
 	if s.crashes.table.Empty() {
 		return
@@ -304,7 +304,7 @@
 }
 
 // repostRecords schedules all records of single crashes for their current keepers after gateways
-// have come or gone. The caller holds s.mu.
+// have come or gone. The caller must hold s.mu.
 func (s *Service) repostRecords(now time.Time) {
 	if !s.crashes.peersChanged || now.Sub(s.crashes.repostedAt) < repostInterval {
 		return
--- a/internal/peer/refused.go
+++ b/internal/peer/refused.go
@@ -43,7 +43,7 @@
 
 // spreadRefused schedules targets for the next round, in which a few live peers chosen at random
 // are notified of them. When hosts are lost many targets are found within a moment; one datagram
-// for each of them used up the bytes of all loads. The caller holds s.mu.
+// for each of them used up the bytes of all loads. The caller must hold s.mu.
 func (s *Service) spreadRefused(targets []uint32) {
 	if len(targets) == 0 {
 		return
@@ -52,7 +52,7 @@
 	s.wake()
 }
 
-// sendRefused sends the targets that spreadRefused has scheduled. The caller holds s.mu.
+// sendRefused sends the targets that spreadRefused has scheduled. The caller must hold s.mu.
 func (s *Service) sendRefused(now time.Time) {
 	if len(s.refused) == 0 {
 		return
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -78,7 +78,7 @@
 	eligible, reachesStore bool
 }
 
-// selfCandidacy returns this process's properties. The caller holds s.mu.
+// selfCandidacy returns this process's properties. The caller must hold s.mu.
 func (s *Service) selfCandidacy() selfCandidacy {
 	return selfCandidacy{
 		hash:         s.hash,
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -243,7 +243,7 @@
 // than the state of the peers changes.
 const viewTTL = tick
 
-// currentView returns a view of the table. The caller holds s.mu.
+// currentView returns a view of the table. The caller must hold s.mu.
 func (s *Service) currentView(now time.Time) *view {
 	if s.cachedView == nil || now.Sub(s.cachedView.at) >= viewTTL || now.Before(s.cachedView.at) {
 		s.table.loaded = s.options.Replica.Revision() > 0
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -111,7 +111,7 @@
 }
 
 // consumeAnswer reports whether the request was fully answered here within answeredTTL. One answer
-// excuses one crash: a request that was harmless then may be fatal now. The caller holds t.mu.
+// excuses one crash: a request that was harmless then may be fatal now. The caller must hold t.mu.
 func (t *Table) consumeAnswer(fingerprint Fingerprint, now time.Time) bool {
 	answeredAt, ok := t.answered.Peek(fingerprint)
 	if ok {
@@ -135,7 +135,7 @@
 	return t.clear(fingerprint, now)
 }
 
-// clear clears a request if any crashes are recorded for it. The caller holds t.mu.
+// clear clears a request if any crashes are recorded for it. The caller must hold t.mu.
 func (t *Table) clear(fingerprint Fingerprint, now time.Time) Change {
 	e, ok := t.entries[fingerprint]
 	if !ok || len(e.Incarnations) == 0 {
@@ -175,7 +175,7 @@
 	return change
 }
 
-// apply joins a record with the known one. The caller holds t.mu.
+// apply joins a record with the known one. The caller must hold t.mu.
 func (t *Table) apply(other Record, now time.Time) Change {
 	e, ok := t.entries[other.Fingerprint]
 	if ok && e.expired(now) {
@@ -207,8 +207,8 @@
 	return 0
 }
 
-// evict removes an eighth of the records if the table is full: those with the fewest crashes
-// first, and of these the oldest. Held requests are evicted last. The caller holds t.mu.
+// evict removes an eighth of the records if the table is full: those with the fewest crashes first,
+// and of these the oldest. Held requests are evicted last. The caller must hold t.mu.
 func (t *Table) evict(now time.Time) {
 	if len(t.entries) < maxRecords {
 		return
@@ -230,13 +230,13 @@
 	}
 }
 
-// remove deletes a record. The caller holds t.mu.
+// remove deletes a record. The caller must hold t.mu.
 func (t *Table) remove(e *entry) {
 	t.digest ^= e.digest()
 	delete(t.entries, e.Fingerprint)
 }
 
-// expire removes records that no longer have any effect. The caller holds t.mu.
+// expire removes records that no longer have any effect. The caller must hold t.mu.
 func (t *Table) expire(now time.Time) {
 	for _, e := range t.entries {
 		if e.expired(now) {
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -124,7 +124,7 @@
 	return blame.explained && now.Sub(blame.changedAt) >= quiet && t.isNext(e, now)
 }
 
-// isNext reports whether no request that shares a crash is to be tried first. The caller holds
+// isNext reports whether no request that shares a crash is to be tried first. The caller must hold
 // t.mu.
 func (t *Table) isNext(e *entry, now time.Time) bool {
 	for _, other := range t.entries {
@@ -159,7 +159,7 @@
 	return !e.restored && !e.trialCrashed() && now.Sub(blame.changedAt) < delay
 }
 
-// blame compares a request with all others. The caller holds t.mu.
+// blame compares a request with all others. The caller must hold t.mu.
 func (t *Table) blame(e *entry) blame {
 	result := blame{changedAt: e.changedAt}
 	unexplained, uncovered := slices.Clone(e.Incarnations), slices.Clone(e.Incarnations)
--- a/internal/replica/page.go
+++ b/internal/replica/page.go
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// unpack reads one item of a page. The caller holds c.mu.
+// unpack reads one item of a page. The caller must hold c.mu.
 func (c *Copy) unpack(packed *wire.ReplicaItem) (receivedItem, error) {
 	item := receivedItem{Item: Item{Key: packed.GetKey(), Value: packed.GetValue(), Revision: packed.GetRevision(), Gone: packed.GetGone()}}
 	rec := c.records[item.Key]
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -120,7 +120,7 @@
 }
 
 // dropMissing removes the keys that a whole reading made at a revision lacks. Keys that were added
-// and removed again before it were never known here. The caller holds c.mu.
+// and removed again before it were never known here. The caller must hold c.mu.
 func (c *Copy) dropMissing(present map[string]bool, revision int64) {
 	c.floor = max(c.floor, revision)
 	for _, key := range slices.Sorted(maps.Keys(c.records)) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// advanceTo records that all changes up to a revision are known. The caller holds c.mu.
+// advanceTo records that all changes up to a revision are known. The caller must hold c.mu.
 func (c *Copy) advanceTo(revision int64) bool {
 	c.revision = max(c.revision, revision)
 	c.trimRemoved()
@@ -139,7 +139,7 @@
 }
 
 // applyChange applies one change, unless a newer one of its key is known. The patches that brought
-// it are kept; if there are none, one is created. The caller holds c.mu.
+// it are kept; if there are none, one is created. The caller must hold c.mu.
 func (c *Copy) applyChange(change Item, patches []patch) {
 	rec, ok := c.records[change.Key]
 	if ok && change.Revision <= rec.Revision {
@@ -177,7 +177,7 @@
 	return patches[max(0, len(patches)-maxPatches):]
 }
 
-// trimRemoved drops the removed keys when there are too many. The caller holds c.mu.
+// trimRemoved drops the removed keys when there are too many. The caller must hold c.mu.
 func (c *Copy) trimRemoved() {
 	removed := 0
 	for _, rec := range c.records {
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -283,7 +283,7 @@
 	return steps, commits
 }
 
-// deciderFor returns a service's state, creating it if necessary; c.mu is held.
+// deciderFor returns a service's state, creating it if necessary. The caller must hold c.mu.
 func (c *Controller) deciderFor(service string) *deciderState {
 	d := c.deciders[service]
 	if d == nil {
@@ -294,9 +294,9 @@
 }
 
 // inMinority reports whether this process is in contact with less than half of the gateways that
-// there were. It is probably the one that is partitioned off then, so it begins no move,
-// completes nothing, and halts no version for lack of evidence. If it can't reach the store
-// either, no other gateway could tell it of a halt, so it grants itself nothing. c.mu is held.
+// there were. It is probably the one that is partitioned off then, so it begins no move, completes
+// nothing, and halts no version for lack of evidence. If it can't reach the store either, no other
+// gateway could tell it of a halt, so it grants itself nothing. The caller must hold c.mu.
 func (c *Controller) inMinority(livePeers int, now time.Time) bool {
 	if livePeers >= c.maxPeers || now.Sub(c.maxPeersAt) > maxPeersTTL {
 		c.maxPeers, c.maxPeersAt = livePeers, now
@@ -304,7 +304,7 @@
 	return 2*(livePeers+1) < c.maxPeers+1
 }
 
-// stepOne decides about one service; c.mu is held.
+// stepOne decides about one service. The caller must hold c.mu.
 func (c *Controller) stepOne(d *deciderState, input serviceInput, tookOver bool, s stepInput, now time.Time) decision {
 	report, running := c.gate.report(input.view.service, now)
 	if !input.view.running || !running {
@@ -326,7 +326,8 @@
 	return decision
 }
 
-// noteStage queues a step for the watcher if the allowed stage has changed; c.mu is held.
+// noteStage queues a step for the watcher if the allowed stage has changed. The caller must hold
+// c.mu.
 func (c *Controller) noteStage(d *deciderState, decision decision, now time.Time) {
 	step := Step{
 		Kind: StepStage, Service: d.decider.order.Service, Version: d.decider.order.Version,
@@ -345,7 +346,8 @@
 	c.addStepLocked(step)
 }
 
-// notifyEndLocked schedules notices of an order's end to all other gateways; c.mu is held.
+// notifyEndLocked schedules notices of an order's end to all other gateways. The caller must hold
+// c.mu.
 func (c *Controller) notifyEndLocked(grant Grant, now time.Time) {
 	for i := range noticeRepeats {
 		c.notices = append(c.notices, notice{grant: grant, at: now.Add(time.Duration(i) * noticeInterval)})
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -45,16 +45,15 @@
 	}
 }
 
-// notifyChange wakes the requests that wait for a change; g.mu is held.
+// notifyChange wakes the requests that wait for a change. The caller must hold g.mu.
 func (g *Gate) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Await serves a request that has found no target although the version of a running order may
-// have some: the order may be completed, with the record of that still in transit. It returns a
-// channel that is closed when an order or a record becomes known, and the time until which to
-// wait for that. ok is false if there is nothing to wait for, or the wait is over.
+// Await is for a request that has found no target although the version of a running order may
+// have some: the order may be completed, with its record still in transit. It returns a channel
+// that is closed when an order or a record becomes known, and the time until which to wait for it. ok is false if there is nothing to wait for, or the wait is over.
 func (g *Gate) Await(service string, now time.Time) (changed <-chan struct{}, until time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -246,7 +245,7 @@
 	s.trial.tallies.Add(outcome.Route, target, failed, slow)
 }
 
-// service returns the state of a service, creating it if necessary; g.mu is held.
+// service returns the state of a service, creating it if necessary. The caller must hold g.mu.
 func (g *Gate) service(name string) *service {
 	s := g.services[name]
 	if s == nil {
