--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -245,7 +245,7 @@
 	// Candidates is the number of targets that were open to the choice.
 	Candidates int
 	// Fills are the long parts of the prompt that no target is known to hold and that the
-	// chosen target begins to read.
+	// chosen target begins to prefill.
 	Fills []Placement
 }
 
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -120,9 +120,9 @@
 	is.Equal(spilled.FetchFrom, home.Target.Address)
 }
 
-// TestFailedReadIsNotRecorded guards against treating a failed request as a completed read:
+// TestFailedPrefillIsNotRecorded guards against treating a failed request as a completed prefill:
 // later requests then fetched nothing from the real holder. Found on trouble-1.
-func TestFailedReadIsNotRecorded(t *testing.T) {
+func TestFailedPrefillIsNotRecorded(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(4)
 	parts := session(1).Parts
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -87,7 +87,7 @@
 // the session's rendezvous order, otherwise the least loaded one. Targets in a holder's data
 // centre come first in that order, because moving a prefix between data centres costs twice as
 // much. A target whose host is slowed down by other work gets no prompt that it does not hold,
-// and no short prompt at all while another target has room: reading the prompt elsewhere takes
+// and no short prompt at all while another target has room: prefilling the prompt elsewhere takes
 // less time than the first event from the slow host. The caller must hold b.mu.
 func (b *Balancer) chooseForSession(query Query, open []*state, limit sessionLimit, baseline speedBaseline) *state {
 	session, bound := query.Parts[len(query.Parts)-1], limit.max
--- a/internal/balance/directory.go
+++ b/internal/balance/directory.go
@@ -87,7 +87,7 @@
 }
 
 // Cached returns the known locations of a part: the targets that hold it, and the target that
-// is reading it, if any.
+// is prefilling it, if any.
 func (b *Balancer) Cached(part uint32, now time.Time) (holders, filling []Placement) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/directory_test.go
+++ b/internal/balance/directory_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestPartsToLocateUpperParts guards against asking for the deepest part only: on scale-2 of
-// the large site a million tokens of parts that many sessions share were read again, because a
+// the large site a million tokens of parts that many sessions share were prefilled again, because a
 // gateway knew no holders of them until it had used them itself.
 func TestPartsToLocateUpperParts(t *testing.T) {
 	is := is.New(t)
@@ -117,7 +117,7 @@
 }
 
 // TestCached checks that targets deregistered long ago are no holders any more, and that a
-// read is reported until it is over.
+// prefill is reported until it is over.
 func TestCached(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(3)
--- a/internal/balance/doc.go
+++ b/internal/balance/doc.go
@@ -18,5 +18,5 @@
 //   - versions.go, admitted.go, topscored.go: which versions may take a request, and how
 //     many targets of a version on trial do
 //   - holders.go, placements.go, directory.go, fills.go: where prompts are cached or
-//     being read
+//     being prefilled
 package balance
--- a/internal/balance/evacuation_test.go
+++ b/internal/balance/evacuation_test.go
@@ -118,7 +118,7 @@
 }
 
 // TestEvacuatedHolderIsSource checks that an evacuated holder gets no request, but that the
-// prompts it holds are fetched and not read again.
+// prompts it holds are fetched and not prefilled again.
 func TestEvacuatedHolderIsSource(t *testing.T) {
 	is := is.New(t)
 	b := newTwoDataCenters()
--- a/internal/balance/fills.go
+++ b/internal/balance/fills.go
@@ -19,7 +19,7 @@
 // fill is the prefill of a part of prompts that no target holds yet.
 type fill struct {
 	target uint32
-	// done is closed when the part has been read, or will not be.
+	// done is closed when the part has been prefilled, or will not be.
 	done chan struct{}
 	// until is when the fill is abandoned.
 	until time.Time
@@ -27,10 +27,10 @@
 	own bool
 }
 
-// fills holds the parts that are being read, by the upper halves of their hashes.
+// fills holds the parts that are being prefilled, by the upper halves of their hashes.
 type fills map[uint32]*fill
 
-// begin records that a target is about to read a part.
+// begin records that a target is about to prefill a part.
 func (f fills) begin(placement Placement, until time.Time, own bool) {
 	if existing, ok := f[placement.Part]; ok {
 		if existing.target == placement.Target {
@@ -41,10 +41,10 @@
 	f[placement.Part] = &fill{target: placement.Target, done: make(chan struct{}), until: until, own: own}
 }
 
-// end records that a part has been read, or that its target will not read it.
-func (f fills) end(placement Placement, read bool) {
+// end records that a part has been prefilled, or that its target will not prefill it.
+func (f fills) end(placement Placement, prefilled bool) {
 	existing, ok := f[placement.Part]
-	if !ok || !read && existing.target != placement.Target {
+	if !ok || !prefilled && existing.target != placement.Target {
 		return
 	}
 	close(existing.done)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Filling reports whether a target is reading a long part of the query's prompt for another
+// Filling reports whether a target is prefilling a long part of the query's prompt for another
 // request, here or at another gateway, with weights that the query's targets have. The channel
 // is closed when the fill is over. A request that waits for it finds the part cached.
 func (b *Balancer) Filling(query Query, now time.Time) (done <-chan struct{}, filling bool) {
@@ -69,16 +69,17 @@
 	defer b.mu.Unlock()
 	b.fills.expire(now)
 	for _, part := range query.Parts {
-		if reading, ok := b.fills[shortHash(part)]; ok && b.canUseRead(query, reading.target) {
+		if reading, ok := b.fills[shortHash(part)]; ok && b.canUsePrefill(query, reading.target) {
 			return reading.done, true
 		}
 	}
 	return nil, false
 }
 
-// canUseRead reports whether a part read by a target can be used by a target that may take the
-// query's request; an unknown reader is assumed to be usable. The caller must hold b.mu.
-func (b *Balancer) canUseRead(query Query, target uint32) bool {
+// canUsePrefill reports whether a part that one target prefills can be used by a target that may
+// take the query's request. It returns true if the first target is unknown. The caller must hold
+// b.mu.
+func (b *Balancer) canUsePrefill(query Query, target uint32) bool {
 	reader, ok := b.byShort[target]
 	if !ok {
 		return true
@@ -112,7 +113,7 @@
 	})
 }
 
-// Fills returns the parts that targets are reading for requests of this process.
+// Fills returns the parts that targets are prefilling for requests of this process.
 func (b *Balancer) Fills() []Placement {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,7 +126,7 @@
 	return placements
 }
 
-// LearnFills records another gateway's report of which parts targets are reading.
+// LearnFills records another gateway's report of which parts targets are prefilling.
 func (b *Balancer) LearnFills(placements []Placement, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/fills_test.go
+++ b/internal/balance/fills_test.go
@@ -33,8 +33,8 @@
 
 const manyTokens = 8000
 
-// TestFills checks that other requests can wait for a long part that is being read for one
-// request, until the read succeeds or fails.
+// TestFills checks that other requests can wait for a long part that is being prefilled for one
+// request, until the prefill succeeds or fails.
 func TestFills(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestPeerFill checks that a read reported by another gateway is waited for and followed, and
+// TestPeerFill checks that a prefill reported by another gateway is waited for and followed, and
 // is not reported as this gateway's own.
 func TestPeerFill(t *testing.T) {
 	is := is.New(t)
--- a/internal/balance/holders.go
+++ b/internal/balance/holders.go
@@ -16,7 +16,7 @@
 	// maxOwnPlacements limits the own placements that wait to be reported to other gateways.
 	maxOwnPlacements = 2048
 	// minReportedTokens is the length from which a part is worth reporting: shorter parts are
-	// read as fast as they are fetched, and there are many of them.
+	// prefilled as fast as they are fetched, and there are many of them.
 	minReportedTokens = 400
 )
 
@@ -30,7 +30,7 @@
 // holder is a target that holds a part, or soon will.
 type holder struct {
 	target uint32
-	// confirmed is false until an answer has shown that the target has read the part.
+	// confirmed is false until an answer has shown that the target has prefilled the part.
 	confirmed bool
 }
 
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -15,7 +15,7 @@
 
 // The load for the tests of LIMIT during a rollout is that of the largest deployment with both
 // versions' targets running: 28 gateways, 50 engines of 64 slots and 4 stock servers of 6. An
-// engine makes a step in at least 2.89 ms and reads 55 prompt tokens per millisecond: beside a
+// engine makes a step in at least 2.89 ms and prefills 55 prompt tokens per millisecond: beside a
 // few other requests 42 events of 9 tokens take 1.1 s to 2 s, 32 take 0.8 s to 1.4 s and 3
 // take 0.1 s to 0.3 s. A stock server works for 15 ms, over network paths of 1 ms; the stock
 // is asked twice as often as usual, as in a burst. Prompts are those of 24 tenants, a few of
@@ -69,7 +69,7 @@
 	next  []int
 }
 
-// pendingPlacement is a placement that all gateways learn of when the prompt has been read.
+// pendingPlacement is a placement that all gateways learn of when the prompt has been prefilled.
 type pendingPlacement struct {
 	gateway int
 	target  string
@@ -77,9 +77,9 @@
 	at      time.Time
 }
 
-// readTime is how long reading the longest prompt of the data sheet takes, at 55 tokens per
+// prefillTime is how long prefilling the longest prompt of the data sheet takes, at 55 tokens per
 // millisecond.
-const readTime = 200 * time.Millisecond
+const prefillTime = 200 * time.Millisecond
 
 func newLimitWorld(load limitLoad, seed uint64) *limitWorld {
 	w := &limitWorld{load: load, crowd: &crowd{now: start, random: rand.New(rand.NewPCG(seed, 4)), inFlight: make([][]heldRequest, load.gateways)}}
@@ -203,7 +203,7 @@
 		w.above++
 	}
 	if len(query.Parts) > 0 {
-		w.pending = append(w.pending, pendingPlacement{gateway, pick.Target.ID, query, w.now.Add(readTime)})
+		w.pending = append(w.pending, pendingPlacement{gateway, pick.Target.ID, query, w.now.Add(prefillTime)})
 	}
 }
 
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -18,7 +18,7 @@
 	paceHalfLife = time.Second
 	// maxPace limits the weight of a pace, as maxSlowness limits that of a latency.
 	maxPace = 8.0
-	// slowHostPace is the pace above which a prompt is better read at another target.
+	// slowHostPace is the pace above which a prompt is better prefilled at another target.
 	slowHostPace = 1.6
 	// paceReportWindow is how long a pace is worth reporting; minPaceDifference is by how much
 	// it must differ from what the other gateways assume.
--- a/internal/balance/pace_test.go
+++ b/internal/balance/pace_test.go
@@ -49,8 +49,8 @@
 }
 
 // TestShortPromptLeavesHolderOnSlowHost checks that a short prompt leaves a holder whose host is
-// slowed down, because another target reads it in less time than the holder takes to begin. A
-// long prompt stays, because reading it elsewhere takes longer.
+// slowed down, because another target prefills it in less time than the holder takes to begin. A
+// long prompt stays, because prefilling it elsewhere takes longer.
 func TestShortPromptLeavesHolderOnSlowHost(t *testing.T) {
 	cases := map[string]struct {
 		tokens int
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestNewPromptsAvoidSlowHosts checks that a prompt without a holder is not read by a
-// target that takes several times as long; if all targets are equally slow, it is read anyway.
+// TestNewPromptsAvoidSlowHosts checks that a prompt without a holder is not prefilled by a
+// target that takes several times as long; if all targets are equally slow, it is prefilled anyway.
 func TestNewPromptsAvoidSlowHosts(t *testing.T) {
 	is := is.New(t)
 	b := newBalancer(9)
--- a/internal/balance/placements.go
+++ b/internal/balance/placements.go
@@ -102,7 +102,7 @@
 	return Placement{Part: shortHash(part), Target: shortHash(target.hash)}
 }
 
-// expectHolder records that the chosen target is about to read the prompt's shared parts, so
+// expectHolder records that the chosen target is about to prefill the prompt's shared parts, so
 // that other requests of the session follow it.
 func (b *Balancer) expectHolder(parts []uint64, chosen *state) {
 	for _, part := range parts {
@@ -114,7 +114,7 @@
 // holder is reported to the directory. A part that most targets hold is not reported.
 const maxRareHolders = 4
 
-// Confirm records that a target has read the shared parts of a query's prompt. It returns the
+// Confirm records that a target has prefilled the shared parts of a query's prompt. It returns the
 // placements of long parts with few holders that were not known here.
 func (b *Balancer) Confirm(incarnation string, query Query) []Placement {
 	b.mu.Lock()
@@ -142,7 +142,7 @@
 	return !b.manyPeers || tokens >= minReportedTokens && len(b.holders.of(shortHash(part))) < maxHolders
 }
 
-// Withdraw records that a target has not read the shared parts of a prompt that was sent
+// Withdraw records that a target has not prefilled the shared parts of a prompt that was sent
 // there.
 func (b *Balancer) Withdraw(incarnation string, parts []uint64) {
 	b.mu.Lock()
--- a/internal/balance/refused_test.go
+++ b/internal/balance/refused_test.go
@@ -48,7 +48,7 @@
 }
 
 // TestNoFetchFromRefusedTarget guards against fetching from a crashed target: on scale-2 of
-// the large site 1.7 of 3.5 million tokens were read again because the target named as their
+// the large site 1.7 of 3.5 million tokens were prefilled again because the target named as their
 // source had crashed.
 func TestNoFetchFromRefusedTarget(t *testing.T) {
 	is := is.New(t)
--- a/internal/balance/versions_test.go
+++ b/internal/balance/versions_test.go
@@ -260,7 +260,7 @@
 }
 
 // TestFillWithOtherWeights checks that a long part held only by targets with other weights is
-// read again, and that other requests wait for that read.
+// prefilled again, and that other requests wait for that prefill.
 func TestFillWithOtherWeights(t *testing.T) {
 	for name, tc := range map[string]struct {
 		weights string
@@ -430,7 +430,7 @@
 	}
 }
 
-// TestFillingWithOtherWeights checks that requests do not wait for a read whose result the
+// TestFillingWithOtherWeights checks that requests do not wait for a prefill whose result the
 // targets that may take them cannot use.
 func TestFillingWithOtherWeights(t *testing.T) {
 	cases := map[string]struct {
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -22,10 +22,10 @@
 
 const (
 	// findTimeout limits the wait for an answer. It is some ten times what an answer takes between
-	// data centres of a region, and a fiftieth of what reading a long part takes.
+	// data centres of a region, and a fiftieth of what prefilling a long part takes.
 	findTimeout = 20 * time.Millisecond
 	// waiterTTL is how long the directory remembers a gateway that looked up a part while it was
-	// being read, to notify it when the part has been read. No request waits longer.
+	// being prefilled, to notify it when the part has been prefilled. No request waits longer.
 	waiterTTL = time.Second
 	// directoryShare is the share of the byte budget that the directory and refused targets may
 	// use; datagrams beyond it are dropped. Otherwise they would leave no bytes for loads during a
@@ -38,11 +38,11 @@
 	// lookups holds the open lookups by number; an answer closes the channel.
 	lookups    map[uint32]chan struct{}
 	lastNumber uint32
-	// waiters holds the gateways to notify when a part has been read.
+	// waiters holds the gateways to notify when a part has been prefilled.
 	waiters map[uint32][]waiter
 }
 
-// waiter is a gateway that waits for a part to be read.
+// waiter is a gateway that waits for a part to be prefilled.
 type waiter struct {
 	id    string
 	until time.Time
@@ -211,14 +211,14 @@
 	return s.send(to.address, heartbeat, true)
 }
 
-// Placed reports parts that targets have read to their keepers.
+// Placed reports to the keepers which of their parts targets have prefilled.
 func (s *Service) Placed(placements []balance.Placement) {
 	s.reportToKeepers(placements, func(heartbeat *wire.GatewayBeat, placement balance.Placement) {
 		heartbeat.Parts, heartbeat.Holders = splitPlacements([]balance.Placement{placement})
 	})
 }
 
-// Filling reports parts that targets have begun to read to their keepers.
+// Filling reports to the keepers which of their parts targets have begun to prefill.
 func (s *Service) Filling(placements []balance.Placement) {
 	s.reportToKeepers(placements, func(heartbeat *wire.GatewayBeat, placement balance.Placement) {
 		heartbeat.FillParts, heartbeat.FillTargets = splitPlacements([]balance.Placement{placement})
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -89,8 +89,8 @@
 	is.Equal(nodes[keeper].service.Find(t.Context(), []uint32{part}), balance.NotAsked) // it is the keeper itself
 }
 
-// TestWaitersAreNotified checks that a gateway that looks up a part which is still being read is
-// notified as soon as it has been read.
+// TestWaitersAreNotified checks that a gateway that looks up a part which is still being prefilled
+// is notified as soon as it has been prefilled.
 func TestWaitersAreNotified(t *testing.T) {
 	nodes := newLargeFleet(t)
 	const part = 43
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -51,7 +51,8 @@
 	decidingSince  time.Time
 	reportInterval time.Duration
 	stage          Stage
-	// moveUntil is when the gateways leave the move. It is in the past unless a move is running.
+	// moveBegan is when the last move began, and moveUntil when the gateways leave it. moveUntil is
+	// in the past unless a move is running.
 	moveBegan, moveUntil time.Time
 	// haltReason is why the version may get no more requests; empty if it may.
 	haltReason string
