--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -123,7 +123,7 @@
 	g.admitWaiting()
 }
 
-// currentLimit returns the limit that applies now; a mean older than MeanAge is ignored.
+// currentLimit returns the limit that applies now. A mean older than MeanAge is ignored.
 func (g *Gate) currentLimit() int {
 	if time.Since(g.meanAt) > g.options.MeanAge {
 		return Limit(g.options, 0)
@@ -275,7 +275,7 @@
 	}
 }
 
-// Leave refuses new and queued requests; requests in flight continue.
+// Leave refuses new and queued requests. Requests in flight continue.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -213,7 +213,7 @@
 	minAdmissionsForEstimate = 8.0
 )
 
-// estimateWait estimates how long a newly queued request will wait; it returns zero if there were
+// estimateWait estimates how long a newly queued request will wait. It returns zero if there were
 // too few admissions to tell. The caller must hold l.mu.
 func (l *Limiter) estimateWait(turn *Turn, now time.Time) time.Duration {
 	if l.admissions.valueAt(now, l.options.RateHalfLife) < minAdmissionsForEstimate {
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -236,7 +236,7 @@
 	// Cold reports whether the target has just started.
 	Cold bool
 	// Probe reports whether this request probes a target whose backoff has ended. The target
-	// gets no other request until this one is answered; the caller must call EndProbe.
+	// gets no other request until this one is answered. The caller must call EndProbe.
 	Probe bool
 	// Load and Mean are the values that the choice was based on: the requests in flight at the
 	// target and the mean over the service's open targets.
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -164,7 +164,7 @@
 // lighterOfTwo draws two of a part's holders below a bound, or two of all open targets if
 // there are none, and returns the less loaded one. When the limit is tight and each gateway
 // learns late of what the others send, all of them would send to the least loaded target at
-// once; drawing two spreads their choices (Mitzenmacher, 2001). The caller must hold b.mu.
+// once. Drawing two spreads their choices (Mitzenmacher, 2001). The caller must hold b.mu.
 func (b *Balancer) lighterOfTwo(part uint64, open []*state, bound float64, baseline speedBaseline) *state {
 	pool := b.scratch.drawFrom[:0]
 	for _, holder := range b.holders.of(shortHash(part)) {
--- a/internal/balance/cold.go
+++ b/internal/balance/cold.go
@@ -11,12 +11,12 @@
 // fails well above that. The bound applies to what all gateways send together, and no gateway
 // learns in time what the others send. So each gateway has its own window in every round, in
 // which it may send one request to a cold target. A round lasts as long as the target needs to
-// bear one request from every gateway. The windows begin one after the other, evenly spread,
-// in an order that all gateways share, so no messages are exchanged. Gateways whose clocks or
+// bear one request from every gateway. The windows begin one after the other, evenly spread, in
+// an order that all gateways share, so no messages are exchanged. Gateways whose clocks or
 // membership views differ, or that have just started, have their windows at other times in a
-// round; this makes the load less even but does not increase it. Windows are longer than the
+// round. This makes the load less even but does not increase it. Windows are longer than the
 // distance between two of them, because a gateway rarely has a request for a given target
-// exactly in its own window; the bound determines how much longer.
+// exactly in its own window. The bound determines how much longer.
 //
 // Alternatives considered: one gateway that sends all requests (with 26 gateways a cold target
 // would get a 26th of its sessions, and none when that gateway is lost), and permits granted
--- a/internal/balance/doc.go
+++ b/internal/balance/doc.go
@@ -1,6 +1,6 @@
 // Package balance chooses the target of a request: by the session's home in a
 // rendezvous order, under a bound on load, avoiding targets that fail or answer
-// slowly. It does no I/O; the caller passes in the time.
+// slowly. It does no I/O. The caller passes in the time.
 //
 // Source: docs/design/platform.md, "Choosing a target".
 //
--- a/internal/balance/open.go
+++ b/internal/balance/open.go
@@ -113,14 +113,14 @@
 	tightSpread = 2.0
 	// unreportedMargin is how many requests a target shared by many gateways has beyond those
 	// that they know of when the next one is sent. Thirty gateways report to each other every
-	// 0.4 s; a target of fifty that share 250 requests per second gets two in that time, and
+	// 0.4 s. A target of fifty that share 250 requests per second gets two in that time, and
 	// rarely more than three.
 	unreportedMargin = 3.0
 )
 
 // evenBound is a bound that lets the targets which are not idle share all requests
 // approximately evenly. A lower bound would leave no target below it. evenTightBound is the
-// equivalent when the bound is tight; it leaves half of the targets below it.
+// equivalent when the bound is tight. It leaves half of the targets below it.
 var (
 	evenBound      = Bound{Multiple: 1.15, Extra: 1}
 	evenTightBound = Bound{Multiple: 1}
--- a/internal/balance/placements.go
+++ b/internal/balance/placements.go
@@ -22,7 +22,7 @@
 	// SourceKnown: another target is known to hold the deepest part that the chosen one may
 	// lack.
 	SourceKnown Source = "known"
-	// SourceGuessed: no holder is known; the session's next home may hold them.
+	// SourceGuessed: no holder is known. The session's next home may hold them.
 	SourceGuessed Source = "guessed"
 	// SourceNone: there is no other target.
 	SourceNone Source = "none"
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -69,8 +69,8 @@
 	return suspects
 }
 
-// ObserveSuspects records which targets another gateway suspects; it no longer suspects any
-// others. It returns the IDs of the targets that are excluded from now on because of it.
+// ObserveSuspects replaces the record of which targets another gateway suspects. It returns the IDs
+// of the targets that are excluded from now on because of it.
 func (b *Balancer) ObserveSuspects(gateway string, suspects []uint32, now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balance/target.go
+++ b/internal/balance/target.go
@@ -12,7 +12,7 @@
 	// ID identifies the target. It may stay the same when the target restarts.
 	ID string
 	// Born is the start of the current incarnation, in Unix milliseconds by the target's own
-	// clock. It is zero if the entry does not state it; each incarnation then has an ID of its
+	// clock. It is zero if the entry does not state it. Each incarnation then has an ID of its
 	// own.
 	Born    int64
 	Service string
--- a/internal/balance/totals.go
+++ b/internal/balance/totals.go
@@ -158,7 +158,7 @@
 }
 
 // recordOwn adds this process's own total to the history. The history covers the time for
-// which other gateways' totals stay valid; an older total of another gateway would be scaled
+// which other gateways' totals stay valid. An older total of another gateway would be scaled
 // by the own total of a different moment.
 func (l *serviceLoad) recordOwn(now time.Time, ttl time.Duration) {
 	if last := len(l.history) - 1; last >= 0 && now.Sub(l.history[last].at) < historyEvery {
--- a/internal/balance/unplanned_end.go
+++ b/internal/balance/unplanned_end.go
@@ -9,7 +9,7 @@
 // An incarnation of a target ends as planned if its entry announces that, or disappears while
 // the target keeps serving. It ends unplanned if nothing listens at its address any more, its
 // entry expires, or another incarnation begins. This file records only that an incarnation
-// ended and when that was found; what happened to its requests is decided elsewhere.
+// ended and when that was found. What happened to its requests is decided elsewhere.
 
 // End describes how an incarnation of a target was found to have ended unplanned.
 type End struct {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -284,7 +284,7 @@
 }
 
 // canRetry reports whether there is time for another attempt, and a target of the versions assigned
-// to it. A request that was in flight at targets that ended gets one attempt only; a further one is
+// to it. A request that was in flight at targets that ended gets one attempt only. A further one is
 // left to its caller.
 func (c *call) canRetry(ctx context.Context) bool {
 	if crashes := c.gateway.Crashes; crashes != nil && crashes.Table.Suspicious(c.fingerprint) {
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// check records what has become known since the last check; it returns false once nothing is
+// check records what has become known since the last check. It returns false once nothing is
 // undecided.
 func (c *Crashes) check(ctx context.Context, now time.Time) bool {
 	c.mu.Lock()
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -29,7 +29,7 @@
 var idField = []byte("id:")
 
 // next returns one complete event, valid until the next call, and its ID. At a clean end it returns
-// io.EOF; an end inside an event is io.ErrUnexpectedEOF.
+// io.EOF. An end inside an event is io.ErrUnexpectedEOF.
 func (e *eventReader) next() (event []byte, id string, err error) {
 	e.buf = e.buf[:0]
 	for {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -112,7 +112,7 @@
 	// retryAfterOtherRouter applies if another router can probably serve the request now.
 	retryAfterOtherRouter = 20 * time.Millisecond
 	// retryAfterStoreOutage applies if no live gateway can vouch for keys, or none has a
-	// configuration. Outages of the store last seconds; callers who have less time retry sooner by
+	// configuration. Outages of the store last seconds. Callers who have less time retry sooner by
 	// themselves.
 	retryAfterStoreOutage = time.Second
 	// retryAfterShortage applies if the service briefly has no capacity or no target.
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -19,7 +19,7 @@
 	byIncarnation map[string]map[*attempt]struct{}
 }
 
-// join adds an attempt; the returned function removes it.
+// join adds an attempt. The returned function removes it.
 func (f *inFlightAttempts) join(a *attempt) (leave func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/internal/quarantine"
 )
 
-// retryAfterDoubtful is the Retry-After for requests that are in doubt; most trials have begun by
+// retryAfterDoubtful is the Retry-After for requests that are in doubt. Most trials have begun by
 // then.
 const retryAfterDoubtful = time.Second
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -13,7 +13,7 @@
 
 // Request is one attempt of a caller, independent of the front end it arrived through.
 type Request struct {
-	// ID identifies the attempt; the caller chose it.
+	// ID identifies the attempt. The caller chose it.
 	ID string
 	// Method, Host and URI are as the caller sent them; URI includes path and query.
 	Method string
@@ -21,7 +21,7 @@
 	URI    string
 	// Path is the path of URI, as sent.
 	Path string
-	// Header holds the headers to pass on; it is not modified.
+	// Header holds the headers to pass on. It is not modified.
 	Header http.Header
 	Body   []byte
 	// Key is the caller's API key; empty for none.
@@ -32,7 +32,7 @@
 	Patience time.Duration
 	// Model is the model that the prompt is for; empty for none.
 	Model string
-	// Parts lists the parts of the prompt in order; the last part belongs to this request alone.
+	// Parts lists the parts of the prompt in order. The last part belongs to this request alone.
 	Parts []Part
 	// LastEventID is the ID of the last event that the caller has; empty for none.
 	LastEventID string
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -59,7 +59,7 @@
 	a.cancel()
 }
 
-// stopSilenceTimer stops the timer; the attempt can no longer be abandoned.
+// stopSilenceTimer stops the timer. The attempt can no longer be abandoned.
 func (a *attempt) stopSilenceTimer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -146,7 +146,7 @@
 	ended, closed bool
 }
 
-// watchLiveness starts to check a stream's target; the returned function stops the checks. Attempts
+// watchLiveness starts to check a stream's target. The returned function stops the checks. Attempts
 // that aren't streams switch to another target, or wait.
 func (a *attempt) watchLiveness() (stop func()) {
 	if a.call.route.Kind != routing.Stream {
--- a/internal/once/guard.go
+++ b/internal/once/guard.go
@@ -226,7 +226,7 @@
 		outcome.Trimmed = true
 	}
 	if !ok || slot.records.byKey[record.Key] != record {
-		// The slot has moved to another owner in the meantime; waiters in this process still get
+		// The slot has moved to another owner in the meantime. Waiters in this process still get
 		// the outcome.
 		record.State = state
 		record.Outcome = outcome
@@ -293,7 +293,7 @@
 }
 
 // Settle returns the record of a key. A key that never ran is closed first and returned with state
-// Closed; the record of a running key is returned as it is.
+// Closed. The record of a running key is returned as it is.
 func (g *Guard) Settle(fullKey string, at time.Time) (*Record, *fault.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/once/once.go
+++ b/internal/once/once.go
@@ -23,7 +23,7 @@
 type Options struct {
 	// Service is the plain service's name.
 	Service string
-	// Agent and Incarnation identify this process; an incarnation is never reused.
+	// Agent and Incarnation identify this process. An incarnation is never reused.
 	Agent       string
 	Incarnation string
 	// MaxAhead is how far a key's time may be ahead of the owner's wall clock.
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -39,7 +39,7 @@
 	Key string
 	// At is the key's own time.
 	At time.Time
-	// Fingerprint is a hash of the request; a repeated request must match it.
+	// Fingerprint is a hash of the request. A repeated request must match it.
 	Fingerprint uint64
 	State       State
 	// Outcome is set when State is Done.
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -15,7 +15,7 @@
 // Slot is one row of the slot table.
 type Slot struct {
 	Owner Holder `json:"owner"`
-	// Witness is zero when the owner has no witness; the owner's right then depends on its long
+	// Witness is zero when the owner has no witness. The owner's right then depends on its long
 	// lease alone.
 	Witness Holder `json:"witness"`
 	// Epoch increases with each change of owner.
--- a/internal/peer/directory.go
+++ b/internal/peer/directory.go
@@ -28,14 +28,14 @@
 	// being prefilled, to notify it when the part has been prefilled. No request waits longer.
 	waiterTTL = time.Second
 	// directoryShare is the share of the byte budget that the directory and refused targets may
-	// use; datagrams beyond it are dropped. Otherwise they would leave no bytes for loads during a
+	// use. Datagrams beyond it are dropped. Otherwise they would leave no bytes for loads during a
 	// surge, when loads matter most.
 	directoryShare = 0.35
 )
 
 // directory is one gateway's part of the placement directory.
 type directory struct {
-	// lookups holds the open lookups by number; an answer closes the channel.
+	// lookups holds the open lookups by number. An answer closes the channel.
 	lookups    map[uint32]chan struct{}
 	lastNumber uint32
 	// waiters holds the gateways to notify when a part has been prefilled.
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -2,7 +2,7 @@
 // flight at targets, where parts of prompts are cached, how fresh the configuration is, and the
 // content of the store itself for a gateway that can't reach it.
 //
-// Heartbeats are datagrams and may be lost; nothing depends on a single one. The content of the
+// Heartbeats are datagrams and may be lost. Nothing depends on a single one. The content of the
 // store is sent over links. Source: docs/design/platform.md, "Peers".
 //
 // Where to look:
--- a/internal/peer/heartbeat.go
+++ b/internal/peer/heartbeat.go
@@ -174,8 +174,8 @@
 }
 
 // addPlacements adds the prompt parts that were placed since the last heartbeat to the peer. In a
-// large fleet only the gateways that ask the store get them, for the checkpoint; the others look
-// up what they need.
+// large fleet only the gateways that ask the store get them, for the checkpoint. The others look up
+// what they need.
 func (s *Service) addPlacements(heartbeat *wire.GatewayBeat, to *peer, now time.Time) {
 	if current := s.currentView(now); current.large && !current.peerAsksStore(to) {
 		return
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -18,7 +18,7 @@
 // When a target crashes, each gateway knows which of its own requests were in flight there: up to
 // 64 over all gateways, one of which is to blame. The keepers of a request, the first few gateways
 // in its rendezvous order, receive each of its records and sum the crashes over gateways. Only a
-// request with several crashes concerns all gateways; each gateway that learns of its record
+// request with several crashes concerns all gateways. Each gateway that learns of its record
 // forwards it to a few others chosen at random. So the crash of a target costs a gateway some
 // hundred bytes, whatever the number of gateways. Records merge in any order and any number of
 // times, so repeating one is harmless.
@@ -47,7 +47,7 @@
 	repostShare = 0.05
 	// maxCrashRecords limits the records in a datagram, of some 30 bytes each.
 	maxCrashRecords = 32
-	// maxPending limits the records that wait to be sent; those with the fewest crashes are dropped
+	// maxPending limits the records that wait to be sent. Those with the fewest crashes are dropped
 	// first.
 	maxPending = 1024
 	// repostInterval is the minimum time between two sendings of all records to their keepers, so
--- a/internal/peer/replica.go
+++ b/internal/peer/replica.go
@@ -72,7 +72,7 @@
 }
 
 // betterSource reports whether to pull from one peer rather than from another. For a whole copy a
-// larger host is better, since it packs and sends it faster; what its copy lacks is fetched
+// larger host is better, since it packs and sends it faster. What its copy lacks is fetched
 // afterwards.
 func betterSource(one, other *peer, whole bool, now time.Time) bool {
 	oneFailed, otherFailed := now.Sub(one.pullFailedAt) < failedPullBackoff, now.Sub(other.pullFailedAt) < failedPullBackoff
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -245,7 +245,7 @@
 	return rollout.Open
 }
 
-// stageOf reads a stage; an unknown one is a hold.
+// stageOf reads a stage. An unknown one is a hold.
 func stageOf(message wire.RolloutStage) rollout.Stage {
 	switch message {
 	case wire.RolloutStage_ROLLOUT_STAGE_CANARY:
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -49,7 +49,7 @@
 	// one count.
 	baseHeartbeatSize = 50
 	countSize         = 5
-	// senderEvery is the number of heartbeats to a peer after which one names its sender again; the
+	// senderEvery is the number of heartbeats to a peer after which one names its sender again. The
 	// first senderFirst of them always do.
 	senderEvery = 24
 	senderFirst = 4
@@ -75,7 +75,7 @@
 	Pull() *wire.ReplicaPull
 	// Page answers a pull.
 	Page(pull *wire.ReplicaPull) *wire.ReplicaPage
-	// Absorb applies a peer's page; a page that can't be read changes nothing.
+	// Absorb applies a peer's page. A page that can't be read changes nothing.
 	Absorb(page *wire.ReplicaPage) error
 	// Reachable reports whether the last call to the store was answered.
 	Reachable() bool
@@ -147,7 +147,7 @@
 	sequence   uint64
 	// sentAt holds the sending times of heartbeats by their sequence number.
 	sentAt [sentHistory]time.Time
-	// refused are targets at whose addresses nothing listens; a few peers are notified of them in
+	// refused are targets at whose addresses nothing listens. A few peers are notified of them in
 	// the next round.
 	refused []uint32
 	// lastCounts and the fields below hold what the last round of heartbeats reported.
--- a/internal/peer/tree.go
+++ b/internal/peer/tree.go
@@ -13,10 +13,10 @@
 // store don't have to notify all others. Each gateway asks its parent for a proof twice a second,
 // and the parent notifies it of urgent changes at once. The tree follows from an order that all
 // gateways share. Where their views differ for a while, some gateways ask a parent that knows no
-// more than they do; a gateway whose proof becomes too old asks the store.
+// more than they do. A gateway whose proof becomes too old asks the store.
 
 const (
-	// watchers is the number of gateways that watch the store; the others get its changes from
+	// watchers is the number of gateways that watch the store. The others get its changes from
 	// them.
 	watchers = 2
 	// fanOut is the number of children of a gateway.
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -32,7 +32,7 @@
 
 // Subject holds the parts of a request that make up its fingerprint.
 type Subject struct {
-	// Workspace is the caller's workspace; it is empty on public routes.
+	// Workspace is the caller's workspace. It is empty on public routes.
 	Workspace string
 	Method    string
 	Host      string
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -21,7 +21,7 @@
 type Incarnation uint32
 
 // Record is the crash record of one request. Records of the same request from several gateways
-// merge into one; the order and repetition of merges don't matter.
+// merge into one. The order and repetition of merges don't matter.
 type Record struct {
 	Fingerprint Fingerprint
 	// Epoch counts how often the request was cleared. Of two records, the one with the higher epoch
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -78,7 +78,7 @@
 type Table struct {
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// digest covers the records at the limit; each heartbeat contains it.
+	// digest covers the records at the limit. Each heartbeat contains it.
 	digest uint64
 	// changes counts the records that were added or changed.
 	changes uint64
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -7,13 +7,13 @@
 
 // A crash of a target is recorded against all requests that were in flight there. A request that
 // many callers send alike is in flight everywhere, and has three crashes as soon as the fatal
-// requests beside it have crashed three targets. If other requests may be the cause of its
-// crashes, it is not treated as fatal at once. It is held like a fatal one, but its callers are
-// told to retry later, and one copy of it, a trial, is sent once the crashes have stopped. A
-// complete answer clears it; a crash of a target under nothing but the trial proves that it is
-// fatal itself. Of several such requests, the one with the most crashes is tried first. Once it is
-// cleared, the others have no other request that explains their crashes, so that a fatal request
-// hardly ever gets a trial.
+// requests beside it have crashed three targets. If other requests may be the cause of its crashes,
+// it is not treated as fatal at once. It is held like a fatal one, but its callers are told to
+// retry later, and one copy of it, a trial, is sent once the crashes have stopped. A complete
+// answer clears it. A crash of a target under nothing but the trial proves that it is fatal itself.
+// Of several such requests, the one with the most crashes is tried first. Once it is cleared, the
+// others have no other request that explains their crashes, so that a fatal request hardly ever
+// gets a trial.
 
 const (
 	// MaxTrials limits the trials of a request that targets run until it is cleared, over all
--- a/internal/replica/page.go
+++ b/internal/replica/page.go
@@ -28,7 +28,7 @@
 }
 
 // Page answers a pull. The page contains the changes since the pull's revision, or the whole
-// content if removals since then may be unknown here; it omits the values that the asking copy
+// content if removals since then may be unknown here. It omits the values that the asking copy
 // holds. A large page is packed.
 func (c *Copy) Page(pull *wire.ReplicaPull) *wire.ReplicaPage {
 	page := c.page(pull)
--- a/internal/rollout/baseline.go
+++ b/internal/rollout/baseline.go
@@ -4,9 +4,9 @@
 
 const (
 	// longWindow and shortWindow are the numbers of recent answers of the other versions that the
-	// baseline is computed from. The long window gives precision; the short one shows trouble
-	// that affects both sides within a fraction of a second of traffic. The larger of the two
-	// shares counts.
+	// baseline is computed from. The long window gives precision. The short one shows trouble that
+	// affects both sides within a fraction of a second of traffic. The larger of the two shares
+	// counts.
 	longWindow  = 120
 	shortWindow = 30
 	// priorAnswers is the weight, in answers, of the mean over all routes in a route's share. It
--- a/internal/rollout/controller_commits.go
+++ b/internal/rollout/controller_commits.go
@@ -71,8 +71,8 @@
 	return d.unresolved != nil
 }
 
-// noteReachable records whether the store is reachable; a commit is retried at once if it has
-// come back.
+// noteReachable records whether the store is reachable. A commit is retried at once if the store
+// has come back.
 func (d *deciderState) noteReachable(reachable bool) {
 	if reachable && d.storeUnreachable {
 		d.failures, d.retryAt = 0, time.Time{}
--- a/internal/rollout/dependencies.go
+++ b/internal/rollout/dependencies.go
@@ -53,7 +53,7 @@
 	StepHalted StepKind = "halted"
 	// StepRecorded: the store has a new state.
 	StepRecorded StepKind = "recorded"
-	// StepCommitFailed: a state could not be written; the commit will be retried.
+	// StepCommitFailed: a state could not be written. The commit will be retried.
 	StepCommitFailed StepKind = "commit_failed"
 )
 
--- a/internal/rollout/share.go
+++ b/internal/rollout/share.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Totals returns the numbers of requests to the service and to the version; the latter includes
+// Totals returns the numbers of requests to the service and to the version. The latter includes
 // reservations.
 func (s *Share) Totals() (requests, exposed int) {
 	return s.requests, s.exposed
--- a/internal/rollout/sprt.go
+++ b/internal/rollout/sprt.go
@@ -40,7 +40,7 @@
 	// doesn't, even if a good target fails once as well.
 	capFactor = 1.2
 	// From manyTargets targets on, manyNeeded of them are needed instead of fewNeeded. A crashed
-	// and a degraded target at the same time do happen; three rarely do.
+	// and a degraded target at the same time do happen. Three rarely do.
 	manyTargets = 4
 	manyNeeded  = 3
 	fewNeeded   = 2
--- a/internal/rollout/tallies.go
+++ b/internal/rollout/tallies.go
@@ -7,7 +7,7 @@
 	"github.com/capersaddle/capersaddle/internal/policy"
 )
 
-// maxTallyRoutes is the number of routes of one order that are counted separately; further ones
+// maxTallyRoutes is the number of routes of one order that are counted separately. Further ones
 // are counted together. It limits memory on small hosts. A service has a few dozen routes.
 const maxTallyRoutes = 512
 
