--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -82,7 +82,7 @@
 	mean    float64
 	meanAt  time.Time
 	leaving bool
-	rest    rest
+	backoff backoff
 	queues  *queues
 	// releaseInterval is the smoothed time between two releases.
 	releaseInterval time.Duration
@@ -123,7 +123,7 @@
 	g.admitWaiting()
 }
 
-// currentLimit returns the limit that applies now; a mean older than MeanAge is ignored.
+// currentLimit returns the limit that applies now. A mean older than MeanAge is ignored.
 func (g *Gate) currentLimit() int {
 	if time.Since(g.meanAt) > g.options.MeanAge {
 		return Limit(g.options, 0)
@@ -132,7 +132,7 @@
 }
 
 func (g *Gate) hasRoom() bool {
-	if g.rest.probing {
+	if g.backoff.probing {
 		return false
 	}
 	return g.inFlight+g.foreign < g.currentLimit()
@@ -146,11 +146,11 @@
 	once  sync.Once
 }
 
-// admitOne admits one request; g.mu is held.
+// admitOne admits one request. The caller must hold g.mu.
 func (g *Gate) admitOne() *Place {
 	g.inFlight++
-	g.rest.probing = g.rest.needsProbe()
-	return &Place{gate: g, probe: g.rest.probing}
+	g.backoff.probing = g.backoff.needsProbe()
+	return &Place{gate: g, probe: g.backoff.probing}
 }
 
 // Admit admits a request, waiting for a free place if the ticket allows it. A refusal means that
@@ -161,9 +161,9 @@
 		g.mu.Unlock()
 		return nil, errLeaving()
 	}
-	if remaining := g.rest.remaining(); remaining > 0 {
+	if remaining := g.backoff.remaining(); remaining > 0 {
 		g.mu.Unlock()
-		return nil, errResting(remaining)
+		return nil, errBackingOff(remaining)
 	}
 	if g.hasRoom() && g.queues.len() == 0 {
 		defer g.mu.Unlock()
@@ -245,7 +245,7 @@
 		defer g.mu.Unlock()
 		g.inFlight--
 		if p.probe {
-			g.rest.probing = false
+			g.backoff.probing = false
 		}
 		g.updateReleaseInterval()
 		g.admitWaiting()
@@ -262,7 +262,7 @@
 	g.lastRelease = now
 }
 
-// admitWaiting admits queued requests while there is room; g.mu is held.
+// admitWaiting admits queued requests while there is room. The caller must hold g.mu.
 func (g *Gate) admitWaiting() {
 	for g.hasRoom() {
 		w := g.queues.pop()
@@ -275,7 +275,7 @@
 	}
 }
 
-// Leave refuses new and queued requests; requests in flight continue.
+// Leave refuses new and queued requests. Requests in flight continue.
 func (g *Gate) Leave() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -284,7 +284,7 @@
 	g.checkDrained()
 }
 
-// refuseWaiting refuses all queued requests; g.mu is held.
+// refuseWaiting refuses all queued requests. The caller must hold g.mu.
 func (g *Gate) refuseWaiting(refusal *fault.Error) {
 	for w := g.queues.pop(); w != nil; w = g.queues.pop() {
 		w.state, w.refusal = waiterRefused, refusal
--- a/internal/agent/outcome.go
+++ b/internal/agent/outcome.go
@@ -14,7 +14,7 @@
 func (p *localTarget) applyOutcome(retryAfter time.Duration, err error) {
 	switch {
 	case retryAfter > 0:
-		p.gate.Rest(retryAfter)
+		p.gate.BackOff(retryAfter)
 	case err == nil:
 		p.gate.Answered()
 	}
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -235,8 +235,8 @@
 	Unread int
 	// Cold reports whether the target has just started.
 	Cold bool
-	// Probe reports whether this request probes a target whose back-off has ended. The target
-	// gets no other request until this one is answered; the caller must call EndProbe.
+	// Probe reports whether this request probes a target whose backoff has ended. The target
+	// gets no other request until this one is answered. The caller must call EndProbe.
 	Probe bool
 	// Load and Mean are the values that the choice was based on: the requests in flight at the
 	// target and the mean over the service's open targets.
@@ -245,7 +245,7 @@
 	// Candidates is the number of targets that were open to the choice.
 	Candidates int
 	// Fills are the long parts of the prompt that no target is known to hold and that the
-	// chosen target begins to read.
+	// chosen target begins to prefill.
 	Fills []Placement
 }
 
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -87,7 +87,7 @@
 // the session's rendezvous order, otherwise the least loaded one. Targets in a holder's data
 // centre come first in that order, because moving a prefix between data centres costs twice as
 // much. A target whose host is slowed down by other work gets no prompt that it does not hold,
-// and no short prompt at all while another target has room: reading the prompt elsewhere takes
+// and no short prompt at all while another target has room: prefilling the prompt elsewhere takes
 // less time than the first event from the slow host. The caller must hold b.mu.
 func (b *Balancer) chooseForSession(query Query, open []*state, limit sessionLimit, baseline speedBaseline) *state {
 	session, bound := query.Parts[len(query.Parts)-1], limit.max
@@ -96,10 +96,10 @@
 		return b.lighterOfTwo(session, open, bound, baseline)
 	}
 	holder := b.holderFor(shortHash(session), bound, baseline)
-	if holder != nil && (query.isLong() || !baseline.isHeldUp(holder)) {
+	if holder != nil && (query.isLong() || !baseline.onSlowHost(holder)) {
 		return holder
 	}
-	if quick := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) && !baseline.isHeldUp(target) }); quick != nil {
+	if quick := b.firstInOrder(session, open, func(target *state) bool { return fits(target, bound, baseline) && !baseline.onSlowHost(target) }); quick != nil {
 		return quick
 	}
 	if holder != nil {
@@ -164,7 +164,7 @@
 // lighterOfTwo draws two of a part's holders below a bound, or two of all open targets if
 // there are none, and returns the less loaded one. When the limit is tight and each gateway
 // learns late of what the others send, all of them would send to the least loaded target at
-// once; drawing two spreads their choices (Mitzenmacher, 2001). The caller must hold b.mu.
+// once. Drawing two spreads their choices (Mitzenmacher, 2001). The caller must hold b.mu.
 func (b *Balancer) lighterOfTwo(part uint64, open []*state, bound float64, baseline speedBaseline) *state {
 	pool := b.scratch.drawFrom[:0]
 	for _, holder := range b.holders.of(shortHash(part)) {
--- a/internal/balance/open.go
+++ b/internal/balance/open.go
@@ -74,7 +74,7 @@
 // data centre is evacuated, it is backing off, or it is cold and outside this gateway's
 // window. The caller must hold b.mu.
 func (b *Balancer) isIdle(target *state, now time.Time) bool {
-	return b.evacuated[target.DataCenter] || target.announced.backoff.blocks(now) || b.heldBackWhileCold(target, now)
+	return b.evacuated[target.DataCenter] || target.announced.backoff.blocks(now) || b.outsideColdWindow(target, now)
 }
 
 // soonestBack returns the count ejected targets whose ejections end first. It is used when too
@@ -113,14 +113,14 @@
 	tightSpread = 2.0
 	// unreportedMargin is how many requests a target shared by many gateways has beyond those
 	// that they know of when the next one is sent. Thirty gateways report to each other every
-	// 0.4 s; a target of fifty that share 250 requests per second gets two in that time, and
+	// 0.4 s. A target of fifty that share 250 requests per second gets two in that time, and
 	// rarely more than three.
 	unreportedMargin = 3.0
 )
 
 // evenBound is a bound that lets the targets which are not idle share all requests
 // approximately evenly. A lower bound would leave no target below it. evenTightBound is the
-// equivalent when the bound is tight; it leaves half of the targets below it.
+// equivalent when the bound is tight. It leaves half of the targets below it.
 var (
 	evenBound      = Bound{Multiple: 1.15, Extra: 1}
 	evenTightBound = Bound{Multiple: 1}
@@ -134,10 +134,10 @@
 	tight bool
 }
 
-// sessionLimitFor returns the load up to which one of the last open targets gets requests of a
-// session, given the mean of their loads. The limit is lower while some targets are idle: on a
-// day with an evacuated data centre and a surge, 4 in 100 requests reached targets above the
-// bound. The caller must hold b.mu.
+// sessionLimitFor returns the load up to which a target gets requests of a session, given the mean
+// load of the targets that openTargets returned last. The limit is lower while some targets are
+// idle: on a day with an evacuated data centre and a surge, 4 in 100 requests reached targets above
+// the bound. The caller must hold b.mu.
 func (b *Balancer) sessionLimitFor(query Query, mean float64) sessionLimit {
 	usual := b.boundOf(query).limitAt(mean)
 	idle, open := b.scratch.idle, float64(len(b.scratch.healthy))
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -18,7 +18,7 @@
 	paceHalfLife = time.Second
 	// maxPace limits the weight of a pace, as maxSlowness limits that of a latency.
 	maxPace = 8.0
-	// slowHostPace is the pace above which a prompt is better read at another target.
+	// slowHostPace is the pace above which a prompt is better prefilled at another target.
 	slowHostPace = 1.6
 	// paceReportWindow is how long a pace is worth reporting; minPaceDifference is by how much
 	// it must differ from what the other gateways assume.
@@ -149,7 +149,7 @@
 	return factor * target.pace.factorAt(s.now)
 }
 
-// isHeldUp reports whether other work on the target's host slows it down.
-func (s speedBaseline) isHeldUp(target *state) bool {
+// onSlowHost reports whether other work on the target's host slows it down.
+func (s speedBaseline) onSlowHost(target *state) bool {
 	return target.pace.factorAt(s.now) > slowHostPace
 }
--- a/internal/balance/unplanned_end.go
+++ b/internal/balance/unplanned_end.go
@@ -9,7 +9,7 @@
 // An incarnation of a target ends as planned if its entry announces that, or disappears while
 // the target keeps serving. It ends unplanned if nothing listens at its address any more, its
 // entry expires, or another incarnation begins. This file records only that an incarnation
-// ended and when that was found; what happened to its requests is decided elsewhere.
+// ended and when that was found. What happened to its requests is decided elsewhere.
 
 // End describes how an incarnation of a target was found to have ended unplanned.
 type End struct {
@@ -34,9 +34,9 @@
 // before.
 const lateAnswer = time.Second
 
-// recordSignOfLife records an answer. An end that was assumed more than lateAnswer ago was a
-// mistake.
-func (s *state) recordSignOfLife(now time.Time) {
+// cancelMistakenEnd cancels an assumed end because the target has answered. Within lateAnswer
+// after the end the answer proves nothing.
+func (s *state) cancelMistakenEnd(now time.Time) {
 	if s.end.Known() && !s.superseded && now.Sub(s.end.At) > lateAnswer {
 		s.end = End{}
 	}
@@ -82,8 +82,9 @@
 	return refused.ID, true
 }
 
-// NoteSilentPort does the same for an incarnation of a target to whose address this process
-// tried to connect without a request.
+// NoteSilentPort excludes an incarnation of a target like NoteRefused, after this process itself
+// tried to connect to the target's address without a request. It returns false if that is unknown
+// or already ejected.
 func (b *Balancer) NoteSilentPort(incarnation string, now time.Time) (isNew bool) {
 	_, isNew = b.NoteRefused(shortHash(policy.HashName(incarnation)), now)
 	return isNew
--- a/internal/gateway/crashes_test.go
+++ b/internal/gateway/crashes_test.go
@@ -29,7 +29,7 @@
 	mu          sync.Mutex
 	sentToPeers []quarantine.Change
 	crashed     []string
-	heldBack    []string
+	held        []string
 }
 
 func (prober *fakeProber) ProbePort(context.Context, balance.Target) bool {
@@ -58,7 +58,7 @@
 func (prober *fakeProber) QuarantineChanged(change quarantine.Change, peer string) {
 	prober.mu.Lock()
 	defer prober.mu.Unlock()
-	prober.heldBack = append(prober.heldBack, peer+change.Fingerprint.String())
+	prober.held = append(prober.held, peer+change.Fingerprint.String())
 }
 
 // startCrashes gives the gateway a running Crashes.
@@ -235,9 +235,9 @@
 	}
 }
 
-// holdBack marks a request as held back, as other gateways found out.
-func holdBack(w *testGateway, subject quarantine.Subject) {
-	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Instances: []quarantine.Instance{1, 2, 3}}
+// hold makes a request held because of crashes that other gateways recorded.
+func hold(w *testGateway, subject quarantine.Subject) {
+	record := quarantine.Record{Fingerprint: subject.Fingerprint(), Incarnations: []quarantine.Incarnation{1, 2, 3}}
 	w.gateway.Crashes.Merge(record, time.Now())
 }
 
@@ -245,13 +245,13 @@
 	return quarantine.Subject{Workspace: "w", Method: "POST", Host: "h", URI: path}
 }
 
-// TestHeldBackRequestIsNotSent checks that a request that is held back isn't sent on any of the
+// TestHeldRequestIsNotSent checks that a request that is held isn't sent on any of the
 // remaining ways, and that its caller gets a final answer at once.
-func TestHeldBackRequestIsNotSent(t *testing.T) {
+func TestHeldRequestIsNotSent(t *testing.T) {
 	cases := map[string]struct {
 		path    string
 		scripts []script
-		// heldAt is the number of the send during which the request becomes held back; zero means
+		// heldAt is the number of the send during which the request becomes held; zero means
 		// before the first.
 		heldAt  int
 		sends   int
@@ -276,14 +276,14 @@
 				scripts := tc.scripts
 				w.sender.scripts = []script{func(ctx context.Context, out *gateway.Outgoing) (*gateway.Answer, *gateway.SendError) {
 					if sends++; sends == tc.heldAt {
-						holdBack(w, subjectOf(tc.path))
+						hold(w, subjectOf(tc.path))
 					}
 					next := scripts[0]
 					scripts = scripts[1:]
 					return next(ctx, out)
 				}}
 				if tc.heldAt == 0 {
-					holdBack(w, subjectOf(tc.path))
+					hold(w, subjectOf(tc.path))
 				}
 				w.serve(t.Context(), tc.path)
 				is.Equal(sends, tc.sends)
@@ -303,22 +303,22 @@
 	}
 }
 
-// TestHeldBackWhileConnecting covers a request that becomes held back while a connection is made.
-func TestHeldBackWhileConnecting(t *testing.T) {
+// TestHeldWhileConnecting covers a request that becomes held while a connection is made.
+func TestHeldWhileConnecting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(respond(200, "yes"))
 		startCrashes(t, w)
-		w.gateway.Sender = &hookSender{w.sender, func() { holdBack(w, subjectOf("/once/x")) }}
+		w.gateway.Sender = &hookSender{w.sender, func() { hold(w, subjectOf("/once/x")) }}
 		w.serve(t.Context(), "/once/x")
 		is.Equal(len(w.sender.sent), 0)
 		is.Equal(w.caller.refusal.Kind, fault.Quarantined)
 	})
 }
 
-// TestHeldBackDuringPrefillWait covers a request that becomes held back while it waits for the
+// TestHeldDuringPrefillWait covers a request that becomes held while it waits for the
 // prefill of a part of its prompt for another request.
-func TestHeldBackDuringPrefillWait(t *testing.T) {
+func TestHeldDuringPrefillWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newTestGateway(stream(one, io.EOF))
@@ -327,7 +327,7 @@
 		part := gateway.Part{ID: "long", Tokens: 4000}
 		w.gateway.Balancer.LearnFills([]balance.Placement{{Part: uint32(policy.HashName("m/long") >> 32), Target: 7}}, time.Now())
 		request := &gateway.Request{ID: "r1", Method: "POST", Host: "h", URI: "/stream/x", Path: "/stream/x", Key: "key", Model: "m", Parts: []gateway.Part{part, {ID: "own", Tokens: 10}}, Arrived: time.Now()}
-		time.AfterFunc(100*time.Millisecond, func() { holdBack(w, subjectOf("/stream/x")) })
+		time.AfterFunc(100*time.Millisecond, func() { hold(w, subjectOf("/stream/x")) })
 		w.gateway.Serve(t.Context(), request, w.caller)
 		is.True(w.caller.records[0].PrefillWait >= 100*time.Millisecond)
 		is.Equal(len(w.sender.sent), 0)
@@ -354,7 +354,7 @@
 		w := newTestGateway(lost, respond(200, "yes"))
 		prober := startCrashes(t, w)
 		prober.refuses.Store(true)
-		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Instances: []quarantine.Instance{1}}, time.Now())
+		w.gateway.Crashes.Merge(quarantine.Record{Fingerprint: subjectOf("/get/x").Fingerprint(), Incarnations: []quarantine.Incarnation{1}}, time.Now())
 		w.serve(t.Context(), "/get/x")
 		is.Equal(w.caller.status, http.StatusOK)
 		is.Equal(len(w.sender.sent), 2)
@@ -363,9 +363,9 @@
 	})
 }
 
-// TestHeldBackDoesNotAffectOthers checks that other requests are served: those of the same caller,
-// of other callers with the same body, and on other paths.
-func TestHeldBackDoesNotAffectOthers(t *testing.T) {
+// TestHeldRequestDoesNotAffectOthers checks that other requests are served: those of the same
+// caller, of other callers with the same body, and on other paths.
+func TestHeldRequestDoesNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestGateway(respond(200, "yes"))
 		startCrashes(t, w)
@@ -375,7 +375,7 @@
 		w.gateway.Apply(config)
 		held := subjectOf("/once/x")
 		held.Body = []byte("body")
-		holdBack(w, held)
+		hold(w, held)
 		cases := map[string]struct {
 			path, key, body string
 			kind            fault.Kind
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -23,7 +23,7 @@
 	// Request is the ID of the request that was answered.
 	Request string
 	Notice  balance.Notice
-	News    balance.NoticeChange
+	Change  balance.NoticeChange
 }
 
 // handleNotice applies the target's report about itself. It applies from now on to everything that
@@ -44,12 +44,12 @@
 		Incarnation: a.incarnation,
 		Request:     a.call.request.ID,
 		Notice:      notice,
-		News:        changes,
+		Change:      changes,
 	})
 }
 
-// endProbe reports how the half-open probe of a target that rested has ended. Other requests may
-// follow once the headers of its answer have arrived, however long the answer takes.
+// endProbe reports how the half-open probe of a target after its backoff has ended. Other requests
+// may follow once the headers of its answer have arrived, however long the answer takes.
 func (a *attempt) endProbe(answered bool) {
 	if !a.pick.Probe || a.probeEnded {
 		return
@@ -58,12 +58,12 @@
 	a.call.gateway.Balancer.EndProbe(a.incarnation, answered, clock.Now())
 }
 
-// retryAfter returns when the caller of a request that did not run should retry: when a resting
-// target is available again if no other is open, else when the service has capacity.
+// retryAfter returns when the caller of a request that did not run should retry: at the end of a
+// target's backoff if no target is open until then, otherwise when the service has capacity.
 func (c *call) retryAfter() time.Duration {
 	now := clock.Now()
-	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
-		return back
+	if retryIn, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), now); ok {
+		return retryIn
 	}
 	if c.gateway.Limiters == nil {
 		return retryAfterShortage
@@ -71,10 +71,10 @@
 	return c.gateway.Limiters.Of(c.service).RetryAfter(c.deadline.Sub(now), now)
 }
 
-// retryAfterNoTarget returns the same for a request for which no target was open at all.
+// retryAfterNoTarget is retryAfter for a request for which no target was open at all.
 func (c *call) retryAfterNoTarget() time.Duration {
-	if back, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
-		return back
+	if retryIn, ok := c.gateway.Balancer.RetryIn(c.attemptQuery(), clock.Now()); ok {
+		return retryIn
 	}
 	return retryAfterShortage
 }
--- a/internal/observe/state.go
+++ b/internal/observe/state.go
@@ -82,15 +82,15 @@
 
 // Notice logs and counts what a target reported about itself in a response.
 func (o *Observer) Notice(record *gateway.NoticeRecord) {
-	if record.News.Leaving {
+	if record.Change.Leaving {
 		o.metrics.notices.WithLabelValues(record.Service, noticeLeaving).Inc()
 		o.log.Info(EventLeaving, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request)
 	}
-	if record.News.BackingOff {
+	if record.Change.BackingOff {
 		o.metrics.notices.WithLabelValues(record.Service, noticeRest).Inc()
 		o.log.Info(EventTargetResting, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "rest_ms", wholeMillis(record.Notice.RetryAfter))
 	}
-	if record.News.Unreadable {
+	if record.Change.Unreadable {
 		o.metrics.notices.WithLabelValues(record.Service, noticeUnreadable).Inc()
 		o.log.Warn(EventNoticeUnreadable, "target", record.Target, "life", record.Incarnation, "address", record.Address, "service", record.Service, "request", record.Request, "retry_after", record.Notice.Unreadable)
 	}
--- a/internal/peer/directory_test.go
+++ b/internal/peer/directory_test.go
@@ -89,8 +89,8 @@
 	is.Equal(nodes[keeper].service.Find(t.Context(), []uint32{part}), balance.NotAsked) // it is the keeper itself
 }
 
-// TestWaitersAreNotified checks that a gateway that looks up a part which is still being read is
-// notified as soon as it has been read.
+// TestWaitersAreNotified checks that a gateway that looks up a part which is still being prefilled
+// is notified as soon as it has been prefilled.
 func TestWaitersAreNotified(t *testing.T) {
 	nodes := newLargeFleet(t)
 	const part = 43
@@ -179,12 +179,12 @@
 	for i := range parts {
 		parts[i] = uint32(i) << 20
 	}
-	asked := service.ask(parts)
+	asked := service.sendLookups(parts)
 	is.True(len(asked) > 0)
 	is.True(len(asked) < 10)
-	service.finishQuestions(asked, false)
+	service.finishLookups(asked, false)
 	service.mu.Lock()
-	is.Equal(len(service.directory.questions), 0) // lookups that were not sent are not kept open
+	is.Equal(len(service.directory.lookups), 0) // lookups that were not sent are not kept open
 	service.mu.Unlock()
 }
 
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -18,7 +18,7 @@
 // When a target crashes, each gateway knows which of its own requests were in flight there: up to
 // 64 over all gateways, one of which is to blame. The keepers of a request, the first few gateways
 // in its rendezvous order, receive each of its records and sum the crashes over gateways. Only a
-// request with several crashes concerns all gateways; each gateway that learns of its record
+// request with several crashes concerns all gateways. Each gateway that learns of its record
 // forwards it to a few others chosen at random. So the crash of a target costs a gateway some
 // hundred bytes, whatever the number of gateways. Records merge in any order and any number of
 // times, so repeating one is harmless.
@@ -47,7 +47,7 @@
 	repostShare = 0.05
 	// maxCrashRecords limits the records in a datagram, of some 30 bytes each.
 	maxCrashRecords = 32
-	// maxPending limits the records that wait to be sent; those with the fewest crashes are dropped
+	// maxPending limits the records that wait to be sent. Those with the fewest crashes are dropped
 	// first.
 	maxPending = 1024
 	// repostInterval is the minimum time between two sendings of all records to their keepers, so
@@ -122,7 +122,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b outgoingRecord) int {
-		return cmp.Or(cmp.Compare(len(b.record.Instances), len(a.record.Instances)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
+		return cmp.Or(cmp.Compare(len(b.record.Incarnations), len(a.record.Incarnations)), cmp.Compare(a.record.Fingerprint, b.record.Fingerprint))
 	})
 	return all
 }
@@ -135,7 +135,7 @@
 	s.wake()
 }
 
-// sendCrashes sends the crash records that are due. The caller holds s.mu.
+// sendCrashes sends the crash records that are due. The caller must hold s.mu.
 func (s *Service) sendCrashes(now time.Time) {
 	s.repostRecords(now)
 	if len(s.crashes.pending) == 0 {
@@ -226,8 +226,8 @@
 	return rank
 }
 
-// sendRecords sends records to a peer at once, as far as their byte budget allows. Omitted ones
-// are sent in later rounds or on the peer's next hash. The caller holds s.mu.
+// sendRecords sends records to a peer at once, as far as their byte budget allows. Omitted ones are
+// sent in later rounds or on the peer's next hash. The caller must hold s.mu.
 func (s *Service) sendRecords(to *peer, records []quarantine.Record) {
 	for chunk := range slices.Chunk(records, maxCrashRecords) {
 		heartbeat := s.bareHeartbeatTo(to)
@@ -241,7 +241,7 @@
 	}
 }
 
-// applyCrashes applies a heartbeat's crash records. The caller holds s.mu.
+// applyCrashes applies a heartbeat's crash records. The caller must hold s.mu.
 func (s *Service) applyCrashes(heartbeat *wire.GatewayBeat, from *peer, now time.Time) {
 	var replies []quarantine.Record
 	for _, message := range heartbeat.GetCrashRecords() {
@@ -267,7 +267,7 @@
 }
 
 // compareQuarantine sends this process's held requests to a peer whose hash of held requests
-// differs. The caller holds s.mu.
+// differs. The caller must hold s.mu.
 func (s *Service) compareQuarantine(digest uint64, from *peer, now time.Time) {
 	if digest == s.crashes.table.Digest() || now.Sub(from.quarantineSentAt) < digestInterval {
 		return
@@ -283,7 +283,7 @@
 
 // sendCrashesToNew sends a newly found gateway the records that concern all gateways, if this
 // gateway is one of the few responsible for that. The new gateway may also become the keeper of
-// other requests. The caller holds s.mu.
+// other requests. The caller must hold s.mu.
 func (s *Service) sendCrashesToNew(found *peer, now time.Time) {
 	if s.crashes.table.Empty() {
 		return
@@ -304,7 +304,7 @@
 }
 
 // repostRecords schedules all records of single crashes for their current keepers after gateways
-// have come or gone. The caller holds s.mu.
+// have come or gone. The caller must hold s.mu.
 func (s *Service) repostRecords(now time.Time) {
 	if !s.crashes.peersChanged || now.Sub(s.crashes.repostedAt) < repostInterval {
 		return
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -13,13 +13,13 @@
 	"github.com/capersaddle/capersaddle/internal/wire"
 )
 
-// One gateway, the decider, decides about the roll-outs of a service. The others report to it and
+// One gateway, the decider, decides about the rollouts of a service. The others report to it and
 // get grants in reply. These datagrams are small and few, are sent only while an order runs, and a
 // version on trial waits for them. So they neither wait for the byte budget of heartbeats nor
 // count against it: the decider among thirty gateways sends 5 KB/s of grants, and would have few
 // bytes left for its loads just when the limit on loads is tight.
 
-// Rollouts handles this process's part of roll-outs. Its methods are called without locks held, so
+// Rollouts handles this process's part of rollouts. Its methods are called without locks held, so
 // that they may call the service's methods.
 type Rollouts interface {
 	// Services returns the services with a running order.
@@ -36,7 +36,7 @@
 	Notices(now time.Time) []rollout.Grant
 }
 
-// SetRollouts sets the handler of roll-out reports and grants. It must be called before Start.
+// SetRollouts sets the handler of rollout reports and grants. It must be called before Start.
 func (s *Service) SetRollouts(rollouts Rollouts) {
 	s.rollouts = rollouts
 }
@@ -78,7 +78,7 @@
 	eligible, reachesStore bool
 }
 
-// selfCandidacy returns this process's properties. The caller holds s.mu.
+// selfCandidacy returns this process's properties. The caller must hold s.mu.
 func (s *Service) selfCandidacy() selfCandidacy {
 	return selfCandidacy{
 		hash:         s.hash,
@@ -245,7 +245,7 @@
 	return rollout.Open
 }
 
-// stageOf reads a stage; an unknown one is a hold.
+// stageOf reads a stage. An unknown one is a hold.
 func stageOf(message wire.RolloutStage) rollout.Stage {
 	switch message {
 	case wire.RolloutStage_ROLLOUT_STAGE_CANARY:
--- a/internal/peer/service.go
+++ b/internal/peer/service.go
@@ -42,14 +42,14 @@
 	minCounts      = 4
 	// maxSuspects limits the suspected targets in a heartbeat.
 	maxSuspects = 24
-	// countsInterval is how long sending a heartbeat to each peer may take so that heartbeats can
-	// carry more counts.
+	// countsInterval is the time in which each peer has to get a heartbeat with counts. The longer
+	// it is, the more counts a heartbeat can carry.
 	countsInterval = time.Second
 	// baseHeartbeatSize and countSize are the sizes in bytes of a heartbeat without counts and of
 	// one count.
 	baseHeartbeatSize = 50
 	countSize         = 5
-	// senderEvery is the number of heartbeats to a peer after which one names its sender again; the
+	// senderEvery is the number of heartbeats to a peer after which one names its sender again. The
 	// first senderFirst of them always do.
 	senderEvery = 24
 	senderFirst = 4
@@ -75,7 +75,7 @@
 	Pull() *wire.ReplicaPull
 	// Page answers a pull.
 	Page(pull *wire.ReplicaPull) *wire.ReplicaPage
-	// Absorb applies a peer's page; a page that can't be read changes nothing.
+	// Absorb applies a peer's page. A page that can't be read changes nothing.
 	Absorb(page *wire.ReplicaPage) error
 	// Reachable reports whether the last call to the store was answered.
 	Reachable() bool
@@ -147,7 +147,7 @@
 	sequence   uint64
 	// sentAt holds the sending times of heartbeats by their sequence number.
 	sentAt [sentHistory]time.Time
-	// refused are targets at whose addresses nothing listens; a few peers are notified of them in
+	// refused are targets at whose addresses nothing listens. A few peers are notified of them in
 	// the next round.
 	refused []uint32
 	// lastCounts and the fields below hold what the last round of heartbeats reported.
@@ -165,7 +165,7 @@
 	directory *directory
 	// crashes holds the crash records that wait to be sent.
 	crashes *crashQueue
-	// rollouts is nil if roll-outs are not handled.
+	// rollouts is nil if rollouts are not handled.
 	rollouts Rollouts
 
 	// wholePages counts the whole copies that are being sent.
@@ -243,7 +243,7 @@
 // than the state of the peers changes.
 const viewTTL = tick
 
-// currentView returns a view of the table. The caller holds s.mu.
+// currentView returns a view of the table. The caller must hold s.mu.
 func (s *Service) currentView(now time.Time) *view {
 	if s.cachedView == nil || now.Sub(s.cachedView.at) >= viewTTL || now.Before(s.cachedView.at) {
 		s.table.loaded = s.options.Replica.Revision() > 0
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -48,7 +48,7 @@
 // term returns how long the request is held.
 func (e *entry) term() time.Duration {
 	term := FirstTerm
-	for range len(e.Instances) - Limit {
+	for range len(e.Incarnations) - Limit {
 		term = min(termGrowth*term, MaxTerm)
 	}
 	return term
@@ -63,7 +63,7 @@
 func (e *entry) expired(now time.Time) bool {
 	ttl := suspectTTL
 	switch {
-	case len(e.Instances) == 0:
+	case len(e.Incarnations) == 0:
 		ttl = clearedTTL
 	case e.atLimit():
 		// After the term the request is on probation for the same time again, or at least for an
@@ -78,7 +78,7 @@
 type Table struct {
 	mu      sync.Mutex
 	entries map[Fingerprint]*entry
-	// digest covers the records at the limit; each heartbeat contains it.
+	// digest covers the records at the limit. Each heartbeat contains it.
 	digest uint64
 	// changes counts the records that were added or changed.
 	changes uint64
@@ -96,22 +96,22 @@
 	return &Table{entries: make(map[Fingerprint]*entry), answered: answered}
 }
 
-// Crashed records that an instance of a target crashed while a request was in flight there.
+// Crashed records that an incarnation of a target crashed while a request was in flight there.
 //
 // If this process has just received an answer to the same request from another target, as happens
 // to requests that many callers send alike, the answer excuses one crash. A request that crashes
 // every target that runs it is never answered.
-func (t *Table) Crashed(fingerprint Fingerprint, instance Instance, now time.Time) Change {
+func (t *Table) Crashed(fingerprint Fingerprint, incarnation Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.consumeAnswer(fingerprint, now) {
 		return Change{}
 	}
-	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Instances: []Instance{instance}}, now)
+	return t.apply(Record{Fingerprint: fingerprint, Epoch: t.epochOf(fingerprint), Incarnations: []Incarnation{incarnation}}, now)
 }
 
 // consumeAnswer reports whether the request was fully answered here within answeredTTL. One answer
-// excuses one crash: a request that was harmless then may be fatal now. The caller holds t.mu.
+// excuses one crash: a request that was harmless then may be fatal now. The caller must hold t.mu.
 func (t *Table) consumeAnswer(fingerprint Fingerprint, now time.Time) bool {
 	answeredAt, ok := t.answered.Peek(fingerprint)
 	if ok {
@@ -135,10 +135,10 @@
 	return t.clear(fingerprint, now)
 }
 
-// clear clears a request if any crashes are recorded for it. The caller holds t.mu.
+// clear clears a request if any crashes are recorded for it. The caller must hold t.mu.
 func (t *Table) clear(fingerprint Fingerprint, now time.Time) Change {
 	e, ok := t.entries[fingerprint]
-	if !ok || len(e.Instances) == 0 {
+	if !ok || len(e.Incarnations) == 0 {
 		return Change{}
 	}
 	return t.apply(Record{Fingerprint: fingerprint, Epoch: e.Epoch + 1}, now)
@@ -153,7 +153,7 @@
 	e, ok := t.entries[other.Fingerprint]
 	before := 0
 	if ok {
-		before = len(e.Instances)
+		before = len(e.Incarnations)
 	}
 	change := t.apply(other, now)
 	if !change.Changed || !change.Suspicious() || !t.consumeAnswer(other.Fingerprint, now) {
@@ -175,7 +175,7 @@
 	return change
 }
 
-// apply joins a record with the known one. The caller holds t.mu.
+// apply joins a record with the known one. The caller must hold t.mu.
 func (t *Table) apply(other Record, now time.Time) Change {
 	e, ok := t.entries[other.Fingerprint]
 	if ok && e.expired(now) {
@@ -186,7 +186,7 @@
 		e = &entry{Record: Record{Fingerprint: other.Fingerprint}}
 	}
 	joined := e.join(other)
-	change := Change{Record: joined, Before: len(e.Instances), Changed: !joined.Equal(e.Record), NewToSender: !joined.Equal(other)}
+	change := Change{Record: joined, Before: len(e.Incarnations), Changed: !joined.Equal(e.Record), NewToSender: !joined.Equal(other)}
 	if !change.Changed {
 		return change
 	}
@@ -207,8 +207,8 @@
 	return 0
 }
 
-// evict removes an eighth of the records if the table is full: those with the fewest crashes
-// first, and of these the oldest. Held requests are evicted last. The caller holds t.mu.
+// evict removes an eighth of the records if the table is full: those with the fewest crashes first,
+// and of these the oldest. Held requests are evicted last. The caller must hold t.mu.
 func (t *Table) evict(now time.Time) {
 	if len(t.entries) < maxRecords {
 		return
@@ -223,20 +223,20 @@
 		all = append(all, e)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Instances), len(b.Instances)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(len(a.Incarnations), len(b.Incarnations)), a.changedAt.Compare(b.changedAt), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	for _, e := range all[:len(all)/share] {
 		t.remove(e)
 	}
 }
 
-// remove deletes a record. The caller holds t.mu.
+// remove deletes a record. The caller must hold t.mu.
 func (t *Table) remove(e *entry) {
 	t.digest ^= e.digest()
 	delete(t.entries, e.Fingerprint)
 }
 
-// expire removes records that no longer have any effect. The caller holds t.mu.
+// expire removes records that no longer have any effect. The caller must hold t.mu.
 func (t *Table) expire(now time.Time) {
 	for _, e := range t.entries {
 		if e.expired(now) {
@@ -293,12 +293,12 @@
 	t.expire(now)
 	records := make([]Record, 0, len(t.entries))
 	for _, e := range t.entries {
-		if len(e.Instances) >= minCrashes {
+		if len(e.Incarnations) >= minCrashes {
 			records = append(records, e.Record)
 		}
 	}
 	slices.SortFunc(records, func(a, b Record) int {
-		return cmp.Or(cmp.Compare(len(b.Instances), len(a.Instances)), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(cmp.Compare(len(b.Incarnations), len(a.Incarnations)), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return records
 }
@@ -326,7 +326,7 @@
 	var cases []HeldRequest
 	for _, e := range t.entries {
 		if e.isHeld(now) {
-			cases = append(cases, HeldRequest{Fingerprint: e.Fingerprint, Crashes: len(e.Instances), Remaining: e.term() - now.Sub(e.changedAt)})
+			cases = append(cases, HeldRequest{Fingerprint: e.Fingerprint, Crashes: len(e.Incarnations), Remaining: e.term() - now.Sub(e.changedAt)})
 		}
 	}
 	slices.SortFunc(cases, func(a, b HeldRequest) int {
--- a/internal/quarantine/trial.go
+++ b/internal/quarantine/trial.go
@@ -7,13 +7,13 @@
 
 // A crash of a target is recorded against all requests that were in flight there. A request that
 // many callers send alike is in flight everywhere, and has three crashes as soon as the fatal
-// requests beside it have crashed three targets. If other requests may be the cause of its
-// crashes, it is not treated as fatal at once. It is held like a fatal one, but its callers are
-// told to retry later, and one copy of it, a trial, is sent once the crashes have stopped. A
-// complete answer clears it; a crash of a target under nothing but the trial proves that it is
-// fatal itself. Of several such requests, the one with the most crashes is tried first. Once it is
-// cleared, the others have no other request that explains their crashes, so that a fatal request
-// hardly ever gets a trial.
+// requests beside it have crashed three targets. If other requests may be the cause of its crashes,
+// it is not treated as fatal at once. It is held like a fatal one, but its callers are told to
+// retry later, and one copy of it, a trial, is sent once the crashes have stopped. A complete
+// answer clears it. A crash of a target under nothing but the trial proves that it is fatal itself.
+// Of several such requests, the one with the most crashes is tried first. Once it is cleared, the
+// others have no other request that explains their crashes, so that a fatal request hardly ever
+// gets a trial.
 
 const (
 	// MaxTrials limits the trials of a request that targets run until it is cleared, over all
@@ -81,9 +81,9 @@
 	return ok && t.mayStartTrial(e, rank, now)
 }
 
-// StartTrial starts a trial at an instance of a target if MayStartTrial holds. The caller has to
-// announce it to the other gateways before the trial ends.
-func (t *Table) StartTrial(fingerprint Fingerprint, rank int, instance Instance, now time.Time) (Change, bool) {
+// StartTrial starts a trial at an incarnation of a target if MayStartTrial holds. The caller has
+// to announce it to the other gateways before the trial ends.
+func (t *Table) StartTrial(fingerprint Fingerprint, rank int, incarnation Incarnation, now time.Time) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
@@ -92,22 +92,22 @@
 	}
 	updated := e.Record
 	updated.Trials++
-	updated.TrialInstance = instance
+	updated.TrialIncarnation = incarnation
 	return t.apply(updated, now), true
 }
 
-// TrialNotRun records that no target ran the trial that started at an instance, so that another
-// one may start.
-func (t *Table) TrialNotRun(fingerprint Fingerprint, instance Instance, now time.Time) Change {
+// TrialNotRun records that no target ran the trial that started at an incarnation, so that another
+// trial may start.
+func (t *Table) TrialNotRun(fingerprint Fingerprint, incarnation Incarnation, now time.Time) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.entries[fingerprint]
-	if !ok || e.TrialInstance != instance || instance == 0 {
+	if !ok || e.TrialIncarnation != incarnation || incarnation == 0 {
 		return Change{}
 	}
 	updated := e.Record
 	updated.UnrunTrials++
-	updated.TrialInstance = 0
+	updated.TrialIncarnation = 0
 	return t.apply(updated, now)
 }
 
@@ -116,7 +116,7 @@
 	if !e.isHeld(now) || e.Trials-e.UnrunTrials >= MaxTrials {
 		return false
 	}
-	if e.TrialInstance != 0 && !e.trialCrashed() && now.Sub(e.changedAt) < trialTimeout {
+	if e.TrialIncarnation != 0 && !e.trialCrashed() && now.Sub(e.changedAt) < trialTimeout {
 		return false
 	}
 	blame := t.blame(e)
@@ -124,7 +124,7 @@
 	return blame.explained && now.Sub(blame.changedAt) >= quiet && t.isNext(e, now)
 }
 
-// isNext reports whether no request that shares a crash is to be tried first. The caller holds
+// isNext reports whether no request that shares a crash is to be tried first. The caller must hold
 // t.mu.
 func (t *Table) isNext(e *entry, now time.Time) bool {
 	for _, other := range t.entries {
@@ -159,10 +159,10 @@
 	return !e.restored && !e.trialCrashed() && now.Sub(blame.changedAt) < delay
 }
 
-// blame compares a request with all others. The caller holds t.mu.
+// blame compares a request with all others. The caller must hold t.mu.
 func (t *Table) blame(e *entry) blame {
 	result := blame{changedAt: e.changedAt}
-	unexplained, uncovered := slices.Clone(e.Instances), slices.Clone(e.Instances)
+	unexplained, uncovered := slices.Clone(e.Incarnations), slices.Clone(e.Incarnations)
 	for _, other := range t.entries {
 		if other == e || !other.sharesCrash(e) {
 			continue
@@ -170,7 +170,7 @@
 		if other.changedAt.After(result.changedAt) {
 			result.changedAt = other.changedAt
 		}
-		crashedWith := func(instance Instance) bool { return slices.Contains(other.Instances, instance) }
+		crashedWith := func(incarnation Incarnation) bool { return slices.Contains(other.Incarnations, incarnation) }
 		if other.Suspicious() {
 			uncovered = slices.DeleteFunc(uncovered, crashedWith)
 		}
@@ -179,7 +179,7 @@
 		}
 	}
 	result.explained, result.covered = len(unexplained) <= maxUnexplained, len(uncovered) == 0
-	if e.trialCrashed() && slices.Contains(unexplained, e.TrialInstance) {
+	if e.trialCrashed() && slices.Contains(unexplained, e.TrialIncarnation) {
 		result.explained = false
 	}
 	return result
@@ -187,19 +187,19 @@
 
 // trialCrashed reports whether the target of the last trial crashed.
 func (r Record) trialCrashed() bool {
-	return r.TrialInstance != 0 && slices.Contains(r.Instances, r.TrialInstance)
+	return r.TrialIncarnation != 0 && slices.Contains(r.Incarnations, r.TrialIncarnation)
 }
 
 // sharesCrash reports whether two requests were in flight at the same crash.
 func (r Record) sharesCrash(other *entry) bool {
-	return slices.ContainsFunc(r.Instances, func(instance Instance) bool { return slices.Contains(other.Instances, instance) })
+	return slices.ContainsFunc(r.Incarnations, func(incarnation Incarnation) bool { return slices.Contains(other.Incarnations, incarnation) })
 }
 
 // triedBefore reports whether a request is tried before another: the one with the most crashes
 // comes first.
 func (r Record) triedBefore(other *entry) bool {
-	if len(r.Instances) != len(other.Instances) {
-		return len(r.Instances) > len(other.Instances)
+	if len(r.Incarnations) != len(other.Incarnations) {
+		return len(r.Incarnations) > len(other.Incarnations)
 	}
 	return r.Fingerprint < other.Fingerprint
 }
--- a/internal/replica/page.go
+++ b/internal/replica/page.go
@@ -28,7 +28,7 @@
 }
 
 // Page answers a pull. The page contains the changes since the pull's revision, or the whole
-// content if removals since then may be unknown here; it omits the values that the asking copy
+// content if removals since then may be unknown here. It omits the values that the asking copy
 // holds. A large page is packed.
 func (c *Copy) Page(pull *wire.ReplicaPull) *wire.ReplicaPage {
 	page := c.page(pull)
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// unpack reads one item of a page. The caller holds c.mu.
+// unpack reads one item of a page. The caller must hold c.mu.
 func (c *Copy) unpack(packed *wire.ReplicaItem) (receivedItem, error) {
 	item := receivedItem{Item: Item{Key: packed.GetKey(), Value: packed.GetValue(), Revision: packed.GetRevision(), Gone: packed.GetGone()}}
 	rec := c.records[item.Key]
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// stepInterval is the time between two evaluations of all roll-outs. It is short compared
+	// stepInterval is the time between two evaluations of all rollouts. It is short compared
 	// with the time between reports.
 	stepInterval = 100 * time.Millisecond
 	// moveStepInterval is the same during a move, whose last moment for a commit must not be
-	// missed: commitReserve leaves the store some 150 ms after it, which steps every 100 ms
-	// reduced to 50 ms.
+	// missed: commitReserve leaves the store some 150 ms after that moment. Steps every 100 ms
+	// reduced this to 50 ms.
 	moveStepInterval = 20 * time.Millisecond
 	// maxStepGap is the time since the last step after which reports are no longer answered: the
 	// process was stalled, and another gateway may have become the decider.
@@ -70,7 +70,7 @@
 	// were seen.
 	maxPeers   int
 	maxPeersAt time.Time
-	// steppedAt is the time of the last evaluation of the roll-outs.
+	// steppedAt is the time of the last evaluation of the rollouts.
 	steppedAt time.Time
 	notices   []notice
 	// steps are queued for the watcher.
@@ -96,12 +96,12 @@
 	return c
 }
 
-// Gate returns this gateway's gate, which applies all roll-outs to its requests.
+// Gate returns this gateway's gate, which applies all rollouts to its requests.
 func (c *Controller) Gate() *Gate {
 	return c.gate
 }
 
-// Start begins to evaluate the roll-outs in the background.
+// Start begins to evaluate the rollouts in the background.
 func (c *Controller) Start(context.Context) error {
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.wait.Go(func() {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// nextStepDelay returns the time until the next evaluation of all roll-outs.
+// nextStepDelay returns the time until the next evaluation of all rollouts.
 func (c *Controller) nextStepDelay() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// requestStep triggers an evaluation of the roll-outs soon.
+// requestStep triggers an evaluation of the rollouts soon.
 func (c *Controller) requestStep() {
 	select {
 	case c.wake <- struct{}{}:
@@ -219,7 +219,7 @@
 	versions map[string]int
 }
 
-// step evaluates all roll-outs. While none is running it only counts the gateways.
+// step evaluates all rollouts. While none is running it only counts the gateways.
 func (c *Controller) step(now time.Time) {
 	var inputs []serviceInput
 	for _, v := range c.gate.views(now) {
@@ -245,7 +245,7 @@
 	}
 }
 
-// stepAll decides about the services whose roll-outs are running.
+// stepAll decides about the services whose rollouts are running.
 func (c *Controller) stepAll(inputs []serviceInput, livePeers []string, reachable bool, now time.Time) ([]Step, []pendingCommit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,7 +283,7 @@
 	return steps, commits
 }
 
-// deciderFor returns a service's state, creating it if necessary; c.mu is held.
+// deciderFor returns a service's state, creating it if necessary. The caller must hold c.mu.
 func (c *Controller) deciderFor(service string) *deciderState {
 	d := c.deciders[service]
 	if d == nil {
@@ -294,9 +294,9 @@
 }
 
 // inMinority reports whether this process is in contact with less than half of the gateways that
-// there were. It is probably the one that is partitioned off then, so it begins no move,
-// completes nothing, and halts no version for lack of evidence. If it can't reach the store
-// either, no other gateway could tell it of a halt, so it grants itself nothing. c.mu is held.
+// there were. It is probably the one that is partitioned off then, so it begins no move, completes
+// nothing, and halts no version for lack of evidence. If it can't reach the store either, no other
+// gateway could tell it of a halt, so it grants itself nothing. The caller must hold c.mu.
 func (c *Controller) inMinority(livePeers int, now time.Time) bool {
 	if livePeers >= c.maxPeers || now.Sub(c.maxPeersAt) > maxPeersTTL {
 		c.maxPeers, c.maxPeersAt = livePeers, now
@@ -304,7 +304,7 @@
 	return 2*(livePeers+1) < c.maxPeers+1
 }
 
-// stepOne decides about one service; c.mu is held.
+// stepOne decides about one service. The caller must hold c.mu.
 func (c *Controller) stepOne(d *deciderState, input serviceInput, tookOver bool, s stepInput, now time.Time) decision {
 	report, running := c.gate.report(input.view.service, now)
 	if !input.view.running || !running {
@@ -322,11 +322,12 @@
 	c.noteStage(d, decision, now)
 	// No peer answers the gateway's own reports, so its grant is applied as if they had been
 	// sent.
-	c.gate.obey(d.decider.answerReport(NameHash(input.view.service), now), now, now)
+	c.gate.applyGrant(d.decider.answerReport(NameHash(input.view.service), now), now, now)
 	return decision
 }
 
-// noteStage queues a step for the watcher if the allowed stage has changed; c.mu is held.
+// noteStage queues a step for the watcher if the allowed stage has changed. The caller must hold
+// c.mu.
 func (c *Controller) noteStage(d *deciderState, decision decision, now time.Time) {
 	step := Step{
 		Kind: StepStage, Service: d.decider.order.Service, Version: d.decider.order.Version,
@@ -345,7 +346,8 @@
 	c.addStepLocked(step)
 }
 
-// notifyEndLocked schedules notices of an order's end to all other gateways; c.mu is held.
+// notifyEndLocked schedules notices of an order's end to all other gateways. The caller must hold
+// c.mu.
 func (c *Controller) notifyEndLocked(grant Grant, now time.Time) {
 	for i := range noticeRepeats {
 		c.notices = append(c.notices, notice{grant: grant, at: now.Add(time.Duration(i) * noticeInterval)})
--- a/internal/rollout/decider.go
+++ b/internal/rollout/decider.go
@@ -31,7 +31,7 @@
 	completionUnresolved bool
 }
 
-// decider takes the steps of one service's roll-out. It is a pure state machine: its inputs are
+// decider takes the steps of one service's rollout. It is a pure state machine: its inputs are
 // reports, and its outputs are what to allow and what to write.
 type decider struct {
 	options Options
@@ -51,7 +51,8 @@
 	decidingSince  time.Time
 	reportInterval time.Duration
 	stage          Stage
-	// moveUntil is when the gateways leave the move. It is in the past unless a move is running.
+	// moveBegan is when the last move began, and moveUntil when the gateways leave it. moveUntil is
+	// in the past unless a move is running.
 	moveBegan, moveUntil time.Time
 	// haltReason is why the version may get no more requests; empty if it may.
 	haltReason string
@@ -224,7 +225,7 @@
 	return d.appendMissing(s, "no time is left for the move")
 }
 
-// appendMissing adds what the roll-out lacks to a reason.
+// appendMissing adds what the rollout lacks to a reason.
 func (d *decider) appendMissing(s stepInput, reason string) string {
 	switch {
 	case s.versions == nil:
@@ -321,7 +322,7 @@
 	return d.moveReportInterval() + entryMargin + commitReserve
 }
 
-// stepInterval returns the time until the next evaluation of the roll-out.
+// stepInterval returns the time until the next evaluation of the rollout.
 func (d *decider) stepInterval() time.Duration {
 	if d.stage == Move {
 		return moveStepInterval
@@ -352,7 +353,7 @@
 	}
 	for _, id := range append([]string{selfID}, s.livePeers...) {
 		g := d.gateways[id]
-		if g == nil || !g.obeysMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
+		if g == nil || !g.followsMove(d.order.Revision) || g.at.Before(d.moveBegan) || d.isLate(g, now) {
 			return false
 		}
 	}
--- a/internal/rollout/dependencies.go
+++ b/internal/rollout/dependencies.go
@@ -40,7 +40,7 @@
 	LiveIDs() []string
 }
 
-// StepKind is the kind of a change to a roll-out.
+// StepKind is the kind of a change to a rollout.
 type StepKind string
 
 // The kinds of steps.
@@ -53,7 +53,7 @@
 	StepHalted StepKind = "halted"
 	// StepRecorded: the store has a new state.
 	StepRecorded StepKind = "recorded"
-	// StepCommitFailed: a state could not be written; the commit will be retried.
+	// StepCommitFailed: a state could not be written. The commit will be retried.
 	StepCommitFailed StepKind = "commit_failed"
 )
 
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -11,8 +11,9 @@
 
 // Options are the limits that the operators set.
 type Options struct {
-	// Share of the requests to a service, plus Slack requests, is the most that a version may get
-	// from all gateways together before it has proved good.
+	// Share and Slack limit the requests that a version may get from all gateways together before
+	// it has proved good: to Share, as a fraction of the requests to the service, plus Slack
+	// requests.
 	Share float64
 	Slack float64
 	// Rollback is the time within which a bad version stops getting requests after its failures
@@ -20,7 +21,7 @@
 	Rollback time.Duration
 }
 
-// Gate is one gateway's part in all roll-outs: it selects the versions that may get a request,
+// Gate is one gateway's part in all rollouts: it selects the versions that may get a request,
 // and counts how they answer. It is safe for concurrent use.
 type Gate struct {
 	options Options
@@ -44,16 +45,15 @@
 	}
 }
 
-// notifyChange wakes the requests that wait for a change; g.mu is held.
+// notifyChange wakes the requests that wait for a change. The caller must hold g.mu.
 func (g *Gate) notifyChange() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// Await serves a request that has found no target although the version of a running order may
-// have some: the order may be completed, with the record of that still in transit. It returns a
-// channel that is closed when an order or a record becomes known, and the time until which to
-// wait for that. ok is false if there is nothing to wait for, or the wait is over.
+// Await is for a request that has found no target although the version of a running order may
+// have some: the order may be completed, with its record still in transit. It returns a channel
+// that is closed when an order or a record becomes known, and the time until which to wait for it. ok is false if there is nothing to wait for, or the wait is over.
 func (g *Gate) Await(service string, now time.Time) (changed <-chan struct{}, until time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -245,7 +245,7 @@
 	s.trial.tallies.Add(outcome.Route, target, failed, slow)
 }
 
-// service returns the state of a service, creating it if necessary; g.mu is held.
+// service returns the state of a service, creating it if necessary. The caller must hold g.mu.
 func (g *Gate) service(name string) *service {
 	s := g.services[name]
 	if s == nil {
@@ -314,9 +314,9 @@
 	return before, true
 }
 
-// obey applies a grant, or a notice if sentAt is the zero time. It returns the order, and reports
-// whether its version was halted by that.
-func (g *Gate) obey(grant Grant, sentAt, now time.Time) (Order, bool) {
+// applyGrant applies a grant, or a notice if sentAt is the zero time. It returns the order, and
+// reports whether its version was halted by that.
+func (g *Gate) applyGrant(grant Grant, sentAt, now time.Time) (Order, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.byHash[grant.Service]
@@ -337,8 +337,8 @@
 	return s.report(now), true
 }
 
-// due returns the reports to be sent now, for the services that include accepts.
-func (g *Gate) due(now time.Time, every time.Duration, include func(service string) bool) []Report {
+// dueReports returns the reports to be sent now, for the services that include accepts.
+func (g *Gate) dueReports(now time.Time, every time.Duration, include func(service string) bool) []Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var reports []Report
