--- a/internal/crashstore/saver.go
+++ b/internal/crashstore/saver.go
@@ -67,7 +67,8 @@
 	options Options
 	// checkedAt is the table's change counter when records were last selected.
 	checkedAt uint64
-	// saved is what the store has had since then, and savedFingerprints are the requests in it.
+	// saved is the data that the store holds since then, and savedFingerprints identify the
+	// requests in it.
 	saved             []byte
 	savedFingerprints map[quarantine.Fingerprint]bool
 	cancel            context.CancelFunc
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
 // Package explain collects, from the log lines of many processes, those about one request, target,
-// configuration or roll-out, in order of time, and names the likely cause of a request's end.
+// configuration or rollout, in order of time, and names the likely cause of a request's end.
 package explain
 
 import (
@@ -70,18 +70,18 @@
 
 // Read reads the lines of logs. It skips any text before the JSON of a line, and counts lines that
 // are not log lines.
-func Read(logs io.Reader) (lines []Line, unread int, err error) {
+func Read(logs io.Reader) (lines []Line, unparsed int, err error) {
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(make([]byte, 0, 1<<16), maxLine)
 	for scanner.Scan() {
 		line, ok := parseLine(scanner.Bytes())
 		if !ok {
-			unread++
+			unparsed++
 			continue
 		}
 		lines = append(lines, line)
 	}
-	return lines, unread, errors.Wrap(scanner.Err(), "read logs")
+	return lines, unparsed, errors.Wrap(scanner.Err(), "read logs")
 }
 
 func parseLine(text []byte) (Line, bool) {
@@ -98,7 +98,7 @@
 }
 
 // NewTimeline collects the lines about a subject: the ID of a request, the ID of a target, the
-// version of a configuration as version:N, the roll-outs of a service as rollout:SERVICE, or all
+// version of a configuration as version:N, the rollouts of a service as rollout:SERVICE, or all
 // requests with a fingerprint as print:FINGERPRINT. The timeline of a request that was held back
 // includes the lines that say why.
 func NewTimeline(subject string, lines []Line) *Timeline {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -110,8 +110,8 @@
 	return v.Member.GetStanding() != wire.Standing_STANDING_DEAD
 }
 
-// Visit calls show for all members, in no particular order, while the list is locked.
-func (l *List) Visit(show func(View)) {
+// Visit calls visit for all members, in no particular order, while the list is locked.
+func (l *List) Visit(visit func(View)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -120,7 +120,7 @@
 		if now.Sub(e.loadsAt) <= l.options.MaxLoadAge && len(e.loads) == len(e.member.GetTargets()) {
 			view.Loads = e.loads
 		}
-		show(view)
+		visit(view)
 	}
 }
 
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -49,7 +49,7 @@
 	EventCleared           = "request_cleared"
 	EventTrial             = "trial_began"
 
-	// RolloutEvents is the prefix of the events of roll-outs.
+	// RolloutEvents is the prefix of the events of rollouts.
 	RolloutEvents            = "rollout_"
 	EventRolloutOrdered      = "rollout_ordered"
 	EventRolloutStage        = "rollout_stage"
--- a/internal/observe/observe_test.go
+++ b/internal/observe/observe_test.go
@@ -58,7 +58,7 @@
 	is.Equal(strings.Count(out.String(), `"msg":"store_back"`), 1)
 }
 
-// TestTargetChangedLogsVersion checks the version in the line of a target: a roll-out waits for
+// TestTargetChangedLogsVersion checks the version in the line of a target: a rollout waits for
 // targets with its version.
 func TestTargetChangedLogsVersion(t *testing.T) {
 	var out strings.Builder
--- a/internal/observe/rollouts.go
+++ b/internal/observe/rollouts.go
@@ -7,7 +7,7 @@
 	"github.com/capersaddle/capersaddle/internal/rollout"
 )
 
-// rolloutEvents maps the steps of roll-outs to events of the log.
+// rolloutEvents maps the steps of rollouts to events of the log.
 var rolloutEvents = map[rollout.StepKind]string{
 	rollout.StepOrdered:      EventRolloutOrdered,
 	rollout.StepStage:        EventRolloutStage,
@@ -16,7 +16,7 @@
 	rollout.StepCommitFailed: EventRolloutCommitFailed,
 }
 
-// RolloutStep logs a step of a roll-out with the figures on which it was decided.
+// RolloutStep logs a step of a rollout with the figures on which it was decided.
 func (o *Observer) RolloutStep(step rollout.Step) {
 	fields := []any{"service", step.Service, "version", step.Version, "order", step.Order, "age_ms", wholeMillis(step.Age), "requests", step.Requests, "exposed", step.Exposed}
 	if step.Kind == rollout.StepStage || step.Kind == rollout.StepHalted {
@@ -38,20 +38,20 @@
 	o.log.Log(level, rolloutEvents[step.Kind], fields...)
 }
 
-// rolloutStates and rolloutStages are the values of the gauges of a roll-out.
+// rolloutStates and rolloutStages are the values of the gauges of a rollout.
 var (
 	rolloutStates = map[rollout.State]float64{rollout.Running: 0, rollout.Completed: 1, rollout.RolledBack: 2}
 	rolloutStages = map[string]float64{rollout.Hold.String(): 0, rollout.Canary.String(): 1, rollout.Move.String(): 2}
 )
 
-// rolloutMetrics reads the roll-outs when the metrics are collected. Each service has one series,
+// rolloutMetrics reads the rollouts when the metrics are collected. Each service has one series,
 // for the version of its last order, so that past versions leave no series behind.
 type rolloutMetrics struct {
 	list                       func() []rollout.Status
 	state, stage, share, count *prometheus.Desc
 }
 
-// RegisterRollouts registers the metrics of the roll-outs that a gateway knows.
+// RegisterRollouts registers the metrics of the rollouts that a gateway knows.
 func RegisterRollouts(registry prometheus.Registerer, list func() []rollout.Status) {
 	describe := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "rollout", name), help, []string{"service", "version"}, nil)
--- a/internal/observe/rollouts_test.go
+++ b/internal/observe/rollouts_test.go
@@ -118,7 +118,7 @@
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_requests"), map[string]float64{"s v2": 400, "w v9": 0})
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Completed, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_state"), map[string]float64{"s v3": 1})
-	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // the roll-out has ended
+	is.Equal(len(seriesOf(t, registry, "capersaddle_gateway_rollout_stage")), 0) // the rollout has ended
 	known = []rollout.Status{{Service: "s", Version: "v3", State: rollout.Running, Stage: "move", Requests: 1, Exposed: 1}}
 	is.Equal(seriesOf(t, registry, "capersaddle_gateway_rollout_stage"), map[string]float64{"s v3": 2})
 }
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -233,10 +233,10 @@
 }
 
 // ReplicaFetched records a fetch of the store's content from a peer.
-func (f peerWatcher) ReplicaFetched(id string, from, to int64, err error) {
-	f.Observer.ReplicaFetched(id, from, to, err)
+func (w peerWatcher) ReplicaFetched(id string, from, to int64, err error) {
+	w.Observer.ReplicaFetched(id, from, to, err)
 	if from == 0 && err == nil {
-		f.process.recordTargetCount()
+		w.process.recordTargetCount()
 	}
 }
 
@@ -251,9 +251,9 @@
 	return options
 }
 
-// maxHeldBytes limits the bytes buffered for callers; zero means no limit, if the host's memory
-// is unknown. The rest of the memory is for the process itself, counted twice because of the
-// garbage collector.
+// maxHeldBytes returns the limit of the bytes buffered for callers. If the host's memory is unknown,
+// it returns zero, which means no limit. The rest of the memory is for the process itself, counted
+// twice because of the garbage collector.
 func maxHeldBytes(s *settings.Gateway) int64 {
 	const share = 1.0 / 8
 	return int64(share * s.Host.MemoryMB * (1 << 20))
--- a/internal/process/gateway_peers.go
+++ b/internal/process/gateway_peers.go
@@ -76,7 +76,7 @@
 
 // gatewayPlace returns the number of gateways and this process's position among them. Until the
 // process has had time to discover the others, it assumes as many as when the last checkpoint was
-// written or, if that is unknown, assumedGateways, more than usual.
+// written or, if that is unknown, assumedGateways, which is more than usual.
 func (p *GatewayProcess) gatewayPlace(census peer.Census) balance.Gateways {
 	known := census.Known + 1
 	if time.Since(p.started) >= discoveryTime {
@@ -197,11 +197,11 @@
 	// and on small hosts start to read the store, each at its own offset, unless they discover
 	// one that precedes them. When 300 start together, reading the first 500 entries takes 73 MB
 	// in all, 0.6 s of a store's link of 1 Gbit/s, which delays the rest for everyone: the first
-	// copy was complete after 1.4 s; with the windows it is after 0.2 s. Among few hosts one
-	// reads soon.
+	// copy was complete after 1.4 s; with the windows it is after 0.2 s. With few hosts, one of
+	// them reads soon.
 	quickReadWindow = 250 * time.Millisecond
 	smallReadWindow = 2 * time.Second
-	// readWindowPerGateway limits the window to this much for each gateway: few that start
+	// readWindowPerGateway limits the window to this much for each gateway: a few that start
 	// together are no load for the store and need not wait. Their number is stored beside the
 	// last checkpoint. Four gateways read within 28 ms; waiting up to 2 s cost a deployment of
 	// four 0.4 s after each loss of all of them.
--- a/internal/process/gateway_sink.go
+++ b/internal/process/gateway_sink.go
@@ -15,12 +15,14 @@
 // sink receives the content of the platform's store.
 type sink struct {
 	process *GatewayProcess
-	// notifyPeers sends changes to the other gateways immediately.
+	// notifyPeers sends changes that must be in force soon to the other gateways immediately.
 	notifyPeers func()
 
 	// mu guards checkpointTargets, restored and checkpointTaken: Loaded is called by the feed, but
 	// pages from other gateways deliver checkpoints too.
-	mu                sync.Mutex
+	mu sync.Mutex
+	// checkpointTargets are the targets of a checkpoint, held until Loaded restores them. restored
+	// is set then, and no more are held.
 	checkpointTargets []balance.Target
 	restored          bool
 	// checkpointTaken is set once a checkpoint has been received.
--- a/internal/router/table.go
+++ b/internal/router/table.go
@@ -58,7 +58,8 @@
 	e.loadUpdatedAt.Store(time.Now().UnixNano())
 }
 
-// decrementInFlight decrements the load when a request of this router has ended.
+// decrementInFlight lowers the hint of requests in flight by one when a request of this router has
+// ended.
 func (e *endpoint) decrementInFlight() {
 	if inFlight := e.inFlight.Load(); inFlight > 0 {
 		e.inFlight.CompareAndSwap(inFlight, inFlight-1)
