--- a/internal/agent/retry_after_test.go
+++ b/internal/agent/retry_after_test.go
@@ -22,8 +22,8 @@
 )
 
 // restingTarget rejects requests while it rests, with a Retry-After header. Like the
-// gateways, an agent used to read only the status of such an answer: its gate knew limits
-// and leaving targets but no requested delay, and so each of five calls within the delay
+// gateways, an agent used to read only the status of such an answer. Its gate knew limits
+// and leaving targets but no requested delay, so each of five calls within the delay
 // reached the target.
 type restingTarget struct {
 	retryAfter string
--- a/internal/member/service_test.go
+++ b/internal/member/service_test.go
@@ -318,8 +318,8 @@
 	})
 }
 
-// measureSpread measures the time until all processes have heard of a revision, where each one
-// notifies others as a node does.
+// measureSpread measures the time until all processes know a revision, where each one notifies
+// others as a real process does.
 func (p *cluster) measureSpread() time.Duration {
 	began := time.Now()
 	p.mu.Lock()
