--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -14,8 +14,8 @@
 // ErrGap means that a delta starts after the revision held.
 var ErrGap = errors.New("delta starts after the revision held")
 
-// maxRemovals is the number of removed documents that are remembered. A peer that lags by fewer
-// removals can be updated by a delta.
+// maxRemovals limits the removed documents that are remembered; above it, all but the newest half
+// are forgotten. A peer that lags by fewer removals than are remembered can be updated by a delta.
 const maxRemovals = 1024
 
 // State is the configuration that a process applies.
@@ -109,7 +109,7 @@
 	s.documents[name] = Document{Name: name, Value: document.GetValue(), Revision: document.GetRevision()}
 }
 
-// trimRemovals forgets the oldest removals if there are too many.
+// trimRemovals forgets all but the newest maxRemovals/2 removals if there are more than maxRemovals.
 func (s *State) trimRemovals() {
 	if len(s.removals) <= maxRemovals {
 		return
