--- a/internal/gateway/unresponsive.go
+++ b/internal/gateway/unresponsive.go
@@ -36,7 +36,7 @@
 // those in flight there.
 type contact struct {
 	createdAt time.Time
-	// lastAfter is the time from began to the last arrival, in nanoseconds.
+	// lastAfter is the time from createdAt to the last arrival, in nanoseconds.
 	lastAfter atomic.Int64
 	attempts  int
 }
--- a/internal/process/steady_callers_test.go
+++ b/internal/process/steady_callers_test.go
@@ -154,7 +154,7 @@
 
 // logSuccessRates logs the success rates. They depend on the load of the machine, so they are not
 // checked here; tests in virtual time check that all requests are served
-// (gateway.TestRestingTargetGetsOneProbe, TestServiceDuringTargetLeave).
+// (gateway.TestBackingOffTargetGetsOneProbe, TestServiceDuringTargetLeave).
 func logSuccessRates(t *testing.T, c *steadyCallers) {
 	t.Helper()
 	t.Logf("served: %.3f of %d at engines, %.3f of %d at plain targets; failures:%s%s", c.engines.successRate(), c.engines.sent.Load(), c.plain.successRate(), c.plain.sent.Load(), &c.engines.failures, &c.plain.failures)
--- a/internal/rollout/decider_test.go
+++ b/internal/rollout/decider_test.go
@@ -201,7 +201,7 @@
 	late := scale(time.Minute-orderLag, verdictDeadline) + time.Second
 	waits := 2*baseReportInterval + reportGrace
 	cases := map[string]struct {
-		// livePeers are alive, and those in reported have reported.
+		// live lists the other gateways that are alive, and reported those that have reported.
 		live, reported []string
 		// start is when the decider starts, and after the time from then to its step.
 		start, after time.Duration
--- a/internal/rollout/gate.go
+++ b/internal/rollout/gate.go
@@ -53,7 +53,8 @@
 
 // Await is for a request that has found no target although the version of a running order may
 // have some: the order may be completed, with its record still in transit. It returns a channel
-// that is closed when an order or a record becomes known, and the time until which to wait for it. ok is false if there is nothing to wait for, or the wait is over.
+// that is closed when an order or a record becomes known, and the time until which to wait for it.
+// ok is false if there is nothing to wait for, or the wait is over.
 func (g *Gate) Await(service string, now time.Time) (changed <-chan struct{}, until time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/target/httpengine.go
+++ b/internal/target/httpengine.go
@@ -225,7 +225,7 @@
 	next   func() (sse.Event, error, bool)
 	stop   func()
 	index  int64
-	// last holds the piece with Finish until its usage arrives.
+	// lastPiece holds the piece with Finish until its usage arrives.
 	lastPiece *Piece
 	done      bool
 }
