--- a/cmd/capersaddle/main.go
+++ b/cmd/capersaddle/main.go
@@ -1,4 +1,4 @@
-// Command capersaddle is the whole system in one binary.
+// Command capersaddle runs all parts of the system and the operators' commands.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	os.Exit(run(cmdutil.NewFactory(), os.Args[1:]))
 }
 
-// run carries out one command and gives its exit code.
+// run runs one command and returns its exit code.
 func run(f *cmdutil.Factory, args []string) int {
 	cmd := root.NewCmdRoot(f)
 	cmd.SetArgs(args)
--- a/cmd/capersaddle/main_test.go
+++ b/cmd/capersaddle/main_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// The scripts are the command line as people use it: what it prints, where,
-// and how it ends.
+// TestScripts runs the scripts, which test the command line from the user's view: the output on
+// each stream, and the exit status.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- a/pkg/cmd/agent/agent.go
+++ b/pkg/cmd/agent/agent.go
@@ -1,4 +1,4 @@
-// Package agent holds the command that runs an agent.
+// Package agent implements the command that runs an agent.
 package agent
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// AgentOptions are the command's options.
+// AgentOptions holds the command's options.
 type AgentOptions struct {
 	IO *iostreams.IOStreams
 
@@ -18,7 +18,7 @@
 	DrainTimeout time.Duration
 }
 
-// NewCmdAgent returns the command; runF replaces its work in tests.
+// NewCmdAgent returns the command; tests pass runF to replace its run function.
 func NewCmdAgent(f *cmdutil.Factory, runF func(*AgentOptions) error) *cobra.Command {
 	opts := &AgentOptions{IO: f.IOStreams}
 	cmd := &cobra.Command{
@@ -26,7 +26,7 @@
 		Short: "Run an agent",
 		Long: `Run an agent from a settings file (JSON with comments).
 
-On SIGTERM or SIGINT it takes no new work, waits for what is in flight and
+On SIGTERM or SIGINT it accepts no new work, waits for requests in flight and
 ends. A second signal ends it at once.`,
 		Example: `  $ capersaddle agent examples/agent.json`,
 		Args:    cobra.ExactArgs(1),
@@ -38,7 +38,7 @@
 			return agentRun(opts)
 		},
 	}
-	cmd.Flags().DurationVar(&opts.DrainTimeout, "drain-timeout", 0, "give up waiting for what is in flight after this `time`; 0 waits as long as it takes")
+	cmd.Flags().DurationVar(&opts.DrainTimeout, "drain-timeout", 0, "stop waiting for requests in flight after this `time`; 0 waits without a limit")
 	return cmd
 }
 
--- a/pkg/cmd/config/config.go
+++ b/pkg/cmd/config/config.go
@@ -1,4 +1,4 @@
-// Package config groups the commands about settings and configuration.
+// Package config groups the commands for settings and configuration.
 package config
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdConfig returns the group.
+// NewCmdConfig returns the command group.
 func NewCmdConfig(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "config <command>",
-		Short: "Check settings, see and change the configuration",
+		Short: "Check settings, show and change the configuration",
 	}
 	cmd.AddCommand(
 		check.NewCmdCheck(f, nil),
--- a/pkg/cmd/config/republish/republish.go
+++ b/pkg/cmd/config/republish/republish.go
@@ -1,4 +1,4 @@
-// Package republish holds the command that mends a store put back to an older
+// Package republish implements the command that repairs a store that was reset to an older
 // state.
 package republish
 
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// RepublishOptions are the command's options.
+// RepublishOptions holds the command's options.
 type RepublishOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -23,12 +23,12 @@
 	Who    string
 }
 
-// NewCmdRepublish returns the command; runF replaces its work in tests.
+// NewCmdRepublish returns the command; tests pass runF to replace its run function.
 func NewCmdRepublish(f *cmdutil.Factory, runF func(*RepublishOptions) error) *cobra.Command {
 	opts := &RepublishOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
 		Use:   "republish",
-		Short: "Write the fleet's configuration to a store that was put back",
+		Short: "Write the fleet's configuration to a store that was reset to an older state",
 		Long: `Write the configuration in force at a router to the store, as the next
 revision. It is refused unless the store is behind the router.`,
 		Example: `  $ capersaddle config republish`,
--- a/pkg/cmd/config/set/set.go
+++ b/pkg/cmd/config/set/set.go
@@ -1,4 +1,4 @@
-// Package set holds the command that changes configuration documents.
+// Package set implements the command that changes configuration documents.
 package set
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdSet returns the command; runF replaces its work in tests.
+// NewCmdSet returns the command; tests pass runF to replace its run function.
 func NewCmdSet(f *cmdutil.Factory, runF func(*cmdutil.ChangeOptions) error) *cobra.Command {
 	opts := cmdutil.NewChangeOptions(f)
 	cmd := &cobra.Command{
 		Use:   "set <kind/name>=<json>...",
 		Short: "Change configuration documents",
-		Long: `Change configuration documents, all of them or none. An empty value removes
+		Long: `Change configuration documents, either all or none. An empty value removes
 the document. Kinds are workspace, model, service, route and mark.`,
 		Example: `  $ capersaddle config set 'model/volta-chat={"owned_by":"volta"}'
   $ capersaddle config set 'workspace/old=' --if-revision 41`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := takeArgs(opts, args); err != nil {
+			if err := parseArgs(opts, args); err != nil {
 				return err
 			}
 			if runF != nil {
@@ -38,8 +38,8 @@
 	return cmd
 }
 
-// takeArgs reads kind/name=json pairs.
-func takeArgs(opts *cmdutil.ChangeOptions, args []string) error {
+// parseArgs parses kind/name=json pairs.
+func parseArgs(opts *cmdutil.ChangeOptions, args []string) error {
 	for _, arg := range args {
 		name, value, ok := strings.Cut(arg, "=")
 		if !ok {
--- a/pkg/cmd/config/show/show.go
+++ b/pkg/cmd/config/show/show.go
@@ -1,4 +1,4 @@
-// Package show holds the command that shows the configuration in force.
+// Package show implements the command that shows the configuration in force.
 package show
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ShowOptions are the command's options.
+// ShowOptions holds the command's options.
 type ShowOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -23,14 +23,14 @@
 	JSON   bool
 }
 
-// NewCmdShow returns the command; runF replaces its work in tests.
+// NewCmdShow returns the command; tests pass runF to replace its run function.
 func NewCmdShow(f *cmdutil.Factory, runF func(*ShowOptions) error) *cobra.Command {
 	opts := &ShowOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
 		Use:   "show [kind or kind/name]",
 		Short: "Show the configuration in force at a router",
-		Long: `Show the configuration in force at a router. It works while the store is away:
-what is shown is what the router acts on.`,
+		Long: `Show the configuration in force at a router. It works while the store
+is unavailable: it shows the configuration that the router applies.`,
 		Example: `  $ capersaddle config show
   $ capersaddle config show workspace --json`,
 		Args: cobra.MaximumNArgs(1),
@@ -54,18 +54,18 @@
 	if err != nil {
 		return err
 	}
-	kept := []config.Document{}
+	selected := []config.Document{}
 	for _, document := range all.Documents {
 		if strings.HasPrefix(document.Name, opts.Prefix) {
-			kept = append(kept, document)
+			selected = append(selected, document)
 		}
 	}
-	all.Documents = kept
+	all.Documents = selected
 	if opts.JSON {
 		return cmdutil.PrintJSON(opts.IO.Out, all)
 	}
-	rows := make([][]string, 0, len(kept))
-	for _, document := range kept {
+	rows := make([][]string, 0, len(selected))
+	for _, document := range selected {
 		rows = append(rows, []string{document.Name, fmt.Sprint(document.Revision), string(document.Value)})
 	}
 	_, _ = fmt.Fprintf(opts.IO.Out, "revision %d\n", all.Revision)
--- a/pkg/cmd/dev/dev.go
+++ b/pkg/cmd/dev/dev.go
@@ -1,4 +1,4 @@
-// Package dev holds the command that runs the whole system in one process.
+// Package dev implements the command that runs the whole system in one process.
 package dev
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// startTimeout bounds the start of the whole stack.
+// startTimeout limits the start of the whole stack.
 const startTimeout = 60 * time.Second
 
-// DevOptions are the command's options.
+// DevOptions holds the command's options.
 type DevOptions struct {
 	IO *iostreams.IOStreams
 
@@ -32,17 +32,17 @@
 	JSON     bool
 }
 
-// NewCmdDev returns the command; runF replaces its work in tests.
+// NewCmdDev returns the command; tests pass runF to replace its run function.
 func NewCmdDev(f *cmdutil.Factory, runF func(*DevOptions) error) *cobra.Command {
 	opts := &DevOptions{IO: f.IOStreams}
 	cmd := &cobra.Command{
 		Use:   "dev",
 		Short: "Run the whole system in one process",
-		Long: `Run three routers, an agent for each target host and stand-ins for the
+		Long: `Run three routers, an agent for each target host and fakes of the
 engines, a plain service, the store and the host list, all on loopback.
 
-With --once, play a whole story against the system over HTTP and exit with 0
-only if all of it held.`,
+With --once, run a complete scenario against the system over HTTP and exit with 0
+only if every step passes.`,
 		Example: `  $ capersaddle dev
   $ capersaddle dev --callers 127.0.0.1:8080
   $ capersaddle dev --once --json`,
@@ -54,10 +54,10 @@
 			return devRun(opts)
 		},
 	}
-	cmd.Flags().StringVar(&opts.Callers, "callers", "127.0.0.1:8080", "`IP:port` of the first router for callers; port 0 takes any")
-	cmd.Flags().StringVar(&opts.LogLevel, "log-level", "warn", "least `level` that is logged: debug, info, warn, error")
-	cmd.Flags().BoolVar(&opts.Once, "once", false, "play the story and end")
-	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print the story's table as JSON")
+	cmd.Flags().StringVar(&opts.Callers, "callers", "127.0.0.1:8080", "`IP:port` of the first router for callers; port 0 selects a free port")
+	cmd.Flags().StringVar(&opts.LogLevel, "log-level", "warn", "minimum `level` to log: debug, info, warn, error")
+	cmd.Flags().BoolVar(&opts.Once, "once", false, "run the scenario and exit")
+	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print the scenario's results as JSON")
 	return cmd
 }
 
@@ -78,22 +78,22 @@
 		return errors.CombineErrors(err, stack.Close())
 	}
 	if opts.Once {
-		return errors.CombineErrors(tell(ctx, opts, stack), stack.Close())
+		return errors.CombineErrors(runStory(ctx, opts, stack), stack.Close())
 	}
 	_, _ = fmt.Fprint(opts.IO.Out, stack.Summary())
 	<-ctx.Done()
 	return stack.Close()
 }
 
-// tell plays the story and prints its table.
-func tell(ctx context.Context, opts *DevOptions, stack *dev.Stack) error {
+// runStory runs the scenario and prints its results.
+func runStory(ctx context.Context, opts *DevOptions, stack *dev.Stack) error {
 	table := dev.Tell(ctx, stack)
 	if err := printTable(opts, table); err != nil {
 		return err
 	}
 	for _, step := range table {
 		if !step.Held {
-			return fault.New(fault.Internal, fault.Unknown, "the story did not hold: %s", step.Name)
+			return fault.New(fault.Internal, fault.Unknown, "the scenario failed at: %s", step.Name)
 		}
 	}
 	return nil
@@ -105,11 +105,11 @@
 	}
 	rows := make([][]string, 0, len(table))
 	for _, step := range table {
-		held := "held"
+		result := "held"
 		if !step.Held {
-			held = "BROKEN"
+			result = "BROKEN"
 		}
-		rows = append(rows, []string{held, step.Name, step.Took.Round(time.Millisecond).String(), step.Seen})
+		rows = append(rows, []string{result, step.Name, step.Took.Round(time.Millisecond).String(), step.Seen})
 	}
 	return cmdutil.Table(opts.IO.Out, []string{"RESULT", "STEP", "TOOK", "SEEN"}, rows)
 }
--- a/pkg/cmd/exec/exec.go
+++ b/pkg/cmd/exec/exec.go
@@ -1,5 +1,5 @@
-// Package exec holds the command that changes the configuration in the
-// operators' language.
+// Package exec implements the command that changes the configuration in the operators'
+// language.
 package exec
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ExecOptions are the command's options.
+// ExecOptions holds the command's options.
 type ExecOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -28,7 +28,7 @@
 	JSON   bool
 }
 
-// NewCmdExec returns the command; runF replaces its work in tests.
+// NewCmdExec returns the command; tests pass runF to replace its run function.
 func NewCmdExec(f *cmdutil.Factory, runF func(*ExecOptions) error) *cobra.Command {
 	opts := &ExecOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
@@ -41,10 +41,10 @@
   remove KIND NAME
   mark target NAME        unmark target NAME
 
-Statements behind each other, with ';' between, take effect together or not at
-all; 'if revision = N' at the end refuses them at another revision. It ends
-accepted (exit code 0), refused with nothing changed (2, 3 or 5) or not settled
-(4): then the same command under its --id settles it.`,
+Statements separated by ';' take effect together or not at
+all; 'if revision = N' at the end refuses them at another revision. The result is
+accepted (exit code 0), refused with nothing changed (2, 3 or 5) or unknown
+(4): run the same command again with its --id to find out.`,
 		Example: `  $ capersaddle exec 'create workspace clinic with share = 3, key_hashes = ["…"]'
   $ capersaddle exec 'mark target engine-07; mark target engine-08' --wait 8s
   $ capersaddle exec 'change workspace clinic with share = 5 if revision = 41'`,
@@ -61,8 +61,8 @@
 	cmdutil.AddRouterFlag(cmd, &opts.Router)
 	cmdutil.AddJSONFlag(cmd, &opts.JSON)
 	cmdutil.AddCommandFlags(cmd, &opts.Script.ID, &opts.Script.Who)
-	cmd.Flags().BoolVar(&opts.Script.DryRun, "dry-run", false, "check only")
-	cmd.Flags().BoolVar(&opts.Script.Force, "force", false, "carry out what would leave a pool without a target")
+	cmd.Flags().BoolVar(&opts.Script.DryRun, "dry-run", false, "validate the change without applying it")
+	cmd.Flags().BoolVar(&opts.Script.Force, "force", false, "apply the change even if it leaves a pool without a target")
 	cmd.Flags().DurationVar(&opts.Wait, "wait", 0, "wait up to this `time` until the change is in force on every router")
 	return cmd
 }
@@ -84,7 +84,7 @@
 	}
 	_, _ = fmt.Fprintf(opts.IO.Out, "in force on %d of %d routers\n", executed.InForce, executed.Routers)
 	if len(executed.Missing) > 0 {
-		return fault.New(fault.Deadline, fault.Ran, "accepted, but not seen in force on: %s", strings.Join(executed.Missing, ", "))
+		return fault.New(fault.Deadline, fault.Ran, "accepted, but not confirmed in force on: %s", strings.Join(executed.Missing, ", "))
 	}
 	return nil
 }
--- a/pkg/cmd/explain/explain.go
+++ b/pkg/cmd/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain holds the command that tells from logs what became of a
-// request, a target or a configuration.
+// Package explain implements the command that reconstructs from logs the history of a request,
+// a target, a configuration or a roll-out.
 package explain
 
 import (
@@ -17,43 +17,43 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ExplainOptions are the command's options.
+// ExplainOptions holds the command's options.
 type ExplainOptions struct {
 	IO *iostreams.IOStreams
 
 	Subject string
 	Files   []string
 	JSON    bool
-	// Summary sums all requests up instead of telling one story.
+	// Summary aggregates all requests instead of explaining one subject.
 	Summary bool
-	// Every is the length of the spans of a summary.
-	Every time.Duration
+	// Interval is the length of a summary's intervals.
+	Interval time.Duration
 }
 
-// NewCmdExplain returns the command; runF replaces its work in tests.
+// NewCmdExplain returns the command; tests pass runF to replace its run function.
 func NewCmdExplain(f *cmdutil.Factory, runF func(*ExplainOptions) error) *cobra.Command {
 	opts := &ExplainOptions{IO: f.IOStreams}
 	cmd := &cobra.Command{
 		Use:   "explain {<id> | --summary} [<log file>...]",
-		Short: "Tell from logs what became of a request, target, configuration or roll-out",
-		Long: `Put together, from the log lines of many processes, the story of one
+		Short: "Explain from logs what happened to a request, target, configuration or roll-out",
+		Long: `Reconstruct, from the log lines of many processes, the timeline of one
 request (its attempt id), target (its id), configuration (version:N), service's
-roll-outs (rollout:SERVICE) or request that came again (print:P), in order of time, and
-name the likely cause of a request's end.
+roll-outs (rollout:SERVICE) or repeated request (print:FINGERPRINT), and
+report the likely cause of a request's outcome.
 
-With --summary, say instead which requests were not answered in time and why,
-summed by route and reason, as a whole, by spans of time and by the gateways' data
-centres, and how the shared parts of prompts came to the targets: held, fetched,
-or read again since the source that a gateway named did not hold them.
+With --summary, report instead which requests were not answered in time and why,
+by route and reason, in total, by time interval and by the gateways' data
+centres, and how targets got the shared parts of prompts: held, fetched,
+or computed again since the source that a gateway named did not hold them.
 
-Without files the logs come from standard input. Whatever stands before the JSON
-of a line is passed over.`,
+Without files, the logs are read from standard input. Text before the JSON
+of a line is skipped.`,
 		Example: `  $ capersaddle explain 9c41d07be2a35f68 gateway-*.log
   $ capersaddle explain version:12 --json < all.log
   $ capersaddle explain rollout:checkout gateway-*.log
   $ capersaddle explain --summary --every 5s gateway-*.log`,
 		RunE: func(_ *cobra.Command, args []string) error {
-			if err := takeArgs(opts, args); err != nil {
+			if err := parseArgs(opts, args); err != nil {
 				return err
 			}
 			if runF != nil {
@@ -63,52 +63,52 @@
 		},
 	}
 	cmd.Flags().BoolVar(&opts.JSON, "json", false, "print JSON")
-	cmd.Flags().BoolVar(&opts.Summary, "summary", false, "sum up which requests were not answered in time, and why")
-	cmd.Flags().DurationVar(&opts.Every, "every", defaultEvery, "length of the spans of a summary")
+	cmd.Flags().BoolVar(&opts.Summary, "summary", false, "summarize which requests were not answered in time, and why")
+	cmd.Flags().DurationVar(&opts.Interval, "every", defaultInterval, "length of the summary's time intervals")
 	return cmd
 }
 
-// defaultEvery is short enough to tell what a fault did from what came after.
-const defaultEvery = 2 * time.Second
+// defaultInterval is short enough to tell the effects of a fault from what happens after it.
+const defaultInterval = 2 * time.Second
 
-// takeArgs takes the subject, unless all is summed up, and the files.
-func takeArgs(opts *ExplainOptions, args []string) error {
-	if opts.Every <= 0 {
-		return fault.New(fault.BadRequest, fault.NotRun, "--every %s: want more than zero", opts.Every)
+// parseArgs reads the subject, unless a summary is requested, and the files.
+func parseArgs(opts *ExplainOptions, args []string) error {
+	if opts.Interval <= 0 {
+		return fault.New(fault.BadRequest, fault.NotRun, "--every %s: want more than zero", opts.Interval)
 	}
 	if opts.Summary {
 		opts.Files = args
 		return nil
 	}
 	if len(args) == 0 {
-		return fault.New(fault.BadRequest, fault.NotRun, "no id of a request, target, configuration or roll-out; or ask for --summary")
+		return fault.New(fault.BadRequest, fault.NotRun, "want the id of a request, target, configuration or roll-out, or --summary")
 	}
 	opts.Subject, opts.Files = args[0], args[1:]
 	return nil
 }
 
 func explainRun(opts *ExplainOptions) error {
-	lines, unread, err := readAll(opts)
+	lines, skipped, err := readAll(opts)
 	if err != nil {
 		return err
 	}
 	if opts.Summary {
-		return printSummary(opts, explain.Summarize(lines, opts.Every))
+		return printSummary(opts, explain.Summarize(lines, opts.Interval))
 	}
-	story := explain.Tell(opts.Subject, lines)
-	story.Unread = unread
-	if len(story.Lines) == 0 {
-		return fault.New(fault.BadRequest, fault.NotRun, "no line of %d tells of %q; look at the logs of all gateways of the time, and at requests_not_logged", len(lines), opts.Subject)
+	timeline := explain.Tell(opts.Subject, lines)
+	timeline.Unread = skipped
+	if len(timeline.Lines) == 0 {
+		return fault.New(fault.BadRequest, fault.NotRun, "no line of %d mentions %q; check the logs of all gateways at the time, and requests_not_logged", len(lines), opts.Subject)
 	}
 	if opts.JSON {
-		return printJSON(opts.IO.Out, story)
+		return printJSON(opts.IO.Out, timeline)
 	}
-	return story.Print(opts.IO.Out)
+	return timeline.Print(opts.IO.Out)
 }
 
 func printSummary(opts *ExplainOptions, summary *explain.Summary) error {
 	if summary.Requests == 0 {
-		return fault.New(fault.BadRequest, fault.NotRun, "the logs hold no request; give those of gateways")
+		return fault.New(fault.BadRequest, fault.NotRun, "the logs contain no requests; want the logs of gateways")
 	}
 	if opts.JSON {
 		return printJSON(opts.IO.Out, summary)
@@ -127,16 +127,16 @@
 		return explain.Read(opts.IO.In)
 	}
 	var all []explain.Line
-	unread := 0
+	skipped := 0
 	for _, name := range opts.Files {
-		lines, passed, err := readFile(name)
+		lines, skippedHere, err := readFile(name)
 		if err != nil {
 			return nil, 0, err
 		}
 		all = append(all, lines...)
-		unread += passed
+		skipped += skippedHere
 	}
-	return all, unread, nil
+	return all, skipped, nil
 }
 
 func readFile(name string) ([]explain.Line, int, error) {
--- a/pkg/cmd/gateway/gateway.go
+++ b/pkg/cmd/gateway/gateway.go
@@ -1,4 +1,4 @@
-// Package gateway holds the command that runs a gateway.
+// Package gateway implements the command that runs a gateway.
 package gateway
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// EnvSettings names the settings file where no argument does.
+// EnvSettings is the environment variable that names the settings file if no argument does.
 const EnvSettings = "CAPERSADDLE_CONFIG"
 
-// GatewayOptions are the command's options.
+// GatewayOptions holds the command's options.
 type GatewayOptions struct {
 	IO *iostreams.IOStreams
 
 	File string
 }
 
-// NewCmdGateway returns the command; runF replaces its work in tests.
+// NewCmdGateway returns the command; tests pass runF to replace its run function.
 func NewCmdGateway(f *cmdutil.Factory, runF func(*GatewayOptions) error) *cobra.Command {
 	opts := &GatewayOptions{IO: f.IOStreams}
 	cmd := &cobra.Command{
@@ -41,7 +41,7 @@
 		Long: `Run a gateway from a settings file (JSON with comments), or from the one
 that ` + EnvSettings + ` names. It logs JSON lines to standard output.
 
-On SIGTERM it takes no new callers, waits for what is in flight and ends. On
+On SIGTERM it accepts no new callers, waits for requests in flight and ends. On
 SIGHUP it reads the settings file again.`,
 		Example: `  $ capersaddle gateway examples/gateway.json`,
 		Args:    cobra.MaximumNArgs(1),
@@ -62,20 +62,21 @@
 	return cmd
 }
 
-// gcPercent is how much the heap may grow between two collections, in percent. A gateway lives on
-// a few MB, so that the usual 100 makes up a tenth of its memory; a collection takes a few
-// milliseconds of its processor time, once in seconds.
+// gcPercent is the heap growth between two collections, in percent. A gateway's heap is only a
+// few MB, so that garbage under the usual value of 100 makes up a tenth of its memory. A
+// collection takes a few milliseconds of processor time, once in several seconds.
 const gcPercent = 40
 
-// boundHeap has the heap collected earlier than usual, unless the operators say how.
-func boundHeap() {
-	if _, said := os.LookupEnv("GOGC"); !said {
+// limitHeap makes the garbage collector run earlier than by default, unless the operators have
+// set GOGC.
+func limitHeap() {
+	if _, set := os.LookupEnv("GOGC"); !set {
 		debug.SetGCPercent(gcPercent)
 	}
 }
 
 func gatewayRun(opts *GatewayOptions) error {
-	boundHeap()
+	limitHeap()
 	loaded, err := settings.LoadGateway(opts.File)
 	if err != nil {
 		return err
@@ -106,7 +107,7 @@
 	return errors.CombineErrors(err, running.Close())
 }
 
-// logTimeout bounds the wait for the log's last lines.
+// logTimeout limits the wait until the last log lines are written.
 const logTimeout = 300 * time.Millisecond
 
 func closeLog(lines *logsink.Sink) {
@@ -115,8 +116,7 @@
 	_ = lines.Close(ctx)
 }
 
-// reload reads the settings again; what can't be read leaves the old ones in
-// force.
+// reload reads the settings again; if they can't be read, the old ones stay in force.
 func reload(file string, running *process.GatewayProcess, logger *log.Logger) {
 	loaded, err := settings.LoadGateway(file)
 	if err != nil {
--- a/pkg/cmd/member/list/list.go
+++ b/pkg/cmd/member/list/list.go
@@ -1,4 +1,4 @@
-// Package list holds the command that lists members and their targets.
+// Package list implements the command that lists members and their targets.
 package list
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ListOptions are the command's options.
+// ListOptions holds the command's options.
 type ListOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -22,14 +22,14 @@
 	JSON   bool
 }
 
-// NewCmdList returns the command; runF replaces its work in tests.
+// NewCmdList returns the command; tests pass runF to replace its run function.
 func NewCmdList(f *cmdutil.Factory, runF func(*ListOptions) error) *cobra.Command {
 	opts := &ListOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
 		Use:   "list",
 		Short: "List processes and targets as one process knows them",
 		Long: `List processes and targets as one router or agent knows them, with the age of
-its word on their load. Another process may know more or less for a moment.`,
+their load reports. Another process's view may differ for a moment.`,
 		Example: `  $ capersaddle member list --router 127.0.0.1:8081`,
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/pkg/cmd/member/member.go
+++ b/pkg/cmd/member/member.go
@@ -1,4 +1,4 @@
-// Package member groups the commands about members.
+// Package member groups the commands for members.
 package member
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdMember returns the group.
+// NewCmdMember returns the command group.
 func NewCmdMember(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "member <command>",
-		Short: "See processes, targets and their load",
+		Short: "Show processes, targets and their load",
 	}
 	cmd.AddCommand(list.NewCmdList(f, nil))
 	return cmd
--- a/pkg/cmd/quarantine/lift/lift.go
+++ b/pkg/cmd/quarantine/lift/lift.go
@@ -1,4 +1,4 @@
-// Package lift holds the command that has a request sent again that is held back.
+// Package lift implements the command that releases a request that is held back.
 package lift
 
 import (
@@ -11,28 +11,28 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// LiftOptions are the command's options.
+// LiftOptions holds the command's options.
 type LiftOptions struct {
 	IO      *iostreams.IOStreams
 	Gateway func(address string) *cmdutil.GatewayClient
 
-	Address string
-	Print   string
+	Address     string
+	Fingerprint string
 }
 
-// NewCmdLift returns the command; runF replaces its work in tests.
+// NewCmdLift returns the command; tests pass runF to replace its run function.
 func NewCmdLift(f *cmdutil.Factory, runF func(*LiftOptions) error) *cobra.Command {
 	opts := &LiftOptions{IO: f.IOStreams, Gateway: f.Gateway}
 	cmd := &cobra.Command{
 		Use:   "lift <address> <print>",
-		Short: "Have a request sent again that is held back",
-		Long: `Have a request sent again that is held back, at all gateways within a moment.
+		Short: "Release a request that is held back",
+		Long: `Release a request that is held back, at all gateways within a moment.
 
-If it still ends the targets that run it, three more end until it is held back again.`,
+If it still crashes the targets that run it, three more crash until it is held back again.`,
 		Example: `  $ capersaddle quarantine lift 127.0.0.1:8302 19ce43b63e82f588`,
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			opts.Address, opts.Print = args[0], args[1]
+			opts.Address, opts.Fingerprint = args[0], args[1]
 			if runF != nil {
 				return runF(opts)
 			}
@@ -43,9 +43,9 @@
 }
 
 func liftRun(ctx context.Context, opts *LiftOptions) error {
-	if err := opts.Gateway(opts.Address).Lift(ctx, opts.Print); err != nil {
+	if err := opts.Gateway(opts.Address).Lift(ctx, opts.Fingerprint); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(opts.IO.Out, "%s is sent again\n", opts.Print)
+	_, _ = fmt.Fprintf(opts.IO.Out, "%s is no longer held back\n", opts.Fingerprint)
 	return nil
 }
--- a/pkg/cmd/quarantine/list/list.go
+++ b/pkg/cmd/quarantine/list/list.go
@@ -1,4 +1,4 @@
-// Package list holds the command that lists the requests that are held back.
+// Package list implements the command that lists the requests that are held back.
 package list
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ListOptions are the command's options.
+// ListOptions holds the command's options.
 type ListOptions struct {
 	IO      *iostreams.IOStreams
 	Gateway func(address string) *cmdutil.GatewayClient
@@ -21,16 +21,16 @@
 	JSON    bool
 }
 
-// NewCmdList returns the command; runF replaces its work in tests.
+// NewCmdList returns the command; tests pass runF to replace its run function.
 func NewCmdList(f *cmdutil.Factory, runF func(*ListOptions) error) *cobra.Command {
 	opts := &ListOptions{IO: f.IOStreams, Gateway: f.Gateway}
 	cmd := &cobra.Command{
 		Use:   "list <address>",
 		Short: "List the requests that a gateway holds back",
 		Long: `List the requests that the gateway at a metrics address sends to no target, since
-several targets ended while they ran them. All gateways hold the same ones back.
+several targets crashed while they ran them. All gateways hold back the same requests.
 
-What a request asked is in the logs: its line has the same print.`,
+The logs describe a request: its log line has the same print.`,
 		Example: `  $ capersaddle quarantine list 127.0.0.1:8302
   $ capersaddle quarantine list 127.0.0.1:8302 --json`,
 		Args: cobra.ExactArgs(1),
@@ -47,15 +47,15 @@
 }
 
 func listRun(ctx context.Context, opts *ListOptions) error {
-	held, err := opts.Gateway(opts.Address).HeldBack(ctx)
+	requests, err := opts.Gateway(opts.Address).HeldBack(ctx)
 	if err != nil {
 		return err
 	}
 	if opts.JSON {
-		return cmdutil.PrintJSON(opts.IO.Out, held)
+		return cmdutil.PrintJSON(opts.IO.Out, requests)
 	}
-	rows := make([][]string, 0, len(held))
-	for _, request := range held {
+	rows := make([][]string, 0, len(requests))
+	for _, request := range requests {
 		left := (time.Duration(request.LeftMS) * time.Millisecond).Round(time.Second)
 		rows = append(rows, []string{request.Print, fmt.Sprint(request.Ends), left.String()})
 	}
--- a/pkg/cmd/quarantine/quarantine.go
+++ b/pkg/cmd/quarantine/quarantine.go
@@ -1,5 +1,5 @@
-// Package quarantine groups the commands about requests that are held back since targets
-// ended while they ran them.
+// Package quarantine groups the commands for requests that are held back since targets crashed
+// while they ran them.
 package quarantine
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdQuarantine returns the group.
+// NewCmdQuarantine returns the command group.
 func NewCmdQuarantine(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "quarantine <command>",
-		Short: "See and lift what holds requests back that end their targets",
+		Short: "List and release requests that are held back since they crash their targets",
 	}
 	cmd.AddCommand(list.NewCmdList(f, nil), lift.NewCmdLift(f, nil))
 	return cmd
--- a/pkg/cmd/query/query.go
+++ b/pkg/cmd/query/query.go
@@ -1,4 +1,4 @@
-// Package query holds the command that asks what holds now.
+// Package query implements the command that queries the current state.
 package query
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// QueryOptions are the command's options.
+// QueryOptions holds the command's options.
 type QueryOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -26,20 +26,20 @@
 	Watch  time.Duration
 }
 
-// NewCmdQuery returns the command; runF replaces its work in tests.
+// NewCmdQuery returns the command; tests pass runF to replace its run function.
 func NewCmdQuery(f *cmdutil.Factory, runF func(*QueryOptions) error) *cobra.Command {
 	opts := &QueryOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
 		Use:   "query <question>",
-		Short: "Ask what holds now",
-		Long: `Ask any router or agent what holds now, in the operators' language:
+		Short: "Query the current state",
+		Long: `Query the current state of any router or agent, in the operators' language:
 
   SOURCE [where COLUMN = VALUE [and ...]] [show COLUMN, ...]
          [sort by COLUMN [desc]] [limit N]
 
 Sources are workspaces, models, services, routes, marks, members, routers,
-agents, targets, load, slots, leases and history. Each row says who said so. All
-but slots, leases and history are answered while the store is away.`,
+agents, targets, load, slots, leases and history. Each row names its source. All
+but slots, leases and history work while the store is unavailable.`,
 		Example: `  $ capersaddle query targets
   $ capersaddle query 'targets where pool = volta-chat sort by in_flight desc limit 5'
   $ capersaddle query 'routers show id, config_revision' --watch 2s`,
@@ -54,7 +54,7 @@
 	}
 	cmdutil.AddRouterFlag(cmd, &opts.Router)
 	cmdutil.AddJSONFlag(cmd, &opts.JSON)
-	cmd.Flags().DurationVar(&opts.Watch, "watch", 0, "ask again every `time` until interrupted")
+	cmd.Flags().DurationVar(&opts.Watch, "watch", 0, "repeat the query every `interval` until interrupted")
 	return cmd
 }
 
@@ -62,7 +62,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	for {
-		if err := ask(ctx, opts); err != nil || opts.Watch == 0 {
+		if err := runOnce(ctx, opts); err != nil || opts.Watch == 0 {
 			return err
 		}
 		select {
@@ -73,7 +73,7 @@
 	}
 }
 
-func ask(ctx context.Context, opts *QueryOptions) error {
+func runOnce(ctx context.Context, opts *QueryOptions) error {
 	table, err := opts.Client(opts.Router).Query(ctx, opts.Text)
 	if err != nil {
 		return err
--- a/pkg/cmd/root/root.go
+++ b/pkg/cmd/root/root.go
@@ -1,4 +1,4 @@
-// Package root holds the command that all others hang under.
+// Package root implements the root command.
 package root
 
 import (
@@ -29,16 +29,16 @@
 func NewCmdRoot(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "capersaddle <command>",
-		Short: "Router fleet for very many returning chats",
+		Short: "Router fleet for very large numbers of returning chats",
 		Long: `capersaddle routes requests from callers to model engines and plain services.
 
-Exit codes: 0 done, 1 failed, 2 wrong use or bad settings, 3 refused and
-nothing was changed, 4 not settled (send the same command again under its id),
-5 not to be reached now.`,
+Exit codes: 0 success, 1 failure, 2 wrong usage or invalid settings, 3 refused and
+nothing was changed, 4 outcome unknown (run the same command again with its id),
+5 currently not reachable.`,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.ArbitraryArgs,
-		RunE:          help,
+		RunE:          showHelp,
 	}
 	cmd.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
 		return fault.New(fault.BadRequest, fault.NotRun, "%v", err)
@@ -63,28 +63,28 @@
 		member.NewCmdMember(f),
 		slot.NewCmdSlot(f),
 	)
-	checkArgs(cmd)
+	wrapArgErrors(cmd)
 	return cmd
 }
 
-// help shows the commands, or says that there is none of a name.
-func help(cmd *cobra.Command, args []string) error {
+// showHelp shows the help, or returns an error for an unknown command.
+func showHelp(cmd *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return cmd.Help()
 	}
 	hint := "see " + cmd.CommandPath() + " --help"
-	if near := cmd.SuggestionsFor(args[0]); len(near) > 0 {
-		hint = "did you mean " + strings.Join(near, " or ") + "?"
+	if suggestions := cmd.SuggestionsFor(args[0]); len(suggestions) > 0 {
+		hint = "did you mean " + strings.Join(suggestions, " or ") + "?"
 	}
 	return fault.New(fault.BadRequest, fault.NotRun, "unknown command %q; %s", args[0], hint)
 }
 
-// checkArgs makes wrong arguments of any command an error of wrong use, and
-// groups of commands answer as the root does.
-func checkArgs(cmd *cobra.Command) {
-	if check := cmd.Args; check != nil {
+// wrapArgErrors makes invalid arguments of each command a fault of kind BadRequest, and makes
+// command groups handle unknown commands as the root command does.
+func wrapArgErrors(cmd *cobra.Command) {
+	if validate := cmd.Args; validate != nil {
 		cmd.Args = func(cmd *cobra.Command, args []string) error {
-			if err := check(cmd, args); err != nil {
+			if err := validate(cmd, args); err != nil {
 				return fault.New(fault.BadRequest, fault.NotRun, "%v; see %s --help", err, cmd.CommandPath())
 			}
 			return nil
@@ -92,9 +92,9 @@
 	}
 	if cmd.RunE == nil && cmd.HasSubCommands() {
 		cmd.Args = cobra.ArbitraryArgs
-		cmd.RunE = help
+		cmd.RunE = showHelp
 	}
 	for _, sub := range cmd.Commands() {
-		checkArgs(sub)
+		wrapArgErrors(sub)
 	}
 }
--- a/pkg/cmd/router/router.go
+++ b/pkg/cmd/router/router.go
@@ -1,4 +1,4 @@
-// Package router holds the command that runs a router.
+// Package router implements the command that runs a router.
 package router
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// RouterOptions are the command's options.
+// RouterOptions holds the command's options.
 type RouterOptions struct {
 	IO *iostreams.IOStreams
 
@@ -18,7 +18,7 @@
 	DrainTimeout time.Duration
 }
 
-// NewCmdRouter returns the command; runF replaces its work in tests.
+// NewCmdRouter returns the command; tests pass runF to replace its run function.
 func NewCmdRouter(f *cmdutil.Factory, runF func(*RouterOptions) error) *cobra.Command {
 	opts := &RouterOptions{IO: f.IOStreams}
 	cmd := &cobra.Command{
@@ -26,7 +26,7 @@
 		Short: "Run a router",
 		Long: `Run a router from a settings file (JSON with comments).
 
-On SIGTERM or SIGINT it takes no new work, waits for what is in flight and
+On SIGTERM or SIGINT it accepts no new work, waits for requests in flight and
 ends. A second signal ends it at once.`,
 		Example: `  $ capersaddle router examples/router.json`,
 		Args:    cobra.ExactArgs(1),
@@ -38,7 +38,7 @@
 			return routerRun(opts)
 		},
 	}
-	cmd.Flags().DurationVar(&opts.DrainTimeout, "drain-timeout", 0, "give up waiting for what is in flight after this `time`; 0 waits as long as it takes")
+	cmd.Flags().DurationVar(&opts.DrainTimeout, "drain-timeout", 0, "stop waiting for requests in flight after this `time`; 0 waits without a limit")
 	return cmd
 }
 
--- a/pkg/cmd/slot/release/release.go
+++ b/pkg/cmd/slot/release/release.go
@@ -1,5 +1,4 @@
-// Package release holds the command by which an operator confirms that an
-// agent is dead.
+// Package release implements the command by which an operator confirms that an agent is dead.
 package release
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// ReleaseOptions are the command's options.
+// ReleaseOptions holds the command's options.
 type ReleaseOptions struct {
 	IO     *iostreams.IOStreams
 	Client func(address string) *cmdutil.Client
@@ -23,14 +22,14 @@
 	Confirmed bool
 }
 
-// NewCmdRelease returns the command; runF replaces its work in tests.
+// NewCmdRelease returns the command; tests pass runF to replace its run function.
 func NewCmdRelease(f *cmdutil.Factory, runF func(*ReleaseOptions) error) *cobra.Command {
 	opts := &ReleaseOptions{IO: f.IOStreams, Client: f.Client}
 	cmd := &cobra.Command{
 		Use:   "release <agent>",
-		Short: "Confirm that an agent is dead, so that others take its slots",
-		Long: `Confirm that an agent is dead, so that others may take its slots at once
-instead of after its long lease. It is needed only when an owner and its witness
+		Short: "Confirm that an agent is dead, so that others take over its slots",
+		Long: `Confirm that an agent is dead, so that others may take over its slots at once
+instead of after its long lease. It is needed only if an owner and its witness
 were lost together.
 
 It ends the guarantee for that agent: if the process still runs somewhere, cut
@@ -46,17 +45,17 @@
 		},
 	}
 	cmdutil.AddRouterFlag(cmd, &opts.Router)
-	cmd.Flags().BoolVar(&opts.Confirmed, "confirmed-dead", false, "you have made sure that the agent's host is off")
+	cmd.Flags().BoolVar(&opts.Confirmed, "confirmed-dead", false, "confirm that the agent's host is off")
 	return cmd
 }
 
 func releaseRun(ctx context.Context, opts *ReleaseOptions) error {
 	if !opts.Confirmed {
-		return fault.New(fault.BadRequest, fault.NotRun, "make sure that the host of %s is off, then say --confirmed-dead", opts.Agent)
+		return fault.New(fault.BadRequest, fault.NotRun, "make sure that the host of %s is off, then pass --confirmed-dead", opts.Agent)
 	}
 	if err := opts.Client(opts.Router).Release(ctx, opts.Agent); err != nil {
 		return err
 	}
-	_, _ = fmt.Fprintf(opts.IO.Out, "the long lease of %s is ended; others will take its slots within seconds\n", opts.Agent)
+	_, _ = fmt.Fprintf(opts.IO.Out, "the long lease of %s has ended; others will take over its slots within seconds\n", opts.Agent)
 	return nil
 }
--- a/pkg/cmd/slot/slot.go
+++ b/pkg/cmd/slot/slot.go
@@ -1,4 +1,4 @@
-// Package slot groups the commands about slots of plain services.
+// Package slot groups the commands for slots of plain services.
 package slot
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdSlot returns the group.
+// NewCmdSlot returns the command group.
 func NewCmdSlot(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "slot <command>",
-		Short: "Mend slots whose owner and witness are gone",
+		Short: "Recover slots whose owner and witness are lost",
 	}
 	cmd.AddCommand(release.NewCmdRelease(f, nil))
 	return cmd
--- a/pkg/cmd/target/mark/mark.go
+++ b/pkg/cmd/target/mark/mark.go
@@ -1,4 +1,4 @@
-// Package mark holds the command that marks targets.
+// Package mark implements the command that marks targets.
 package mark
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdMark returns the command; runF replaces its work in tests.
+// NewCmdMark returns the command; tests pass runF to replace its run function.
 func NewCmdMark(f *cmdutil.Factory, runF func(*cmdutil.ChangeOptions) error) *cobra.Command {
 	opts := cmdutil.NewChangeOptions(f)
 	cmd := &cobra.Command{
 		Use:   "mark <target>...",
 		Short: "Mark targets for a planned stop",
-		Long: `Mark targets for a planned stop: they get no new work, and what is in flight
-finishes. 'capersaddle member list' shows when nothing is in flight any more.`,
+		Long: `Mark targets for a planned stop: they get no new work, and requests in flight
+finish. 'capersaddle member list' shows when no request is in flight any more.`,
 		Example: `  $ capersaddle target mark engine-07`,
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/pkg/cmd/target/target.go
+++ b/pkg/cmd/target/target.go
@@ -1,4 +1,4 @@
-// Package target groups the commands about targets.
+// Package target groups the commands for targets.
 package target
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdTarget returns the group.
+// NewCmdTarget returns the command group.
 func NewCmdTarget(f *cmdutil.Factory) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "target <command>",
--- a/pkg/cmd/target/unmark/unmark.go
+++ b/pkg/cmd/target/unmark/unmark.go
@@ -1,4 +1,4 @@
-// Package unmark holds the command that unmarks targets.
+// Package unmark implements the command that unmarks targets.
 package unmark
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/capersaddle/capersaddle/pkg/cmdutil"
 )
 
-// NewCmdUnmark returns the command; runF replaces its work in tests.
+// NewCmdUnmark returns the command; tests pass runF to replace its run function.
 func NewCmdUnmark(f *cmdutil.Factory, runF func(*cmdutil.ChangeOptions) error) *cobra.Command {
 	opts := cmdutil.NewChangeOptions(f)
 	cmd := &cobra.Command{
 		Use:     "unmark <target>...",
-		Short:   "Take the mark off targets",
-		Long:    `Take the mark for a planned stop off targets: they get work again.`,
+		Short:   "Remove the mark from targets",
+		Long:    `Remove the mark for a planned stop from targets: they get work again.`,
 		Example: `  $ capersaddle target unmark engine-07`,
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/pkg/cmd/targets/targets.go
+++ b/pkg/cmd/targets/targets.go
@@ -1,4 +1,4 @@
-// Package targets holds the command that says why targets get nothing.
+// Package targets implements the command that shows why targets get no requests.
 package targets
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/capersaddle/capersaddle/pkg/iostreams"
 )
 
-// TargetsOptions are the command's options.
+// TargetsOptions holds the command's options.
 type TargetsOptions struct {
 	IO      *iostreams.IOStreams
 	Gateway func(address string) *cmdutil.GatewayClient
@@ -24,17 +24,17 @@
 	JSON    bool
 }
 
-// NewCmdTargets returns the command; runF replaces its work in tests.
+// NewCmdTargets returns the command; tests pass runF to replace its run function.
 func NewCmdTargets(f *cmdutil.Factory, runF func(*TargetsOptions) error) *cobra.Command {
 	opts := &TargetsOptions{IO: f.IOStreams, Gateway: f.Gateway}
 	cmd := &cobra.Command{
 		Use:   "targets <address>",
-		Short: "Say which targets get requests, and why others don't, as one gateway sees them",
-		Long: `Say which targets get requests, and why others don't, as the gateway at a
+		Short: "Show which targets get requests, and why others don't, as one gateway sees them",
+		Long: `Show which targets get requests, and why others don't, as the gateway at a
 metrics address sees them.
 
-A target that rests was asked for by its own answers to this gateway alone: others
-may still send to it. The time left is that after which the reason no longer holds.`,
+A resting target has asked only this gateway for a pause, in its responses: others
+may still send to it. The time left is the time until the reason no longer holds.`,
 		Example: `  $ capersaddle targets 127.0.0.1:8302
   $ capersaddle targets 127.0.0.1:8302 --service checkout --json`,
 		Args: cobra.ExactArgs(1),
@@ -52,28 +52,28 @@
 }
 
 func targetsRun(ctx context.Context, opts *TargetsOptions) error {
-	known, err := opts.Gateway(opts.Address).Targets(ctx)
+	targets, err := opts.Gateway(opts.Address).Targets(ctx)
 	if err != nil {
 		return err
 	}
 	if opts.Service != "" {
-		known = slices.DeleteFunc(known, func(target process.TargetStanding) bool { return target.Service != opts.Service })
+		targets = slices.DeleteFunc(targets, func(target process.TargetStanding) bool { return target.Service != opts.Service })
 	}
 	if opts.JSON {
-		return cmdutil.PrintJSON(opts.IO.Out, known)
+		return cmdutil.PrintJSON(opts.IO.Out, targets)
 	}
-	rows := make([][]string, 0, len(known))
-	for _, target := range known {
+	rows := make([][]string, 0, len(targets))
+	for _, target := range targets {
 		rows = append(rows, []string{
-			target.ID, target.Service, target.Address, target.DataCenter, string(target.Standing), left(target),
+			target.ID, target.Service, target.Address, target.DataCenter, string(target.Standing), timeLeft(target),
 			fmt.Sprint(target.InFlight), fmt.Sprint(target.Others),
 		})
 	}
 	return cmdutil.Table(opts.IO.Out, []string{"TARGET", "SERVICE", "ADDRESS", "DATA CENTRE", "STANDING", "LEFT", "IN FLIGHT", "OTHERS"}, rows)
 }
 
-// left is for how much longer the reason holds.
-func left(target process.TargetStanding) string {
+// timeLeft returns the time for which the reason still holds.
+func timeLeft(target process.TargetStanding) string {
 	if target.LeftMS == 0 {
 		return "-"
 	}
